--- a/src/dispatch/placement_request.rs
+++ b/src/dispatch/placement_request.rs
@@ -64,9 +64,9 @@
 
 /// How a request at a target ended, as far as it tells of the target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum WorkEnd {
+pub enum AttemptOutcome {
     /// With a whole answer that is no failure.
-    Served,
+    Succeeded,
     /// With a failure of the target: an error, a cut or a broken answer.
     Failed,
     /// The target refused it without running it.
@@ -74,7 +74,7 @@
     /// No connection came about.
     Unreachable,
     /// Nothing was heard of it until it was given up.
-    Silent,
+    Unresponsive,
     /// The caller left or the time ran out: it tells nothing of the target.
-    GivenUp,
+    Cancelled,
 }
--- a/src/dispatch/pool_feedback.rs
+++ b/src/dispatch/pool_feedback.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use super::AttemptOutcome;
 use super::PlacedTarget;
 use super::PoolTable;
 use super::TargetLimit;
-use super::WorkEnd;
 use super::target_choice::fastest_pause;
 use crate::ids::TargetName;
 
@@ -99,7 +99,13 @@
     }
 
     /// Notes the end of a request at a target.
-    pub fn note_end(&mut self, pool: &str, placed: &PlacedTarget, end: WorkEnd, now: Duration) {
+    pub fn note_end(
+        &mut self,
+        pool: &str,
+        placed: &PlacedTarget,
+        end: AttemptOutcome,
+        now: Duration,
+    ) {
         if let Some(pool) = self.pools.get_mut(pool)
             && let Some(running) = pool.running.get_mut(&placed.rank)
         {
--- a/src/dispatch/slot_guard.rs
+++ b/src/dispatch/slot_guard.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use super::AttemptOutcome;
 use super::DispatchQueue;
 use super::PlacedTarget;
-use super::WorkEnd;
 use crate::clock::boot_now;
 use crate::ids::PoolName;
 
@@ -18,7 +18,7 @@
     began: Duration,
     first_event: Option<Duration>,
     last_event: Option<Duration>,
-    end: WorkEnd,
+    end: AttemptOutcome,
 }
 
 impl SlotGuard {
@@ -31,7 +31,7 @@
             first_event: None,
             last_event: None,
             // What is dropped on the way, as its caller left, tells nothing.
-            end: WorkEnd::GivenUp,
+            end: AttemptOutcome::Cancelled,
         }
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Frees the slot and notes how the request ended there.
-    pub(crate) fn finish(mut self, end: WorkEnd) {
+    pub(crate) fn finish(mut self, end: AttemptOutcome) {
         self.end = end;
     }
 }
@@ -77,7 +77,7 @@
     fn drop(&mut self) {
         let now = boot_now();
         let mut table = self.queue.lock_table();
-        if let (WorkEnd::Served, Some(first)) = (self.end, self.first_event) {
+        if let (AttemptOutcome::Succeeded, Some(first)) = (self.end, self.first_event) {
             let lasted = now.saturating_sub(first);
             table.note_stream(&self.pool, &self.placed, lasted);
         }
--- a/src/dispatch/target_runtime.rs
+++ b/src/dispatch/target_runtime.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use super::AttemptOutcome;
 use super::HostTurn;
 use super::PoolMember;
 use super::SlotGrant;
-use super::WorkEnd;
 use super::cold_start::ColdStart;
 use super::limit_table::LimitEntry;
 use super::pace_track::PaceTrack;
@@ -229,25 +229,25 @@
     }
 
     /// Notes that work there ended.
-    pub(super) fn note_end(&mut self, end: WorkEnd, now: Duration) {
+    pub(super) fn note_end(&mut self, end: AttemptOutcome, now: Duration) {
         self.own = self.own.saturating_sub(1);
         if self.own == 0 {
             self.silent_since = None;
         }
         match end {
-            WorkEnd::Served => {
+            AttemptOutcome::Succeeded => {
                 self.failures -= OUTCOME_WEIGHT * self.failures;
                 self.next_rest = FIRST_REST;
                 self.rest_until = Duration::ZERO;
             }
-            WorkEnd::Failed => self.failures += OUTCOME_WEIGHT * (1.0 - self.failures),
-            WorkEnd::Rejected => self.rest(now, FIRST_REST),
-            WorkEnd::Unreachable | WorkEnd::Silent => {
+            AttemptOutcome::Failed => self.failures += OUTCOME_WEIGHT * (1.0 - self.failures),
+            AttemptOutcome::Rejected => self.rest(now, FIRST_REST),
+            AttemptOutcome::Unreachable | AttemptOutcome::Unresponsive => {
                 self.rest(now, self.next_rest);
                 self.cold_start = Some(ColdStart::lost(now));
                 self.next_rest = (self.next_rest * 2).min(LONGEST_REST);
             }
-            WorkEnd::GivenUp => {}
+            AttemptOutcome::Cancelled => {}
         }
     }
 
--- a/src/edge/request_run.rs
+++ b/src/edge/request_run.rs
@@ -17,10 +17,10 @@
 use super::target_links::TargetLink;
 use crate::catalog::CallKind;
 use crate::clock::boot_now;
+use crate::dispatch::AttemptOutcome;
 use crate::dispatch::PlacementRequest;
 use crate::dispatch::SlotGuard;
 use crate::dispatch::WaitVerdict;
-use crate::dispatch::WorkEnd;
 use crate::errors::ErrorKind;
 use crate::errors::RequestOutcome;
 use crate::ids::TargetName;
@@ -119,7 +119,7 @@
                 let target = slot.target().name.clone();
                 self.write_failure(&target, "unreachable", true);
                 self.tried.push(target);
-                slot.finish(WorkEnd::Unreachable);
+                slot.finish(AttemptOutcome::Unreachable);
                 unreachable += 1;
                 if unreachable >= MAX_UNREACHABLE {
                     return self.give_up(ErrorKind::TargetUnreachable).await;
--- a/src/edge/send_end.rs
+++ b/src/edge/send_end.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 
 use super::target_call::CallError;
-use crate::dispatch::WorkEnd;
+use crate::dispatch::AttemptOutcome;
 use crate::wire::AnswerMessage;
 
 /// Why a send brought no whole answer although the target may have run it.
@@ -45,14 +45,14 @@
 
 impl SendEnd {
     /// Returns what the end tells of the target.
-    pub(crate) fn work_end(&self) -> WorkEnd {
+    pub(crate) fn attempt_outcome(&self) -> AttemptOutcome {
         match self {
-            Self::Done { status } if *status >= 500 => WorkEnd::Failed,
-            Self::Done { .. } => WorkEnd::Served,
-            Self::CallerGone | Self::TimeOver => WorkEnd::GivenUp,
-            Self::NotRun(_) => WorkEnd::Rejected,
-            Self::Lost(LossCause::Silent) => WorkEnd::Silent,
-            Self::Lost(_) | Self::Failure { .. } => WorkEnd::Failed,
+            Self::Done { status } if *status >= 500 => AttemptOutcome::Failed,
+            Self::Done { .. } => AttemptOutcome::Succeeded,
+            Self::CallerGone | Self::TimeOver => AttemptOutcome::Cancelled,
+            Self::NotRun(_) => AttemptOutcome::Rejected,
+            Self::Lost(LossCause::Silent) => AttemptOutcome::Unresponsive,
+            Self::Lost(_) | Self::Failure { .. } => AttemptOutcome::Failed,
         }
     }
 }
--- a/src/edge/target_send.rs
+++ b/src/edge/target_send.rs
@@ -21,8 +21,8 @@
 use super::target_links::TargetLink;
 use crate::catalog::CallKind;
 use crate::clock::boot_now;
+use crate::dispatch::AttemptOutcome;
 use crate::dispatch::SlotGuard;
-use crate::dispatch::WorkEnd;
 use crate::logs::DecisionLine;
 use crate::wire::AnswerMessage;
 
@@ -42,14 +42,14 @@
         let mut call = match called {
             Ok(call) => call,
             Err(end) => {
-                slot.finish(end.work_end());
+                slot.finish(end.attempt_outcome());
                 return end;
             }
         };
         if self.is_not_run(&call.head) {
             let cause = format!("not run, status {}", call.head.status);
             self.discard(call, &slot).await;
-            slot.finish(WorkEnd::Rejected);
+            slot.finish(AttemptOutcome::Rejected);
             return SendEnd::NotRun(cause);
         }
         let status = call.head.status;
@@ -61,7 +61,7 @@
                     self.pass_collected(&call.head, body).await
                 }
                 Err(end) => {
-                    slot.finish(end.work_end());
+                    slot.finish(end.attempt_outcome());
                     return end;
                 }
             },
@@ -69,7 +69,7 @@
         if let Some((link, head)) = call.into_kept() {
             self.state.links.put(&slot.target().name, link, &head);
         }
-        slot.finish(end.work_end());
+        slot.finish(end.attempt_outcome());
         end
     }
 
--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use cardamomgw::catalog::ColdLimit;
+use cardamomgw::dispatch::AttemptOutcome;
 use cardamomgw::dispatch::HostTurn;
 use cardamomgw::dispatch::PlacementRequest;
 use cardamomgw::dispatch::PoolMember;
 use cardamomgw::dispatch::PoolTable;
 use cardamomgw::dispatch::UrgencyRank;
-use cardamomgw::dispatch::WorkEnd;
 use cardamomgw::view::TargetPhase;
 use cardamomgw::view::TargetRecord;
 use rand::RngExt;
@@ -138,7 +138,7 @@
             }
             for (_, host, placed) in running.extract_if(.., |(end, _, _)| *end <= now) {
                 self.tables[host].note_heard(POOL, &placed.name, now);
-                self.tables[host].note_end(POOL, &placed, WorkEnd::Served, now);
+                self.tables[host].note_end(POOL, &placed, AttemptOutcome::Succeeded, now);
             }
             now += STEP;
         }
@@ -207,7 +207,7 @@
         for _ in 0..TARGETS {
             let placed = table.place(&request(start()), start(), 0.1);
             let placed = placed.expect("nothing runs there");
-            table.note_end(POOL, &placed, WorkEnd::Unreachable, start());
+            table.note_end(POOL, &placed, AttemptOutcome::Unreachable, start());
         }
     }
     let back = start() + Duration::from_secs(3);
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
+use cardamomgw::dispatch::AttemptOutcome;
 use cardamomgw::dispatch::PlacedTarget;
 use cardamomgw::dispatch::PlacementRequest;
 use cardamomgw::dispatch::PoolMember;
 use cardamomgw::dispatch::PoolTable;
 use cardamomgw::dispatch::TargetLoad;
 use cardamomgw::dispatch::UrgencyRank;
-use cardamomgw::dispatch::WorkEnd;
 use cardamomgw::members::GroupShare;
 use cardamomgw::quota::UsageScope;
 use cardamomgw::view::TargetPhase;
@@ -92,9 +92,9 @@
     board.wait(2, wish_of(0, 0, now), now);
     board.wait(3, wish_of(0, 0, now - millis(500)), now);
 
-    board.note_end(POOL, &running[0], WorkEnd::Served, now);
+    board.note_end(POOL, &running[0], AttemptOutcome::Succeeded, now);
     let first = board.assign(now, || 0.5);
-    board.note_end(POOL, &running[1], WorkEnd::Served, now);
+    board.note_end(POOL, &running[1], AttemptOutcome::Succeeded, now);
     let second = board.assign(now, || 0.5);
 
     assert_eq!(
@@ -118,7 +118,7 @@
     let later = now + millis(600);
     board.wait(2, wish_of(2, 0, later), later);
 
-    board.note_end(POOL, &running[0], WorkEnd::Served, later);
+    board.note_end(POOL, &running[0], AttemptOutcome::Succeeded, later);
     let assigned = board.assign(later, || 0.5);
 
     assert_eq!(assigned[0].0, 2);
@@ -139,7 +139,7 @@
     }
 
     for placed in &running[..8] {
-        board.note_end(POOL, placed, WorkEnd::Served, now);
+        board.note_end(POOL, placed, AttemptOutcome::Succeeded, now);
     }
     let assigned = board.assign(now, || 0.5);
 
@@ -159,7 +159,7 @@
         let spread = f64::from(index) / 10.0;
         let placed = board.place(&wish_of(0, 20_000, now), now, spread).unwrap();
         assert_eq!(placed.name, "fast");
-        board.note_end(POOL, &placed, WorkEnd::Served, now);
+        board.note_end(POOL, &placed, AttemptOutcome::Succeeded, now);
     }
 }
 
@@ -208,7 +208,7 @@
     let now = start();
     let mut board = board_of(vec![engine("t1", 4)]);
     let placed = board.place(&wish_of(0, 0, now), now, 0.5).unwrap();
-    board.note_end(POOL, &placed, WorkEnd::Unreachable, now);
+    board.note_end(POOL, &placed, AttemptOutcome::Unreachable, now);
 
     let again = board.place(&wish_of(0, 0, now), now, 0.5);
 
--- a/tests/request_limits.rs
+++ b/tests/request_limits.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
+use cardamomgw::dispatch::AttemptOutcome;
 use cardamomgw::dispatch::HostTurn;
 use cardamomgw::dispatch::PlacementRequest;
 use cardamomgw::dispatch::PoolMember;
 use cardamomgw::dispatch::PoolTable;
 use cardamomgw::dispatch::TargetLimit;
 use cardamomgw::dispatch::UrgencyRank;
-use cardamomgw::dispatch::WorkEnd;
 use cardamomgw::view::TargetPhase;
 use cardamomgw::view::TargetRecord;
 use rand::RngExt;
@@ -117,7 +117,7 @@
                 }
             }
             for (_, host, placed) in running.extract_if(.., |(end, _, _)| *end <= now) {
-                self.tables[host].note_end(POOL, &placed, WorkEnd::Served, now);
+                self.tables[host].note_end(POOL, &placed, AttemptOutcome::Succeeded, now);
             }
             now += STEP;
         }
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+use cardamomgw::dispatch::AttemptOutcome;
 use cardamomgw::dispatch::GrantTarget;
 use cardamomgw::dispatch::PlacedTarget;
 use cardamomgw::dispatch::PlacementRequest;
@@ -15,7 +16,6 @@
 use cardamomgw::dispatch::SlotGrants;
 use cardamomgw::dispatch::SlotShares;
 use cardamomgw::dispatch::UrgencyRank;
-use cardamomgw::dispatch::WorkEnd;
 use cardamomgw::quota::UsageScope;
 use cardamomgw::view::TargetPhase;
 use cardamomgw::view::TargetRecord;
@@ -167,7 +167,7 @@
         for engine in &mut self.engines {
             let ended = engine.running.extract_if(.., |(end, _)| *end <= now);
             for (_, work) in ended {
-                self.tables[work.host].note_end(POOL, &work.placed, WorkEnd::Served, now);
+                self.tables[work.host].note_end(POOL, &work.placed, AttemptOutcome::Succeeded, now);
             }
             while engine.running.len() < SLOTS {
                 let Some(work) = engine.queue.pop_front() else {
