--- a/benches/policy_cost.rs
+++ b/benches/policy_cost.rs
@@ -13,8 +13,8 @@
 use cardamomgw::policy::DispatchPolicy;
 use cardamomgw::policy::PolicyLimits;
 use cardamomgw::policy::TargetFacts;
-use cardamomgw::policy::WorkEnd;
 use cardamomgw::policy::WorkItem;
+use cardamomgw::policy::WorkOutcome;
 
 const SLOTS: u32 = 8;
 const REPEATS: u32 = 200;
@@ -50,7 +50,7 @@
         let work = 1_000_000 + u64::from(index);
         black_box(policy.arrive(now, item(work, &allowed)));
         black_box(policy.withdraw(now, work));
-        black_box(policy.ended(now, work, WorkEnd::Finished));
+        black_box(policy.ended(now, work, WorkOutcome::Finished));
     });
     println!(
         "{targets:3} targets, {queued:4} waiting: tick {tick:.1?}, digest {digest:.1?}, \
--- a/src/controllers/work_controller.rs
+++ b/src/controllers/work_controller.rs
@@ -23,9 +23,9 @@
 use crate::policy::PolicyAction;
 use crate::policy::PolicyLimits;
 use crate::policy::TargetFacts;
-use crate::policy::WorkEnd;
 use crate::policy::WorkId;
 use crate::policy::WorkItem;
+use crate::policy::WorkOutcome;
 use crate::sorted::SortedMap;
 
 /// How often the policy is told that time passes.
@@ -224,15 +224,15 @@
     pub(crate) fn not_sent(&mut self) {
         self.stage = TicketStage::Waiting;
         self.controller
-            .decide(|policy| policy.ended(boot_now(), self.work, WorkEnd::NotSent));
+            .decide(|policy| policy.ended(boot_now(), self.work, WorkOutcome::NotSent));
     }
 
     /// Ends the work.
-    pub(crate) fn end(mut self, end: WorkEnd) {
+    pub(crate) fn end(mut self, end: WorkOutcome) {
         self.finish(end);
     }
 
-    fn finish(&mut self, end: WorkEnd) {
+    fn finish(&mut self, end: WorkOutcome) {
         let stage = std::mem::replace(&mut self.stage, TicketStage::Ended);
         let work = self.work;
         match stage {
@@ -251,7 +251,7 @@
 
     /// A place may have been given just before the work was withdrawn; nobody
     /// else would ever give its slot back.
-    fn give_back_unread_place(&self, end: WorkEnd) {
+    fn give_back_unread_place(&self, end: WorkOutcome) {
         if let Ok(WorkPlace::Target(_)) = self.places.try_recv() {
             self.controller
                 .decide(|policy| policy.ended(boot_now(), self.work, end));
@@ -261,7 +261,7 @@
 
 impl Drop for WorkTicket {
     fn drop(&mut self) {
-        self.finish(WorkEnd::Cancelled);
+        self.finish(WorkOutcome::Cancelled);
         lock(&self.controller.waiters).remove(&self.work);
     }
 }
--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -23,7 +23,7 @@
 use crate::ids::TokenCount;
 use crate::logs::StateChange;
 use crate::metrics::PrefillWaste;
-use crate::policy::WorkEnd;
+use crate::policy::WorkOutcome;
 
 use super::RequestRefusal;
 use super::RequestRun;
@@ -72,7 +72,7 @@
             let mut ledger = run.host.suspects.ledger();
             ledger.note_success(run.fingerprint, unix_now());
             drop(ledger);
-            ticket.end(WorkEnd::Finished);
+            ticket.end(WorkOutcome::Finished);
         }
         Err(kind) => {
             if kind == ErrorKind::TargetLost {
@@ -83,7 +83,7 @@
             }
             count_waste(run, &target, kind);
             fail_slot(run, kind);
-            ticket.end(WorkEnd::Failed);
+            ticket.end(WorkOutcome::Failed);
         }
     }
 }
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -21,7 +21,7 @@
 use crate::ids::HostName;
 use crate::limits::ByteShare;
 use crate::poison::RequestFingerprint;
-use crate::policy::WorkEnd;
+use crate::policy::WorkOutcome;
 use crate::recorder::RecordedRequest;
 
 use super::ClassifiedRequest;
@@ -187,7 +187,7 @@
                     ticket.not_sent();
                 }
                 ClaimedPlace::NoClaim(verdict) => {
-                    ticket.end(WorkEnd::Cancelled);
+                    ticket.end(WorkOutcome::Cancelled);
                     return self.run_unclaimed(verdict).await;
                 }
             }
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -13,9 +13,9 @@
 use super::PolicyLimits;
 use super::TargetFacts;
 use super::WasteCount;
-use super::WorkEnd;
 use super::WorkId;
 use super::WorkItem;
+use super::WorkOutcome;
 use super::fair_queue::FairQueue;
 use super::peer_room::PeerRoom;
 use super::pool_state::PoolState;
@@ -175,7 +175,7 @@
     }
 
     /// Notes the end of dispatched work and decides what takes its slot.
-    pub fn ended(&mut self, now: Duration, work: WorkId, end: WorkEnd) -> Vec<PolicyAction> {
+    pub fn ended(&mut self, now: Duration, work: WorkId, end: WorkOutcome) -> Vec<PolicyAction> {
         let Some(ended) = self.running.remove(&work) else {
             return Vec::new();
         };
@@ -184,13 +184,13 @@
             if ended.tokens == 0 || !view.is_engine() {
                 view.has_read(ended.item.prompt_tokens);
             }
-            if !view.is_engine() && end == WorkEnd::Finished {
+            if !view.is_engine() && end == WorkOutcome::Finished {
                 let seconds = now.saturating_sub(ended.sent).as_secs_f64();
                 view.pace.sample_token(now, seconds);
             }
         }
         self.waste.ended(end, ended.item.prompt_tokens);
-        if end == WorkEnd::NotSent {
+        if end == WorkOutcome::NotSent {
             self.wait_again(now, ended.item, ended.target);
         }
         self.decide(now)
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -20,7 +20,7 @@
 //! use cardamomgw::policy::PolicyAction;
 //! use cardamomgw::policy::PolicyLimits;
 //! use cardamomgw::policy::TargetFacts;
-//! use cardamomgw::policy::WorkEnd;
+//! use cardamomgw::policy::WorkOutcome;
 //! use cardamomgw::policy::WorkItem;
 //!
 //! let engine = TargetFacts {
@@ -50,7 +50,7 @@
 //! let first = policy.arrive(Duration::ZERO, item(1, 2));
 //! policy.arrive(Duration::ZERO, item(2, 2));
 //! policy.arrive(Duration::ZERO, item(3, 0));
-//! let next = policy.ended(Duration::from_secs(1), 1, WorkEnd::Finished);
+//! let next = policy.ended(Duration::from_secs(1), 1, WorkOutcome::Finished);
 //!
 //! assert!(matches!(first[..], [PolicyAction::Dispatch { work: 1, .. }]));
 //! assert!(matches!(next[..], [PolicyAction::Dispatch { work: 3, .. }]), "the upper tier goes first");
@@ -86,7 +86,7 @@
 pub use host_digest::TargetDemand;
 pub use host_digest::TierWait;
 pub use policy_action::PolicyAction;
-pub use policy_action::WorkEnd;
+pub use policy_action::WorkOutcome;
 pub use policy_limits::PolicyLimits;
 pub(crate) use share::base_share;
 pub use target_facts::LoadReport;
--- a/src/policy/policy_action.rs
+++ b/src/policy/policy_action.rs
@@ -38,7 +38,7 @@
 
 /// How dispatched work ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum WorkEnd {
+pub enum WorkOutcome {
     /// The whole answer came.
     Finished,
     /// The target was lost or fell silent after the dispatch.
--- a/src/policy/waste_count.rs
+++ b/src/policy/waste_count.rs
@@ -8,7 +8,7 @@
 
 use crate::ids::TokenCount;
 
-use super::WorkEnd;
+use super::WorkOutcome;
 
 /// Prompt tokens that were read for nothing, by cause.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
@@ -24,11 +24,11 @@
 
 impl WasteCount {
     /// Counts the end of work whose prompt was sent.
-    pub(super) fn ended(&mut self, end: WorkEnd, prompt_tokens: TokenCount) {
+    pub(super) fn ended(&mut self, end: WorkOutcome, prompt_tokens: TokenCount) {
         match end {
-            WorkEnd::Cancelled => self.cancelled += u64::from(prompt_tokens),
-            WorkEnd::Failed => self.failed += u64::from(prompt_tokens),
-            WorkEnd::Finished | WorkEnd::NotSent => (),
+            WorkOutcome::Cancelled => self.cancelled += u64::from(prompt_tokens),
+            WorkOutcome::Failed => self.failed += u64::from(prompt_tokens),
+            WorkOutcome::Finished | WorkOutcome::NotSent => (),
         }
     }
 
--- a/src/replay/first_policy.rs
+++ b/src/replay/first_policy.rs
@@ -11,9 +11,9 @@
 use crate::policy::PolicyAction;
 use crate::policy::PolicyLimits;
 use crate::policy::TargetFacts;
-use crate::policy::WorkEnd;
 use crate::policy::WorkId;
 use crate::policy::WorkItem;
+use crate::policy::WorkOutcome;
 use crate::policy::base_share;
 
 /// The pace that is assumed of an engine before any work ran there.
@@ -138,14 +138,19 @@
     }
 
     /// Notes the end of dispatched work and decides what takes its slot.
-    pub(super) fn ended(&mut self, now: Duration, work: WorkId, end: WorkEnd) -> Vec<PolicyAction> {
+    pub(super) fn ended(
+        &mut self,
+        now: Duration,
+        work: WorkId,
+        end: WorkOutcome,
+    ) -> Vec<PolicyAction> {
         let Some(ended) = self.running.remove(&work) else {
             return Vec::new();
         };
         if let Some(view) = self.targets.get_mut(&ended.target) {
             view.running = view.running.saturating_sub(1);
         }
-        if end == WorkEnd::NotSent {
+        if end == WorkOutcome::NotSent {
             return self.arrive(now, ended.item);
         }
         self.decide(now)
--- a/src/replay/replay_policy.rs
+++ b/src/replay/replay_policy.rs
@@ -13,9 +13,9 @@
 use crate::policy::PolicyAction;
 use crate::policy::PolicyLimits;
 use crate::policy::TargetFacts;
-use crate::policy::WorkEnd;
 use crate::policy::WorkId;
 use crate::policy::WorkItem;
+use crate::policy::WorkOutcome;
 
 use super::baseline_policy::BaselinePolicy;
 use super::baseline_policy::BaselineRule;
@@ -114,7 +114,12 @@
         }
     }
 
-    pub(super) fn ended(&mut self, now: Duration, work: WorkId, end: WorkEnd) -> Vec<PolicyAction> {
+    pub(super) fn ended(
+        &mut self,
+        now: Duration,
+        work: WorkId,
+        end: WorkOutcome,
+    ) -> Vec<PolicyAction> {
         match self {
             Self::Current(policy) => policy.ended(now, work, end),
             Self::First(policy) => policy.ended(now, work, end),
--- a/src/replay/replay_run.rs
+++ b/src/replay/replay_run.rs
@@ -11,9 +11,9 @@
 use crate::policy::HostDigest;
 use crate::policy::LoadReport;
 use crate::policy::PolicyAction;
-use crate::policy::WorkEnd;
 use crate::policy::WorkId;
 use crate::policy::WorkItem;
+use crate::policy::WorkOutcome;
 use crate::sorted::SortedMap;
 
 use super::PolicyKind;
@@ -316,7 +316,7 @@
         self.remove(target, work);
         let host = self.records[work as usize].host;
         self.close(work, RecordEnd::Useful);
-        let actions = self.policies[host].ended(self.now, work, WorkEnd::Finished);
+        let actions = self.policies[host].ended(self.now, work, WorkOutcome::Finished);
         self.act(host, actions);
     }
 
@@ -363,7 +363,7 @@
                 self.close(work, RecordEnd::Late);
                 self.remove(target, work);
                 self.begin_calls(target);
-                self.policies[host].ended(self.now, work, WorkEnd::Cancelled)
+                self.policies[host].ended(self.now, work, WorkOutcome::Cancelled)
             }
             None => {
                 self.close(work, RecordEnd::Refused);
--- a/tests/policy_first.rs
+++ b/tests/policy_first.rs
@@ -10,8 +10,8 @@
 use cardamomgw::policy::PolicyAction;
 use cardamomgw::policy::PolicyLimits;
 use cardamomgw::policy::TargetFacts;
-use cardamomgw::policy::WorkEnd;
 use cardamomgw::policy::WorkItem;
+use cardamomgw::policy::WorkOutcome;
 
 fn engine(name: &str, slots: u32) -> TargetFacts {
     TargetFacts {
@@ -63,7 +63,7 @@
     policy.arrive(Duration::ZERO, item(2, 1));
     policy.arrive(Duration::ZERO, item(3, 0));
 
-    let actions = policy.ended(Duration::from_secs(1), 1, WorkEnd::Finished);
+    let actions = policy.ended(Duration::from_secs(1), 1, WorkOutcome::Finished);
 
     assert_eq!(dispatched(&actions), [3]);
 }
--- a/tests/policy_load/main.rs
+++ b/tests/policy_load/main.rs
@@ -7,7 +7,7 @@
 
 use cardamomgw::errors::ErrorKind;
 use cardamomgw::policy::PolicyAction;
-use cardamomgw::policy::WorkEnd;
+use cardamomgw::policy::WorkOutcome;
 use policy_bench::PolicyBench;
 use policy_bench::WorkShape;
 use policy_bench::refusals;
@@ -60,7 +60,7 @@
     bench.arrive(long("small"));
 
     bench.now += 20 * SECOND;
-    let dispatched = bench.end_oldest(WorkEnd::Finished);
+    let dispatched = bench.end_oldest(WorkOutcome::Finished);
 
     assert_eq!(dispatched, [small]);
 }
@@ -80,7 +80,7 @@
         bench.arrive(shape);
     }
 
-    let dispatched = bench.end_oldest(WorkEnd::Finished);
+    let dispatched = bench.end_oldest(WorkOutcome::Finished);
 
     assert_eq!(dispatched, [aged]);
 }
@@ -96,7 +96,7 @@
     let higher = bench.next_work();
     bench.arrive(shape);
 
-    let dispatched = bench.end_oldest(WorkEnd::Finished);
+    let dispatched = bench.end_oldest(WorkOutcome::Finished);
 
     assert_eq!(dispatched, [higher]);
 }
@@ -235,7 +235,7 @@
     bench.arrive(brief(0));
     let first = bench.last_target();
 
-    bench.end_oldest(WorkEnd::NotSent);
+    bench.end_oldest(WorkOutcome::NotSent);
 
     assert_ne!(bench.last_target(), first);
 }
--- a/tests/policy_load/policy_bench.rs
+++ b/tests/policy_load/policy_bench.rs
@@ -10,8 +10,8 @@
 use cardamomgw::policy::PolicyAction;
 use cardamomgw::policy::PolicyLimits;
 use cardamomgw::policy::TargetFacts;
-use cardamomgw::policy::WorkEnd;
 use cardamomgw::policy::WorkItem;
+use cardamomgw::policy::WorkOutcome;
 
 /// The time of one token of an engine that is well.
 const TOKEN: Duration = Duration::from_millis(20);
@@ -116,7 +116,7 @@
     }
 
     /// Ends the work that was dispatched first; returns what is dispatched then.
-    pub(crate) fn end_oldest(&mut self, end: WorkEnd) -> Vec<u64> {
+    pub(crate) fn end_oldest(&mut self, end: WorkOutcome) -> Vec<u64> {
         let (work, _, _) = self.running.remove(0);
         let actions = self.policy.ended(self.now, work, end);
         self.note(&actions);
@@ -177,7 +177,7 @@
         }
         self.running.retain(|(work, _, _)| !ended.contains(work));
         for work in ended {
-            let actions = self.policy.ended(self.now, work, WorkEnd::Finished);
+            let actions = self.policy.ended(self.now, work, WorkOutcome::Finished);
             self.note(&actions);
         }
     }
--- a/tests/policy_load/policy_shed.rs
+++ b/tests/policy_load/policy_shed.rs
@@ -6,7 +6,7 @@
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
 use cardamomgw::policy::PolicyAction;
-use cardamomgw::policy::WorkEnd;
+use cardamomgw::policy::WorkOutcome;
 
 use super::policy_bench::PolicyBench;
 use super::policy_bench::WorkShape;
@@ -59,7 +59,7 @@
             8 => bench.tick(),
             _ => {
                 if bench.has_running() {
-                    bench.end_oldest(WorkEnd::Finished);
+                    bench.end_oldest(WorkOutcome::Finished);
                 }
             }
         }
--- a/tests/policy_shares.rs
+++ b/tests/policy_shares.rs
@@ -13,8 +13,8 @@
 use cardamomgw::policy::PolicyAction;
 use cardamomgw::policy::PolicyLimits;
 use cardamomgw::policy::TargetFacts;
-use cardamomgw::policy::WorkEnd;
 use cardamomgw::policy::WorkItem;
+use cardamomgw::policy::WorkOutcome;
 
 const ENGINE: &str = "engine-1";
 const HOUR: Duration = Duration::from_secs(3600);
@@ -111,7 +111,7 @@
 
     fn end(&mut self, host: usize) {
         if let Some(work) = self.running[host].pop() {
-            let actions = self.policies[host].ended(self.now, work, WorkEnd::Finished);
+            let actions = self.policies[host].ended(self.now, work, WorkOutcome::Finished);
             self.note(host, actions);
         }
     }
--- a/tests/policy_slow_targets.rs
+++ b/tests/policy_slow_targets.rs
@@ -9,8 +9,8 @@
 use cardamomgw::policy::PolicyAction;
 use cardamomgw::policy::PolicyLimits;
 use cardamomgw::policy::TargetFacts;
-use cardamomgw::policy::WorkEnd;
 use cardamomgw::policy::WorkItem;
+use cardamomgw::policy::WorkOutcome;
 
 fn policy() -> DispatchPolicy {
     let mut policy = DispatchPolicy::new("entry-1".to_string(), PolicyLimits::default());
@@ -63,7 +63,7 @@
         );
         policy.started(now, work);
         now += Duration::from_millis(millis);
-        policy.ended(now, work, WorkEnd::Finished);
+        policy.ended(now, work, WorkOutcome::Finished);
     }
 
     let actions = policy.arrive(now, booking(100, now));
--- a/tests/policy_stall.rs
+++ b/tests/policy_stall.rs
@@ -9,8 +9,8 @@
 use cardamomgw::policy::PolicyAction;
 use cardamomgw::policy::PolicyLimits;
 use cardamomgw::policy::TargetFacts;
-use cardamomgw::policy::WorkEnd;
 use cardamomgw::policy::WorkItem;
+use cardamomgw::policy::WorkOutcome;
 
 fn hosts() -> Vec<String> {
     (1..=3).map(|number| format!("entry-{number}")).collect()
@@ -130,10 +130,10 @@
         policy.arrive(now, urgent);
         policy.tick(now);
         policy.withdraw(now, work);
-        policy.ended(now, work.saturating_sub(2), WorkEnd::Finished);
+        policy.ended(now, work.saturating_sub(2), WorkOutcome::Finished);
     }
-    policy.ended(now, 99, WorkEnd::Finished);
-    policy.ended(now, 100, WorkEnd::Finished);
+    policy.ended(now, 99, WorkOutcome::Finished);
+    policy.ended(now, 100, WorkOutcome::Finished);
     policy.set_targets(now, two_slots(TargetState::Leaving));
 
     let actions = policy.arrive(now, briefing(200, now));
@@ -159,7 +159,7 @@
         // The first calls take 50 ms, the later ones 500 ms.
         now += Duration::from_millis(if work <= 20 { 50 } else { 500 });
         policy.progressed(now, work, 1);
-        policy.ended(now, work, WorkEnd::Finished);
+        policy.ended(now, work, WorkOutcome::Finished);
     }
 
     assert_eq!(dispatched, 60);
@@ -175,7 +175,7 @@
     let now = Duration::from_millis(20);
     let first = policy.arrive(now, booking(1, now));
 
-    let second = policy.ended(now, 1, WorkEnd::NotSent);
+    let second = policy.ended(now, 1, WorkOutcome::NotSent);
 
     assert_eq!(count_dispatches(&first), 1);
     assert_eq!(count_dispatches(&second), 1, "{second:?}");
