--- a/src/dispatch/dispatch_queue.rs
+++ b/src/dispatch/dispatch_queue.rs
@@ -30,13 +30,13 @@
 
 /// How a wait for a target ended.
 #[derive(Debug)]
-pub(crate) enum WaitVerdict {
+pub(crate) enum WaitOutcome {
     /// A target has room.
     Placed(SlotGuard),
     /// No target of the pool takes new work.
     NoTarget,
     /// More wait than can be served.
-    Full,
+    Overloaded,
     /// The time that the request could wait is over.
     TimedOut,
 }
@@ -70,22 +70,22 @@
         self: &Arc<Self>,
         request: PlacementRequest,
         patience: Duration,
-    ) -> WaitVerdict {
+    ) -> WaitOutcome {
         let pool = request.pool.clone();
         let (number, receiver) = {
             let now = boot_now();
             let mut table = self.lock_table();
             if !table.has_accepting_target(&pool) {
-                return WaitVerdict::NoTarget;
+                return WaitOutcome::NoTarget;
             }
             if let Some(placed) = table.place(&request, now, rand::random()) {
                 drop(table);
-                return WaitVerdict::Placed(self.guard(pool, placed));
+                return WaitOutcome::Placed(self.guard(pool, placed));
             }
             let hopeless =
                 table.is_hopeless(&request, now) || table.expected_wait(&request, now) > patience;
             if hopeless || table.waiting(&pool) >= MAX_WAITING {
-                return WaitVerdict::Full;
+                return WaitOutcome::Overloaded;
             }
             let number = self.next_number.fetch_add(1, Ordering::Relaxed);
             let (sender, receiver) = async_channel::bounded(1);
@@ -105,8 +105,8 @@
             .unwrap_or(Err(RecvError))
             .or(place.receiver.try_recv())
         {
-            Ok(placed) => WaitVerdict::Placed(self.guard(pool.clone(), placed)),
-            Err(_) => WaitVerdict::TimedOut,
+            Ok(placed) => WaitOutcome::Placed(self.guard(pool.clone(), placed)),
+            Err(_) => WaitOutcome::TimedOut,
         }
     }
 
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -26,7 +26,7 @@
 mod target_runtime;
 
 pub(crate) use dispatch_queue::DispatchQueue;
-pub(crate) use dispatch_queue::WaitVerdict;
+pub(crate) use dispatch_queue::WaitOutcome;
 pub use limit_table::TargetLimit;
 pub use peer_loads::TargetLoad;
 pub use placement_request::AttemptOutcome;
--- a/src/edge/request_run.rs
+++ b/src/edge/request_run.rs
@@ -20,7 +20,7 @@
 use crate::dispatch::AttemptOutcome;
 use crate::dispatch::PlacementRequest;
 use crate::dispatch::SlotGuard;
-use crate::dispatch::WaitVerdict;
+use crate::dispatch::WaitOutcome;
 use crate::errors::ErrorKind;
 use crate::errors::RequestOutcome;
 use crate::ids::TargetName;
@@ -151,10 +151,10 @@
         };
         match or(wait, gone).await {
             None => Err(RunEnd::Closed),
-            Some(WaitVerdict::Placed(slot)) => Ok(slot),
-            Some(WaitVerdict::Full) => Err(self.give_up(ErrorKind::Overloaded).await),
-            Some(WaitVerdict::NoTarget) => Err(self.give_up(ErrorKind::NoTarget).await),
-            Some(WaitVerdict::TimedOut) => Err(self.give_up(ErrorKind::Overloaded).await),
+            Some(WaitOutcome::Placed(slot)) => Ok(slot),
+            Some(WaitOutcome::Overloaded) => Err(self.give_up(ErrorKind::Overloaded).await),
+            Some(WaitOutcome::NoTarget) => Err(self.give_up(ErrorKind::NoTarget).await),
+            Some(WaitOutcome::TimedOut) => Err(self.give_up(ErrorKind::Overloaded).await),
         }
     }
 
