--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -33,7 +33,7 @@
 pub use placement_request::PlacedTarget;
 pub use placement_request::PlacementRequest;
 pub use placement_request::QueueTicket;
-pub use placement_request::UrgencyRank;
+pub use placement_request::RequestPriority;
 pub use pool_table::PoolMember;
 pub use pool_table::PoolTable;
 pub use shard_range::ShardRange;
--- a/src/dispatch/placement_request.rs
+++ b/src/dispatch/placement_request.rs
@@ -15,7 +15,7 @@
 
 /// How urgent a request is: the account's tier goes before the route's.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct UrgencyRank {
+pub struct RequestPriority {
     /// The tier of the account, or of the route where the account has none.
     pub account: TierRank,
     /// The tier of the route.
@@ -28,7 +28,7 @@
     /// The pool that may run it.
     pub pool: PoolName,
     /// How urgent it is.
-    pub rank: UrgencyRank,
+    pub priority: RequestPriority,
     /// When its first event must be there to meet its objective.
     pub objective_at: Duration,
     /// Whether its caller was rejected before and has come back.
@@ -53,7 +53,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// How urgent the request is.
-    pub rank: UrgencyRank,
+    pub priority: RequestPriority,
     /// How many tokens the table counts as unread there for this request.
     pub prompt_tokens: u64,
     /// How many tokens were to be read there before its own.
--- a/src/dispatch/pool_entry.rs
+++ b/src/dispatch/pool_entry.rs
@@ -7,8 +7,8 @@
 use super::PlacementRequest;
 use super::PoolGrants;
 use super::QueueTicket;
+use super::RequestPriority;
 use super::ShardRange;
-use super::UrgencyRank;
 use super::first_estimate::FirstEstimate;
 use super::output_estimate::OutputEstimate;
 use super::rate_track::RateTrack;
@@ -39,7 +39,7 @@
     /// How often it sends work there that can't be in time any more.
     pub(super) late_begins: RateTrack,
     /// How many requests of this host run there, by urgency.
-    pub(super) running: SortedMap<UrgencyRank, u32>,
+    pub(super) running: SortedMap<RequestPriority, u32>,
     /// The slots that this host may use, where they are divided.
     pub(super) granted: Option<GrantedSlots>,
 }
@@ -135,11 +135,11 @@
         let tokens_ahead = target.tokens_ahead();
         target.note_dispatch(prompt_tokens, host.now);
         self.begins.note(host.now);
-        *self.running.get_or_insert_with(request.rank, || 0) += 1;
+        *self.running.get_or_insert_with(request.priority, || 0) += 1;
         Some(PlacedTarget {
             name: TargetName::clone(&target.record.name),
             address: target.record.address,
-            rank: request.rank,
+            priority: request.priority,
             prompt_tokens,
             tokens_ahead,
             output_tokens: request.output_tokens,
--- a/src/dispatch/pool_feedback.rs
+++ b/src/dispatch/pool_feedback.rs
@@ -107,7 +107,7 @@
         now: Duration,
     ) {
         if let Some(pool) = self.pools.get_mut(pool)
-            && let Some(running) = pool.running.get_mut(&placed.rank)
+            && let Some(running) = pool.running.get_mut(&placed.priority)
         {
             *running = running.saturating_sub(1);
         }
--- a/src/dispatch/pool_table.rs
+++ b/src/dispatch/pool_table.rs
@@ -8,10 +8,10 @@
 use super::PlacementRequest;
 use super::PoolGrants;
 use super::QueueTicket;
+use super::RequestPriority;
 use super::ShardRange;
 use super::SlotDemand;
 use super::TargetLoad;
-use super::UrgencyRank;
 use super::limit_table::LimitTable;
 use super::peer_loads::PeerLoads;
 use super::pool_entry::GrantedSlots;
@@ -147,23 +147,23 @@
         let mut demands: Vec<SlotDemand> = Vec::new();
         for (name, pool) in self.pools.iter().filter(|(_, pool)| pool.engine) {
             let first = demands.len();
-            let mut add = |rank: Option<UrgencyRank>, slots: u32| {
+            let mut add = |priority: Option<RequestPriority>, slots: u32| {
                 let held = demands[first..].iter_mut();
-                let held = held.into_iter().find(|demand| demand.rank == rank);
+                let held = held.into_iter().find(|demand| demand.priority == priority);
                 match held {
                     Some(held) => held.slots += slots,
                     None => demands.push(SlotDemand {
                         pool: name.clone(),
-                        rank,
+                        priority,
                         slots,
                     }),
                 }
             };
-            for (rank, running) in pool.running.iter() {
-                add(Some(*rank), *running);
+            for (priority, running) in pool.running.iter() {
+                add(Some(*priority), *running);
             }
             for (_, request, late) in pool.queue.iter() {
-                add((!late).then_some(request.rank), 1);
+                add((!late).then_some(request.priority), 1);
             }
         }
         demands
@@ -268,12 +268,12 @@
         };
         let first = shortest_first(&pool.targets, request, pool.first);
         let due = request.objective_at.saturating_sub(first);
-        let ahead = pool.queue.ahead(request.rank, due, now);
+        let ahead = pool.queue.ahead(request.priority, due, now);
         let begins = pool.begins.per_second(now).max(LEAST_BEGIN_RATE);
         let wait = ahead as f64 / begins;
         // Late work starts only where nothing else does, whatever the rate of all.
         let late_ahead = match due < now {
-            true => pool.queue.late_ahead(request.rank, due),
+            true => pool.queue.late_ahead(request.priority, due),
             false => 0,
         };
         let late_begins = pool.late_begins.per_second(now).max(LEAST_LATE_RATE);
--- a/src/dispatch/request_queue.rs
+++ b/src/dispatch/request_queue.rs
@@ -4,7 +4,7 @@
 
 use super::PlacementRequest;
 use super::QueueTicket;
-use super::UrgencyRank;
+use super::RequestPriority;
 
 /// Where a request stands: those that can still meet their objective go first, by
 /// urgency and then by the time that they have left.
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct QueueOrder {
     late: bool,
-    rank: UrgencyRank,
+    priority: RequestPriority,
     due: Duration,
     number: QueueTicket,
 }
@@ -39,23 +39,23 @@
         self.entries.len()
     }
 
-    /// Returns how many stand before a request of this rank that must be dispatched
+    /// Returns how many stand before a request of this priority that must be dispatched
     /// by `due`.
-    pub(super) fn ahead(&self, rank: UrgencyRank, due: Duration, now: Duration) -> usize {
+    pub(super) fn ahead(&self, priority: RequestPriority, due: Duration, now: Duration) -> usize {
         let place = QueueOrder {
             late: due < now,
-            rank,
+            priority,
             due,
             number: QueueTicket::MAX,
         };
         self.entries.partition_point(|held| held.place < place)
     }
 
-    /// Returns how many late ones stand before a late request of this rank.
-    pub(super) fn late_ahead(&self, rank: UrgencyRank, due: Duration) -> usize {
+    /// Returns how many late ones stand before a late request of this priority.
+    pub(super) fn late_ahead(&self, priority: RequestPriority, due: Duration) -> usize {
         let place = QueueOrder {
             late: true,
-            rank,
+            priority,
             due,
             number: QueueTicket::MAX,
         };
@@ -73,7 +73,7 @@
     ) {
         let place = QueueOrder {
             late: due < now,
-            rank: request.rank,
+            priority: request.priority,
             due,
             number,
         };
--- a/src/dispatch/slot_shares.rs
+++ b/src/dispatch/slot_shares.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::UrgencyRank;
+use super::RequestPriority;
 use crate::ids::HostName;
 use crate::ids::PoolName;
 use crate::sorted::SortedMap;
@@ -26,7 +26,7 @@
     /// The pool.
     pub pool: PoolName,
     /// Their urgency; `None` for those that can't be in time any more, behind all others.
-    pub rank: Option<UrgencyRank>,
+    pub priority: Option<RequestPriority>,
     /// How many they want.
     pub slots: u32,
 }
@@ -79,18 +79,18 @@
         let mut share = 0.0;
         let mut late = 0.0;
         let reserve = f64::from(slots) * LATE_RESERVE;
-        for rank in ranks_of(demands()) {
+        for priority in ranks_of(demands()) {
             let hosts = self.hosts.values();
-            let all: f64 = hosts.map(|demand| demand.of(pool, rank)).sum();
-            let given = match rank {
+            let all: f64 = hosts.map(|demand| demand.of(pool, priority)).sum();
+            let given = match priority {
                 Some(_) => all.min(left),
                 None => all.min((left - reserve).max(0.0)),
             };
             // Nobody may want slots of an urgency any more that was reported before.
             let part = if all > 0.0 { given / all } else { 0.0 };
-            let granted = self.share_of_rank(host, pool, rank, part);
+            let granted = self.share_of_rank(host, pool, priority, part);
             share += granted;
-            if rank.is_none() {
+            if priority.is_none() {
                 late = granted;
             }
             left -= given;
@@ -105,11 +105,17 @@
 
     /// Returns the `part` of what a host wants for one urgency. Each host's slots end where
     /// the next one's start, so that rounding loses none.
-    fn share_of_rank(&self, host: &str, pool: &str, rank: Option<UrgencyRank>, part: f64) -> f64 {
+    fn share_of_rank(
+        &self,
+        host: &str,
+        pool: &str,
+        priority: Option<RequestPriority>,
+        part: f64,
+    ) -> f64 {
         let mut end = 0.0;
         for (name, demand) in self.hosts.iter() {
             let start: f64 = end;
-            end += demand.of(pool, rank) * part;
+            end += demand.of(pool, priority) * part;
             if name == host {
                 return end.round() - start.round();
             }
@@ -119,9 +125,9 @@
 }
 
 /// Returns all urgencies that want slots, the most urgent first.
-fn ranks_of<'d>(demands: impl Iterator<Item = &'d SlotDemand>) -> Vec<Option<UrgencyRank>> {
-    let mut ranks: Vec<Option<UrgencyRank>> = demands.map(|demand| demand.rank).collect();
-    ranks.sort_by_key(|rank| (rank.is_none(), *rank));
+fn ranks_of<'d>(demands: impl Iterator<Item = &'d SlotDemand>) -> Vec<Option<RequestPriority>> {
+    let mut ranks: Vec<Option<RequestPriority>> = demands.map(|demand| demand.priority).collect();
+    ranks.sort_by_key(|priority| (priority.is_none(), *priority));
     ranks.dedup();
     ranks
 }
@@ -132,9 +138,9 @@
         demands.filter(move |demand| demand.pool == pool)
     }
 
-    fn of(&self, pool: &str, rank: Option<UrgencyRank>) -> f64 {
+    fn of(&self, pool: &str, priority: Option<RequestPriority>) -> f64 {
         let mut demands = self.in_pool(pool);
-        let found = demands.find(|demand| demand.rank == rank);
+        let found = demands.find(|demand| demand.priority == priority);
         found.map_or(0.0, |demand| f64::from(demand.slots))
     }
 }
--- a/src/edge/caller_session.rs
+++ b/src/edge/caller_session.rs
@@ -96,7 +96,7 @@
                 arrived,
                 pool: Some(&routed.pool),
                 account: routed.account.as_ref().map(|account| &account.name),
-                tier: Some(routed.rank.account),
+                tier: Some(routed.priority.account),
                 cost: None,
             };
             refuse(state, caller, told).await
--- a/src/edge/quota_filter.rs
+++ b/src/edge/quota_filter.rs
@@ -35,7 +35,7 @@
     let cost = cost as f64;
     let request = QuotaRequest {
         lane: PriorityClass {
-            tier: routed.rank.route,
+            tier: routed.priority.route,
             metered: account.counts_tokens && routed.usage.is_some(),
         },
         cost,
--- a/src/edge/request_run.rs
+++ b/src/edge/request_run.rs
@@ -163,7 +163,7 @@
         let routed = self.routed;
         PlacementRequest {
             pool: routed.pool.clone(),
-            rank: routed.rank,
+            priority: routed.priority,
             objective_at: match self.progress.began {
                 true => boot_now() + RESUME_PATIENCE,
                 false => (routed.request.arrived + routed.objective).saturating_sub(routed.waited),
--- a/src/edge/route_filter.rs
+++ b/src/edge/route_filter.rs
@@ -11,7 +11,7 @@
 use crate::catalog::RouteCatalog;
 use crate::catalog::ServiceRoute;
 use crate::clock::boot_now;
-use crate::dispatch::UrgencyRank;
+use crate::dispatch::RequestPriority;
 use crate::errors::ErrorKind;
 use crate::errors::RequestOutcome;
 use crate::ids::PoolName;
@@ -64,7 +64,7 @@
     /// The account.
     pub(crate) account: Option<ClientAccount>,
     /// How urgent it is.
-    pub(crate) rank: UrgencyRank,
+    pub(crate) priority: RequestPriority,
     /// When its time is over, on the boot clock.
     pub(crate) deadline: Duration,
     /// What it uses, where it says so.
@@ -130,7 +130,7 @@
     let fingerprint = fingerprint_request(account_name, &request.message.target, &request.body);
     prepare_headers(state, &mut request, account_name);
     let account_tier = account.as_ref().and_then(|account| account.tier);
-    let rank = UrgencyRank {
+    let priority = RequestPriority {
         account: account_tier.unwrap_or(route.tier),
         route: route.tier,
     };
@@ -148,8 +148,8 @@
         pool: route.pool_for(rand::random()).clone(),
         series: state
             .requests
-            .series(rank.account, &route.name, account_name),
-        rank,
+            .series(priority.account, &route.name, account_name),
+        priority,
         account,
         deadline,
         usage,
--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -8,7 +8,7 @@
 use cardamomgw::dispatch::PlacementRequest;
 use cardamomgw::dispatch::PoolMember;
 use cardamomgw::dispatch::PoolTable;
-use cardamomgw::dispatch::UrgencyRank;
+use cardamomgw::dispatch::RequestPriority;
 use cardamomgw::view::TargetPhase;
 use cardamomgw::view::TargetRecord;
 use rand::RngExt;
@@ -80,7 +80,7 @@
 fn request(now: Duration) -> PlacementRequest {
     PlacementRequest {
         pool: POOL.into(),
-        rank: UrgencyRank {
+        priority: RequestPriority {
             account: 0,
             route: 0,
         },
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -7,8 +7,8 @@
 use cardamomgw::dispatch::PlacementRequest;
 use cardamomgw::dispatch::PoolMember;
 use cardamomgw::dispatch::PoolTable;
+use cardamomgw::dispatch::RequestPriority;
 use cardamomgw::dispatch::TargetLoad;
-use cardamomgw::dispatch::UrgencyRank;
 use cardamomgw::members::GroupShare;
 use cardamomgw::quota::UsageScope;
 use cardamomgw::view::TargetPhase;
@@ -54,7 +54,7 @@
 fn wish_of(tier: u8, prompt_tokens: u64, now: Duration) -> PlacementRequest {
     PlacementRequest {
         pool: POOL.into(),
-        rank: UrgencyRank {
+        priority: RequestPriority {
             account: 1,
             route: tier,
         },
--- a/tests/request_limits.rs
+++ b/tests/request_limits.rs
@@ -7,8 +7,8 @@
 use cardamomgw::dispatch::PlacementRequest;
 use cardamomgw::dispatch::PoolMember;
 use cardamomgw::dispatch::PoolTable;
+use cardamomgw::dispatch::RequestPriority;
 use cardamomgw::dispatch::TargetLimit;
-use cardamomgw::dispatch::UrgencyRank;
 use cardamomgw::view::TargetPhase;
 use cardamomgw::view::TargetRecord;
 use rand::RngExt;
@@ -62,7 +62,7 @@
 fn request(now: Duration) -> PlacementRequest {
     PlacementRequest {
         pool: POOL.into(),
-        rank: UrgencyRank {
+        priority: RequestPriority {
             account: 0,
             route: 0,
         },
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -11,11 +11,11 @@
 use cardamomgw::dispatch::PoolMember;
 use cardamomgw::dispatch::PoolTable;
 use cardamomgw::dispatch::QueueTicket;
+use cardamomgw::dispatch::RequestPriority;
 use cardamomgw::dispatch::SlotDemand;
 use cardamomgw::dispatch::SlotGrant;
 use cardamomgw::dispatch::SlotGrants;
 use cardamomgw::dispatch::SlotShares;
-use cardamomgw::dispatch::UrgencyRank;
 use cardamomgw::quota::UsageScope;
 use cardamomgw::view::TargetPhase;
 use cardamomgw::view::TargetRecord;
@@ -128,7 +128,7 @@
             self.asked[usize::from(tier)] += usize::from(now >= self.counted_from);
             let request = PlacementRequest {
                 pool: POOL.into(),
-                rank: UrgencyRank {
+                priority: RequestPriority {
                     account: 0,
                     route: tier,
                 },
@@ -269,7 +269,7 @@
 fn demand(tier: u8, slots: u32) -> SlotDemand {
     SlotDemand {
         pool: POOL.into(),
-        rank: Some(UrgencyRank {
+        priority: Some(RequestPriority {
             account: 0,
             route: tier,
         }),
@@ -303,7 +303,7 @@
     let mut shares = SlotShares::default();
     let late = SlotDemand {
         pool: POOL.into(),
-        rank: None,
+        priority: None,
         slots: 40,
     };
     shares.take("e1", vec![demand(0, 30), demand(2, 10)], now);
@@ -335,7 +335,7 @@
     table.set_targets(vec![engine(0)], now);
     let request = |returned: bool| PlacementRequest {
         pool: POOL.into(),
-        rank: UrgencyRank {
+        priority: RequestPriority {
             account: 0,
             route: 0,
         },
@@ -408,7 +408,7 @@
     table.set_targets(vec![engine(0)], now);
     let request = |objective_at: Duration| PlacementRequest {
         pool: POOL.into(),
-        rank: UrgencyRank {
+        priority: RequestPriority {
             account: 0,
             route: 0,
         },
