--- a/src/dispatch/cold_start.rs
+++ b/src/dispatch/cold_start.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::HostTurn;
+use super::HostPosition;
 use super::shared_rate::SharedRate;
 use crate::catalog::ColdLimit;
 
@@ -76,7 +76,7 @@
         &self,
         target: &str,
         limit: ColdLimit,
-        turn: HostTurn,
+        turn: HostPosition,
         now: Duration,
     ) -> bool {
         let rate = SharedRate {
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -37,7 +37,7 @@
 pub use pool_table::PoolMember;
 pub use pool_table::PoolTable;
 pub use shard_range::ShardRange;
-pub use shared_rate::HostTurn;
+pub use shared_rate::HostPosition;
 pub use slot_grants::GrantTarget;
 pub use slot_grants::PoolGrants;
 pub use slot_grants::SlotGrant;
--- a/src/dispatch/pool_entry.rs
+++ b/src/dispatch/pool_entry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::HostTurn;
+use super::HostPosition;
 use super::PlacedTarget;
 use super::PlacementRequest;
 use super::PoolGrants;
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HostView<'h> {
     pub(super) own_zone: &'h ZoneName,
-    pub(super) turn: Option<HostTurn>,
+    pub(super) turn: Option<HostPosition>,
     pub(super) now: Duration,
 }
 
--- a/src/dispatch/pool_table.rs
+++ b/src/dispatch/pool_table.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::GrantTarget;
-use super::HostTurn;
+use super::HostPosition;
 use super::PlacedTarget;
 use super::PlacementRequest;
 use super::PoolGrants;
@@ -62,7 +62,7 @@
     pub(super) pools: SortedMap<PoolName, PoolEntry>,
     peer_loads: PeerLoads,
     pub(super) limits: LimitTable,
-    turn: Option<HostTurn>,
+    turn: Option<HostPosition>,
 }
 
 impl PoolTable {
@@ -120,7 +120,7 @@
 
     /// Takes this host's place among all, by which it may send to rate-limited targets; `None`
     /// while it is unknown.
-    pub fn set_turn(&mut self, turn: Option<HostTurn>) {
+    pub fn set_host_position(&mut self, turn: Option<HostPosition>) {
         self.turn = turn;
     }
 
--- a/src/dispatch/request_limit.rs
+++ b/src/dispatch/request_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::HostTurn;
+use super::HostPosition;
 use super::shared_rate::SharedRate;
 
 /// The part of the limit that is used: hosts learn of it at different times.
@@ -36,7 +36,7 @@
     }
 
     /// Tells whether this host may send now.
-    pub(super) fn has_turn(&self, target: &str, turn: HostTurn, now: Duration) -> bool {
+    pub(super) fn has_turn(&self, target: &str, turn: HostPosition, now: Duration) -> bool {
         self.rate.is_open(target, turn, self.used_at, now)
     }
 
--- a/src/dispatch/shared_rate.rs
+++ b/src/dispatch/shared_rate.rs
@@ -7,7 +7,7 @@
 /// A host's place among all that may send to a target, dead ones included: they may
 /// still serve callers across a partition.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HostTurn {
+pub struct HostPosition {
     /// How many hosts come before it.
     pub index: usize,
     /// How many there are.
@@ -32,7 +32,7 @@
     pub(super) fn is_open(
         &self,
         target: &str,
-        turn: HostTurn,
+        turn: HostPosition,
         used: Option<Duration>,
         now: Duration,
     ) -> bool {
--- a/src/dispatch/target_choice.rs
+++ b/src/dispatch/target_choice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::HostTurn;
+use super::HostPosition;
 use super::PlacementRequest;
 use super::SlotGrant;
 use super::first_estimate::FirstEstimate;
@@ -49,7 +49,7 @@
     /// The slots that the host may use, where hosts have slots of their own.
     pub(super) grants: Option<&'a [SlotGrant]>,
     /// The host's turn at targets that hosts use by turns.
-    pub(super) turn: Option<HostTurn>,
+    pub(super) turn: Option<HostPosition>,
     /// The time.
     pub(super) now: Duration,
 }
--- a/src/dispatch/target_runtime.rs
+++ b/src/dispatch/target_runtime.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::AttemptOutcome;
-use super::HostTurn;
+use super::HostPosition;
 use super::PoolMember;
 use super::SlotGrant;
 use super::cold_start::ColdStart;
@@ -134,11 +134,11 @@
 
     /// Tells whether this host may send to it now, as far as hosts use it by turns. A host
     /// that doesn't know its turn sends to no such target.
-    pub(super) fn has_turn(&self, turn: Option<HostTurn>, now: Duration) -> bool {
+    pub(super) fn has_turn(&self, turn: Option<HostPosition>, now: Duration) -> bool {
         self.has_cold_turn(turn, now) && self.has_limit_turn(turn, now)
     }
 
-    fn has_cold_turn(&self, turn: Option<HostTurn>, now: Duration) -> bool {
+    fn has_cold_turn(&self, turn: Option<HostPosition>, now: Duration) -> bool {
         let (true, Some(cold_start), Some(limit)) =
             (self.is_cold(now), self.cold_start, self.cold_limit)
         else {
@@ -147,7 +147,7 @@
         turn.is_some_and(|turn| cold_start.has_turn(&self.record.name, limit, turn, now))
     }
 
-    fn has_limit_turn(&self, turn: Option<HostTurn>, now: Duration) -> bool {
+    fn has_limit_turn(&self, turn: Option<HostPosition>, now: Duration) -> bool {
         let Some(limit) = self.limit else {
             return true;
         };
--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -118,12 +118,12 @@
         let unseen = seen - 1 - members.seen_count(now).min(seen - 1);
         let unseen_part = unseen as f64 / (seen - 1).max(1) as f64;
         quotas.note_sightings(|host| members.unseen_for(host, now), unseen_part, now);
-        let turn = (!role.is_joining).then(|| members.own_turn());
+        let turn = (!role.is_joining).then(|| members.own_position());
         drop(members);
         drop(quotas);
         let mut table = self.queue.lock_table();
         table.set_share(role.layout.own_share());
-        table.set_turn(turn);
+        table.set_host_position(turn);
         role
     }
 
--- a/src/members/member_table.rs
+++ b/src/members/member_table.rs
@@ -8,7 +8,7 @@
 use super::HostSighting;
 use super::MemberNote;
 use super::hash_host;
-use crate::dispatch::HostTurn;
+use crate::dispatch::HostPosition;
 use crate::ids::HostName;
 use crate::ids::IncarnationId;
 use crate::ids::ZoneName;
@@ -250,9 +250,9 @@
     }
 
     /// Returns this host's place among all that there may be, in the order of their names.
-    pub fn own_turn(&self) -> HostTurn {
+    pub fn own_position(&self) -> HostPosition {
         let others = self.rows.iter();
-        HostTurn {
+        HostPosition {
             index: others.filter(|(host, _)| **host < self.own).count(),
             hosts: self.size(),
         }
--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -4,7 +4,7 @@
 
 use cardamomgw::catalog::ColdLimit;
 use cardamomgw::dispatch::AttemptOutcome;
-use cardamomgw::dispatch::HostTurn;
+use cardamomgw::dispatch::HostPosition;
 use cardamomgw::dispatch::PlacementRequest;
 use cardamomgw::dispatch::PoolMember;
 use cardamomgw::dispatch::PoolTable;
@@ -101,7 +101,7 @@
         let table = |index| {
             let mut table = PoolTable::new("za".into());
             let hosts = HOSTS;
-            table.set_turn(Some(HostTurn { index, hosts }));
+            table.set_host_position(Some(HostPosition { index, hosts }));
             table
         };
         Self {
--- a/tests/request_limits.rs
+++ b/tests/request_limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cardamomgw::dispatch::AttemptOutcome;
-use cardamomgw::dispatch::HostTurn;
+use cardamomgw::dispatch::HostPosition;
 use cardamomgw::dispatch::PlacementRequest;
 use cardamomgw::dispatch::PoolMember;
 use cardamomgw::dispatch::PoolTable;
@@ -80,7 +80,7 @@
     fn new(hosts: usize) -> Self {
         let table = |index| {
             let mut table = PoolTable::new("za".into());
-            table.set_turn(Some(HostTurn { index, hosts }));
+            table.set_host_position(Some(HostPosition { index, hosts }));
             table.set_targets(vec![member()], start());
             table
         };
