--- a/src/dispatch/placement_request.rs
+++ b/src/dispatch/placement_request.rs
@@ -32,7 +32,7 @@
     /// When its first event must be there to meet its objective.
     pub objective_at: Duration,
     /// Whether its caller was rejected before and has come back.
-    pub returned: bool,
+    pub is_retry: bool,
     /// How many tokens must be read before its first event.
     pub prompt_tokens: u64,
     /// How many tokens its caller expects, where it says so.
--- a/src/dispatch/pool_table.rs
+++ b/src/dispatch/pool_table.rs
@@ -301,7 +301,7 @@
             return false;
         };
         let is_late = pool.is_late(request, now);
-        pool.engine && is_late && !request.returned && pool.grants(now).is_some()
+        pool.engine && is_late && !request.is_retry && pool.grants(now).is_some()
     }
 
     /// Takes those that wait without hope out of the queues; see [`PoolTable::is_hopeless`].
@@ -311,7 +311,7 @@
         for (_, pool) in divided.filter(|(_, pool)| pool.engine && pool.grants(now).is_some()) {
             pool.queue.sort_late(now);
             let late = pool.queue.iter().filter(|(_, _, late)| *late);
-            let hopeless = late.filter(|(_, request, _)| !request.returned);
+            let hopeless = late.filter(|(_, request, _)| !request.is_retry);
             let tickets: Vec<QueueTicket> = hopeless.map(|(ticket, _, _)| ticket).collect();
             for ticket in &tickets {
                 pool.queue.remove(*ticket);
--- a/src/edge/request_run.rs
+++ b/src/edge/request_run.rs
@@ -169,7 +169,7 @@
                 false => (routed.request.arrived + routed.objective).saturating_sub(routed.waited),
             },
             // Nobody comes back for the rest of a stream.
-            returned: !routed.waited.is_zero() || self.progress.began,
+            is_retry: !routed.waited.is_zero() || self.progress.began,
             prompt_tokens: routed.usage.map_or(0, |usage| usage.prompt),
             output_tokens: routed.usage.and_then(|usage| usage.expected_output),
             pause_objective: routed.pause_objective,
--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -85,7 +85,7 @@
             route: 0,
         },
         objective_at: now + Duration::from_millis(400),
-        returned: false,
+        is_retry: false,
         prompt_tokens: 600,
         output_tokens: None,
         pause_objective: None,
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -59,7 +59,7 @@
             route: tier,
         },
         objective_at: now + millis(400),
-        returned: false,
+        is_retry: false,
         prompt_tokens,
         output_tokens: None,
         pause_objective: None,
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -133,7 +133,7 @@
                     route: tier,
                 },
                 objective_at: now + OBJECTIVE,
-                returned: false,
+                is_retry: false,
                 prompt_tokens: 0,
                 output_tokens: None,
                 pause_objective: None,
@@ -333,14 +333,14 @@
     let now = Duration::from_secs(100);
     let mut table = PoolTable::new("za".into());
     table.set_targets(vec![engine(0)], now);
-    let request = |returned: bool| PlacementRequest {
+    let request = |is_retry: bool| PlacementRequest {
         pool: POOL.into(),
         priority: RequestPriority {
             account: 0,
             route: 0,
         },
         objective_at: now + OBJECTIVE,
-        returned,
+        is_retry,
         prompt_tokens: 0,
         output_tokens: None,
         pause_objective: None,
@@ -413,7 +413,7 @@
             route: 0,
         },
         objective_at,
-        returned: true,
+        is_retry: true,
         prompt_tokens: 0,
         output_tokens: None,
         pause_objective: None,
