--- a/src/dispatch/dispatch_queue.rs
+++ b/src/dispatch/dispatch_queue.rs
@@ -83,7 +83,7 @@
                 return WaitOutcome::Placed(self.guard(pool, placed));
             }
             let hopeless =
-                table.is_hopeless(&request, now) || table.expected_wait(&request, now) > patience;
+                table.should_shed(&request, now) || table.expected_wait(&request, now) > patience;
             if hopeless || table.waiting(&pool) >= MAX_WAITING {
                 return WaitOutcome::Overloaded;
             }
@@ -115,7 +115,7 @@
         let now = boot_now();
         let mut table = self.lock_table();
         let assigned = table.assign(now, rand::random);
-        let dropped = table.drop_hopeless(now);
+        let dropped = table.shed_late(now);
         drop(table);
         for ticket in dropped {
             // Without its sender the request's wait ends.
--- a/src/dispatch/pool_table.rs
+++ b/src/dispatch/pool_table.rs
@@ -296,7 +296,7 @@
     /// Load it answers: a burst beyond what the engines can start. Callers that are told at
     /// once can come back behind it, and are served late then. One that has come back waits:
     /// it would not come again.
-    pub fn is_hopeless(&self, request: &PlacementRequest, now: Duration) -> bool {
+    pub fn should_shed(&self, request: &PlacementRequest, now: Duration) -> bool {
         let Some(pool) = self.pools.get(&request.pool) else {
             return false;
         };
@@ -304,8 +304,8 @@
         pool.engine && is_late && !request.is_retry && pool.grants(now).is_some()
     }
 
-    /// Takes those that wait without hope out of the queues; see [`PoolTable::is_hopeless`].
-    pub fn drop_hopeless(&mut self, now: Duration) -> Vec<QueueTicket> {
+    /// Takes those that wait without hope out of the queues; see [`PoolTable::should_shed`].
+    pub fn shed_late(&mut self, now: Duration) -> Vec<QueueTicket> {
         let mut dropped = Vec::new();
         let divided = self.pools.iter_mut();
         for (_, pool) in divided.filter(|(_, pool)| pool.engine && pool.grants(now).is_some()) {
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -351,7 +351,7 @@
     table.wait(2, request(true), now);
     let late = now + OBJECTIVE;
 
-    let undivided = table.drop_hopeless(late);
+    let undivided = table.shed_late(late);
     let nothing = PoolGrants {
         pool: POOL.into(),
         slots: 0,
@@ -359,11 +359,11 @@
         grants: Vec::new(),
     };
     table.set_grants(vec![nothing], late);
-    let divided = table.drop_hopeless(late);
+    let divided = table.shed_late(late);
 
     assert!(undivided.is_empty());
     assert_eq!(divided, [1], "one that has come back would not come again");
-    assert!(table.is_hopeless(&request(false), late));
+    assert!(table.should_shed(&request(false), late));
     assert_eq!(table.waiting(POOL), 1);
 }
 
