--- a/src/dispatch/peer_loads.rs
+++ b/src/dispatch/peer_loads.rs
@@ -23,14 +23,14 @@
     /// Requests that the host has there.
     pub running: u32,
     /// Tokens of their prompts that are still to be read.
-    pub unread_tokens: u64,
+    pub pending_prefill_tokens: u64,
 }
 
 /// The sums over all other hosts at one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LoadSum {
     pub(super) running: u32,
-    pub(super) unread_tokens: u64,
+    pub(super) pending_prefill_tokens: u64,
 }
 
 #[derive(Debug)]
@@ -100,7 +100,7 @@
         let load = loads.find(|load| load.target == target);
         load.map_or_else(LoadSum::default, |load| LoadSum {
             running: load.running,
-            unread_tokens: load.unread_tokens,
+            pending_prefill_tokens: load.pending_prefill_tokens,
         })
     }
 
@@ -135,8 +135,10 @@
                 continue;
             };
             sum.running = sum.running.saturating_sub(load.running);
-            sum.unread_tokens = sum.unread_tokens.saturating_sub(load.unread_tokens);
-            if sum.running == 0 && sum.unread_tokens == 0 {
+            sum.pending_prefill_tokens = sum
+                .pending_prefill_tokens
+                .saturating_sub(load.pending_prefill_tokens);
+            if sum.running == 0 && sum.pending_prefill_tokens == 0 {
                 self.sums.remove(&load.target);
             }
         }
@@ -148,7 +150,7 @@
         match loads.iter_mut().find(|held| held.target == load.target) {
             Some(held) => {
                 held.running += load.running;
-                held.unread_tokens += load.unread_tokens;
+                held.pending_prefill_tokens += load.pending_prefill_tokens;
             }
             None => loads.push(load.clone()),
         }
@@ -158,12 +160,12 @@
 fn add(sums: &mut SortedMap<TargetName, LoadSum>, load: &TargetLoad) {
     if let Some(sum) = sums.get_mut(&load.target) {
         sum.running += load.running;
-        sum.unread_tokens += load.unread_tokens;
+        sum.pending_prefill_tokens += load.pending_prefill_tokens;
         return;
     }
     let sum = LoadSum {
         running: load.running,
-        unread_tokens: load.unread_tokens,
+        pending_prefill_tokens: load.pending_prefill_tokens,
     };
     sums.insert(load.target.clone(), sum);
 }
--- a/src/dispatch/pool_table.rs
+++ b/src/dispatch/pool_table.rs
@@ -404,7 +404,7 @@
             .map(|target| TargetLoad {
                 target: target.record.name.clone(),
                 running: target.own,
-                unread_tokens: target.unread_tokens,
+                pending_prefill_tokens: target.pending_prefill_tokens,
             })
             .collect()
     }
@@ -424,11 +424,11 @@
         let loads = targets.filter(|target| target.in_shard).map(|target| {
             let theirs = self.peer_loads.load_of(receiver, &target.record.name);
             let running = target.own + target.peers.running;
-            let unread = target.unread_tokens + target.peers.unread_tokens;
+            let unread = target.pending_prefill_tokens + target.peers.pending_prefill_tokens;
             TargetLoad {
                 target: target.record.name.clone(),
                 running: running.saturating_sub(theirs.running),
-                unread_tokens: unread.saturating_sub(theirs.unread_tokens),
+                pending_prefill_tokens: unread.saturating_sub(theirs.pending_prefill_tokens),
             }
         });
         loads.filter(|load| load.running > 0).collect()
--- a/src/dispatch/target_runtime.rs
+++ b/src/dispatch/target_runtime.rs
@@ -36,7 +36,7 @@
     /// What other hosts have there, as they last told.
     pub(super) peers: LoadSum,
     /// Tokens of this host's prompts there that are still to be read.
-    pub(super) unread_tokens: u64,
+    pub(super) pending_prefill_tokens: u64,
     pub(super) pace: PaceTrack,
     /// Whether this host uses it first.
     pub(super) in_shard: bool,
@@ -66,7 +66,7 @@
             record,
             own: 0,
             peers: LoadSum::default(),
-            unread_tokens: 0,
+            pending_prefill_tokens: 0,
             pace: PaceTrack::default(),
             in_shard: true,
             failures: 0.0,
@@ -186,7 +186,7 @@
 
     /// Returns how many tokens are read there before those of a new prompt.
     pub(super) fn tokens_ahead(&self) -> u64 {
-        self.unread_tokens + self.peers.unread_tokens
+        self.pending_prefill_tokens + self.peers.pending_prefill_tokens
     }
 
     /// Returns how many times as slow it is as a target with this pause.
@@ -211,7 +211,7 @@
             limit.note_dispatch(now);
         }
         self.own += 1;
-        self.unread_tokens += prompt_tokens;
+        self.pending_prefill_tokens += prompt_tokens;
         self.silent_since.get_or_insert(now);
     }
 
@@ -225,7 +225,7 @@
 
     /// Notes that a prompt was read: its first event came, or it ended before.
     pub(super) fn note_prompt_read(&mut self, prompt_tokens: u64) {
-        self.unread_tokens = self.unread_tokens.saturating_sub(prompt_tokens);
+        self.pending_prefill_tokens = self.pending_prefill_tokens.saturating_sub(prompt_tokens);
     }
 
     /// Notes that work there ended.
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -243,7 +243,7 @@
     let load = TargetLoad {
         target: "t1".into(),
         running: 12,
-        unread_tokens: 0,
+        pending_prefill_tokens: 0,
     };
     board.take_peer_loads("e2".into(), vec![load], UsageScope::Host, now);
 
