--- a/src/dispatch/cold_start.rs
+++ b/src/dispatch/cold_start.rs
@@ -88,7 +88,7 @@
     }
 
     /// Notes that this host sends there.
-    pub(super) const fn note_dispatch(&mut self, now: Duration) {
+    pub(super) const fn record_dispatch(&mut self, now: Duration) {
         self.used_at = Some(now);
     }
 }
--- a/src/dispatch/pace_track.rs
+++ b/src/dispatch/pace_track.rs
@@ -14,7 +14,7 @@
 
 impl PaceTrack {
     /// Notes the pause between two events of one stream.
-    pub(super) fn note_pause(&mut self, pause: Duration) {
+    pub(super) fn record_event_gap(&mut self, pause: Duration) {
         mix(&mut self.pause_ms, pause);
     }
 
--- a/src/dispatch/pool_entry.rs
+++ b/src/dispatch/pool_entry.rs
@@ -133,7 +133,7 @@
         let target = &mut self.targets[index];
         let prompt_tokens = request.prompt_tokens;
         let tokens_ahead = target.tokens_ahead();
-        target.note_dispatch(prompt_tokens, host.now);
+        target.record_dispatch(prompt_tokens, host.now);
         self.begins.note(host.now);
         *self.running.get_or_insert_with(request.priority, || 0) += 1;
         Some(PlacedTarget {
--- a/src/dispatch/pool_feedback.rs
+++ b/src/dispatch/pool_feedback.rs
@@ -11,15 +11,15 @@
 
 impl PoolTable {
     /// Notes that a target sent something for a request.
-    pub fn note_heard(&mut self, pool: &str, target: &str, now: Duration) {
+    pub fn record_activity(&mut self, pool: &str, target: &str, now: Duration) {
         if let Some(target) = self.find(pool, target) {
-            target.note_heard(now);
+            target.record_activity(now);
         }
     }
 
     /// Notes how many requests per second a target takes, as an answer says to a request that
     /// was sent at `sent`; returns whether that changes the limit.
-    pub fn note_limit(
+    pub fn record_limit(
         &mut self,
         target: &TargetName,
         per_second: Option<f64>,
@@ -63,7 +63,7 @@
     }
 
     /// Notes the first byte of an answer, `waited` after its dispatch.
-    pub fn note_first(&mut self, pool: &str, placed: &PlacedTarget, waited: Duration) {
+    pub fn record_first_event(&mut self, pool: &str, placed: &PlacedTarget, waited: Duration) {
         let Some(pool) = self.pools.get_mut(pool) else {
             return;
         };
@@ -78,7 +78,7 @@
     }
 
     /// Notes a whole stream, whose events came within `lasted`.
-    pub fn note_stream(&mut self, pool: &str, placed: &PlacedTarget, lasted: Duration) {
+    pub fn record_stream_duration(&mut self, pool: &str, placed: &PlacedTarget, lasted: Duration) {
         let Some(pool) = self.pools.get_mut(pool) else {
             return;
         };
@@ -91,15 +91,15 @@
     }
 
     /// Notes the pause between two events of a stream.
-    pub fn note_pause(&mut self, pool: &str, target: &str, pause: Duration, now: Duration) {
+    pub fn record_event_gap(&mut self, pool: &str, target: &str, pause: Duration, now: Duration) {
         if let Some(target) = self.find(pool, target) {
-            target.pace.note_pause(pause);
-            target.note_heard(now);
+            target.pace.record_event_gap(pause);
+            target.record_activity(now);
         }
     }
 
     /// Notes the end of a request at a target.
-    pub fn note_end(
+    pub fn record_outcome(
         &mut self,
         pool: &str,
         placed: &PlacedTarget,
@@ -113,7 +113,7 @@
         }
         if let Some(target) = self.find(pool, &placed.name) {
             target.note_prompt_read(placed.prompt_tokens);
-            target.note_end(end, now);
+            target.record_outcome(end, now);
         }
     }
 
--- a/src/dispatch/request_limit.rs
+++ b/src/dispatch/request_limit.rs
@@ -41,7 +41,7 @@
     }
 
     /// Notes a send of this host.
-    pub(super) const fn note_dispatch(&mut self, now: Duration) {
+    pub(super) const fn record_dispatch(&mut self, now: Duration) {
         self.used_at = Some(now);
     }
 }
--- a/src/dispatch/slot_guard.rs
+++ b/src/dispatch/slot_guard.rs
@@ -41,19 +41,19 @@
     }
 
     /// Notes that an event of the answer came.
-    pub(crate) fn note_event(&mut self) {
+    pub(crate) fn record_event(&mut self) {
         let now = boot_now();
         let mut table = self.queue.lock_table();
         match self.last_event {
             None => {
-                table.note_heard(&self.pool, &self.placed.name, now);
+                table.record_activity(&self.pool, &self.placed.name, now);
                 let waited = now.saturating_sub(self.began);
-                table.note_first(&self.pool, &self.placed, waited);
+                table.record_first_event(&self.pool, &self.placed, waited);
                 self.placed.prompt_tokens = 0;
             }
             Some(last) => {
                 let pause = now.saturating_sub(last);
-                table.note_pause(&self.pool, &self.placed.name, pause, now);
+                table.record_event_gap(&self.pool, &self.placed.name, pause, now);
             }
         }
         self.first_event.get_or_insert(now);
@@ -62,9 +62,9 @@
 
     /// Notes how many requests per second the target takes, as its answer says; returns
     /// whether that changes its limit.
-    pub(crate) fn note_limit(&self, per_second: Option<f64>) -> bool {
+    pub(crate) fn record_limit(&self, per_second: Option<f64>) -> bool {
         let mut table = self.queue.lock_table();
-        table.note_limit(&self.placed.name, per_second, self.began, boot_now())
+        table.record_limit(&self.placed.name, per_second, self.began, boot_now())
     }
 
     /// Frees the slot and notes how the request ended there.
@@ -79,9 +79,9 @@
         let mut table = self.queue.lock_table();
         if let (AttemptOutcome::Succeeded, Some(first)) = (self.end, self.first_event) {
             let lasted = now.saturating_sub(first);
-            table.note_stream(&self.pool, &self.placed, lasted);
+            table.record_stream_duration(&self.pool, &self.placed, lasted);
         }
-        table.note_end(&self.pool, &self.placed, self.end, now);
+        table.record_outcome(&self.pool, &self.placed, self.end, now);
         drop(table);
         self.queue.assign_waiting();
     }
--- a/src/dispatch/target_runtime.rs
+++ b/src/dispatch/target_runtime.rs
@@ -203,12 +203,12 @@
     }
 
     /// Notes that work is sent there.
-    pub(super) fn note_dispatch(&mut self, prompt_tokens: u64, now: Duration) {
+    pub(super) fn record_dispatch(&mut self, prompt_tokens: u64, now: Duration) {
         if let Some(cold_start) = &mut self.cold_start {
-            cold_start.note_dispatch(now);
+            cold_start.record_dispatch(now);
         }
         if let Some(limit) = &mut self.limit {
-            limit.note_dispatch(now);
+            limit.record_dispatch(now);
         }
         self.own += 1;
         self.pending_prefill_tokens += prompt_tokens;
@@ -216,7 +216,7 @@
     }
 
     /// Notes that the target sent something.
-    pub(super) fn note_heard(&mut self, now: Duration) {
+    pub(super) fn record_activity(&mut self, now: Duration) {
         self.silent_since = Some(now);
         if let Some(cold_start) = &mut self.cold_start {
             cold_start.note_answer(now);
@@ -229,7 +229,7 @@
     }
 
     /// Notes that work there ended.
-    pub(super) fn note_end(&mut self, end: AttemptOutcome, now: Duration) {
+    pub(super) fn record_outcome(&mut self, end: AttemptOutcome, now: Duration) {
         self.own = self.own.saturating_sub(1);
         if self.own == 0 {
             self.silent_since = None;
--- a/src/edge/answer_relay.rs
+++ b/src/edge/answer_relay.rs
@@ -157,7 +157,7 @@
             if events.is_empty() && !whole {
                 continue;
             }
-            slot.note_event();
+            slot.record_event();
             let output = self.frame(request, &call.head, caller.reusable, &events, whole);
             let written = timeout(
                 bounds.deadline.saturating_sub(boot_now()),
--- a/src/edge/target_send.rs
+++ b/src/edge/target_send.rs
@@ -108,9 +108,9 @@
             ));
         }
         if let Ok(call) = &called {
-            self.note_limit(&call.head, slot);
+            self.record_limit(&call.head, slot);
             if !routed.kind.is_stream() {
-                slot.note_event();
+                slot.record_event();
             }
         }
         called
@@ -118,12 +118,12 @@
 
     /// Notes the limit that an answer names. Only a success without one says that there is
     /// none: a failure may come from something before the target's own code.
-    fn note_limit(&self, head: &AnswerMessage, slot: &SlotGuard) {
+    fn record_limit(&self, head: &AnswerMessage, slot: &SlotGuard) {
         let named = head.headers.text(&self.state.dialect.request_limit);
         let per_second = named.and_then(|text| text.trim().parse().ok());
         let per_second = per_second.filter(|limit: &f64| limit.is_finite() && *limit >= 0.0);
         let says_none = named.is_none() && (200..300).contains(&head.status);
-        if (per_second.is_some() || says_none) && slot.note_limit(per_second) {
+        if (per_second.is_some() || says_none) && slot.record_limit(per_second) {
             self.state.log.write(&DecisionLine::TargetLimited {
                 target: slot.target().name.clone(),
                 per_second,
@@ -188,7 +188,7 @@
             }
         };
         let body = unless_caller_leaves(self.caller, self.routed.kind, collected).await?;
-        slot.note_event();
+        slot.record_event();
         Ok((call, body))
     }
 
--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -137,8 +137,8 @@
                 }
             }
             for (_, host, placed) in running.extract_if(.., |(end, _, _)| *end <= now) {
-                self.tables[host].note_heard(POOL, &placed.name, now);
-                self.tables[host].note_end(POOL, &placed, AttemptOutcome::Succeeded, now);
+                self.tables[host].record_activity(POOL, &placed.name, now);
+                self.tables[host].record_outcome(POOL, &placed, AttemptOutcome::Succeeded, now);
             }
             now += STEP;
         }
@@ -207,7 +207,7 @@
         for _ in 0..TARGETS {
             let placed = table.place(&request(start()), start(), 0.1);
             let placed = placed.expect("nothing runs there");
-            table.note_end(POOL, &placed, AttemptOutcome::Unreachable, start());
+            table.record_outcome(POOL, &placed, AttemptOutcome::Unreachable, start());
         }
     }
     let back = start() + Duration::from_secs(3);
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -77,7 +77,7 @@
 /// Shows the board that a target sends an event each `pause` milliseconds.
 fn show_pause(board: &mut PoolTable, target: &str, pause: u64, now: Duration) {
     for _ in 0..30 {
-        board.note_pause(POOL, target, millis(pause), now);
+        board.record_event_gap(POOL, target, millis(pause), now);
     }
 }
 
@@ -92,9 +92,9 @@
     board.wait(2, wish_of(0, 0, now), now);
     board.wait(3, wish_of(0, 0, now - millis(500)), now);
 
-    board.note_end(POOL, &running[0], AttemptOutcome::Succeeded, now);
+    board.record_outcome(POOL, &running[0], AttemptOutcome::Succeeded, now);
     let first = board.assign(now, || 0.5);
-    board.note_end(POOL, &running[1], AttemptOutcome::Succeeded, now);
+    board.record_outcome(POOL, &running[1], AttemptOutcome::Succeeded, now);
     let second = board.assign(now, || 0.5);
 
     assert_eq!(
@@ -118,7 +118,7 @@
     let later = now + millis(600);
     board.wait(2, wish_of(2, 0, later), later);
 
-    board.note_end(POOL, &running[0], AttemptOutcome::Succeeded, later);
+    board.record_outcome(POOL, &running[0], AttemptOutcome::Succeeded, later);
     let assigned = board.assign(later, || 0.5);
 
     assert_eq!(assigned[0].0, 2);
@@ -139,7 +139,7 @@
     }
 
     for placed in &running[..8] {
-        board.note_end(POOL, placed, AttemptOutcome::Succeeded, now);
+        board.record_outcome(POOL, placed, AttemptOutcome::Succeeded, now);
     }
     let assigned = board.assign(now, || 0.5);
 
@@ -159,7 +159,7 @@
         let spread = f64::from(index) / 10.0;
         let placed = board.place(&wish_of(0, 20_000, now), now, spread).unwrap();
         assert_eq!(placed.name, "fast");
-        board.note_end(POOL, &placed, AttemptOutcome::Succeeded, now);
+        board.record_outcome(POOL, &placed, AttemptOutcome::Succeeded, now);
     }
 }
 
@@ -192,7 +192,7 @@
         board.place(&wish_of(0, 0, now), now, 0.0);
     }
     let later = now + millis(900);
-    board.note_heard(POOL, "live", later);
+    board.record_activity(POOL, "live", later);
 
     let chosen: Vec<PlacedTarget> = (0..8)
         .filter_map(|index| board.place(&wish_of(0, 0, later), later, f64::from(index) / 8.0))
@@ -208,7 +208,7 @@
     let now = start();
     let mut board = board_of(vec![engine("t1", 4)]);
     let placed = board.place(&wish_of(0, 0, now), now, 0.5).unwrap();
-    board.note_end(POOL, &placed, AttemptOutcome::Unreachable, now);
+    board.record_outcome(POOL, &placed, AttemptOutcome::Unreachable, now);
 
     let again = board.place(&wish_of(0, 0, now), now, 0.5);
 
@@ -330,7 +330,7 @@
     let mut stream = placed.clone();
     stream.output_tokens = Some(100);
     for _ in 0..30 {
-        board.note_stream(POOL, &stream, millis(100 * millis_a_token));
+        board.record_stream_duration(POOL, &stream, millis(100 * millis_a_token));
     }
 }
 
@@ -374,7 +374,7 @@
     let names: Vec<String> = (0..12)
         .filter_map(|index| {
             let placed = board.place(&wish, now, f64::from(index) / 12.0)?;
-            board.note_first(POOL, &placed, millis(180));
+            board.record_first_event(POOL, &placed, millis(180));
             Some(placed.name)
         })
         .collect();
--- a/tests/request_limits.rs
+++ b/tests/request_limits.rs
@@ -117,7 +117,7 @@
                 }
             }
             for (_, host, placed) in running.extract_if(.., |(end, _, _)| *end <= now) {
-                self.tables[host].note_end(POOL, &placed, AttemptOutcome::Succeeded, now);
+                self.tables[host].record_outcome(POOL, &placed, AttemptOutcome::Succeeded, now);
             }
             now += STEP;
         }
@@ -187,9 +187,9 @@
     let table = &mut world.tables[0];
     let second = |seconds| start() + Duration::from_secs(seconds);
 
-    let named = table.note_limit(&name(), Some(2.0), second(1), second(2));
-    let older = table.note_limit(&name(), None, second(1), second(3));
-    let ended = table.note_limit(&name(), None, second(4), second(5));
+    let named = table.record_limit(&name(), Some(2.0), second(1), second(2));
+    let older = table.record_limit(&name(), None, second(1), second(3));
+    let ended = table.record_limit(&name(), None, second(4), second(5));
 
     assert!(named && ended);
     assert!(!older, "it was sent before the limit was named");
@@ -206,11 +206,11 @@
         unreachable!("there are two");
     };
 
-    first.note_limit(&name(), Some(2.0), second(1), second(2));
+    first.record_limit(&name(), Some(2.0), second(1), second(2));
     let named = first.changed_limits(false, second(0), second(2));
     let taken = other.take_limits(named.clone(), second(2));
     let again = other.take_limits(named, second(3));
-    first.note_limit(&name(), None, second(3), second(4));
+    first.record_limit(&name(), None, second(3), second(4));
     let ended = first.changed_limits(false, second(3), second(4));
     other.take_limits(ended, second(4));
 
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -167,7 +167,12 @@
         for engine in &mut self.engines {
             let ended = engine.running.extract_if(.., |(end, _)| *end <= now);
             for (_, work) in ended {
-                self.tables[work.host].note_end(POOL, &work.placed, AttemptOutcome::Succeeded, now);
+                self.tables[work.host].record_outcome(
+                    POOL,
+                    &work.placed,
+                    AttemptOutcome::Succeeded,
+                    now,
+                );
             }
             while engine.running.len() < SLOTS {
                 let Some(work) = engine.queue.pop_front() else {
@@ -179,7 +184,7 @@
                 engine.running.push((now + SERVICE, work));
             }
             for (_, work) in &engine.running {
-                self.tables[work.host].note_heard(POOL, &work.placed.name, now);
+                self.tables[work.host].record_activity(POOL, &work.placed.name, now);
             }
         }
         for host in 0..HOSTS {
