--- a/src/dispatch/pool_feedback.rs
+++ b/src/dispatch/pool_feedback.rs
@@ -34,7 +34,7 @@
     }
 
     /// Takes in what a peer knows of limits; returns those that change.
-    pub fn take_limits(&mut self, limits: Vec<TargetLimit>, now: Duration) -> Vec<TargetLimit> {
+    pub fn merge_limits(&mut self, limits: Vec<TargetLimit>, now: Duration) -> Vec<TargetLimit> {
         let mut changed = Vec::new();
         for limit in limits {
             if self.limits.merge(&limit, now) {
--- a/src/dispatch/pool_table.rs
+++ b/src/dispatch/pool_table.rs
@@ -110,7 +110,7 @@
     }
 
     /// Takes the share of targets that this host's group prefers.
-    pub fn set_share(&mut self, share: GroupShare) {
+    pub fn set_group_share(&mut self, share: GroupShare) {
         let shard = ShardRange::new(share);
         if self.shard != shard {
             self.shard = shard;
@@ -354,7 +354,7 @@
     }
 
     /// Takes what a peer runs at each target, itself or with those that report to it.
-    pub fn take_peer_loads(
+    pub fn update_peer_loads(
         &mut self,
         host: HostName,
         loads: Vec<TargetLoad>,
@@ -366,7 +366,7 @@
     }
 
     /// Forgets what silent peers told: they are most likely dead.
-    pub fn forget_silent_peers(&mut self, now: Duration) {
+    pub fn expire_peer_loads(&mut self, now: Duration) {
         let mut touched = self.peer_loads.forget_silent(now);
         touched.sort();
         self.spread_peer_loads(&touched);
@@ -418,7 +418,7 @@
     }
 
     /// Returns what all hosts but `receiver` run at each engine of this host's shard.
-    pub fn loads_without(&self, receiver: &str) -> Vec<TargetLoad> {
+    pub fn loads_excluding(&self, receiver: &str) -> Vec<TargetLoad> {
         let engines = self.pools.values().filter(|pool| pool.engine);
         let targets = engines.flat_map(|pool| &pool.targets);
         let loads = targets.filter(|target| target.in_shard).map(|target| {
--- a/src/dispatch/slot_grants.rs
+++ b/src/dispatch/slot_grants.rs
@@ -74,7 +74,7 @@
 
 impl SlotGrants {
     /// Takes what a host wants.
-    pub fn take_demands(&mut self, host: &str, demands: Vec<SlotDemand>, now: Duration) {
+    pub fn update_demands(&mut self, host: &str, demands: Vec<SlotDemand>, now: Duration) {
         self.shares.take(host, demands, now);
         self.granted
             .retain(|_, held| now.saturating_sub(held.at) < GRANT_MEMORY);
--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -122,7 +122,7 @@
         drop(members);
         drop(quotas);
         let mut table = self.queue.lock_table();
-        table.set_share(role.layout.own_share());
+        table.set_group_share(role.layout.own_share());
         table.set_host_position(turn);
         role
     }
--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -223,7 +223,7 @@
     fn take_own_share(&self, now: Duration) {
         let host = self.state.settings.load().host.clone();
         let demands = self.state.queue.lock_table().slot_demands();
-        self.state.slot_grants().take_demands(&host, demands, now);
+        self.state.slot_grants().update_demands(&host, demands, now);
         let grants = self.state.grant_slots(&host, now);
         self.state.queue.lock_table().set_grants(grants, now);
     }
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -67,7 +67,7 @@
     let now = boot_now();
     let host = message.own.host;
     if let Some(demands) = message.slot_demands {
-        state.slot_grants().take_demands(&host, demands, now);
+        state.slot_grants().update_demands(&host, demands, now);
     }
     if scope == UsageScope::Fleet {
         let mut table = state.queue.lock_table();
@@ -100,7 +100,7 @@
         state
             .queue
             .lock_table()
-            .take_peer_loads(host, loads, scope, now);
+            .update_peer_loads(host, loads, scope, now);
         state.queue.assign_waiting();
     }
 }
@@ -119,17 +119,17 @@
     drop(members);
     state.note_known_by(&message.own.host, usize::from(message.hosts));
     state.poison.merge(&message.poison);
-    take_limits(state, message);
+    merge_limits(state, message);
     state.note_fleet_size(usize::from(message.hosts), message.grouped, now);
 }
 
 /// Takes in the limits of targets that a peer knows of.
-fn take_limits(state: &EdgeState, message: &GossipMessage) {
+fn merge_limits(state: &EdgeState, message: &GossipMessage) {
     if message.limits.is_empty() {
         return;
     }
     let limits = message.limits.clone();
-    let changed = state.queue.lock_table().take_limits(limits, boot_now());
+    let changed = state.queue.lock_table().merge_limits(limits, boot_now());
     for limit in changed {
         state.log.write(&DecisionLine::TargetLimited {
             target: limit.target,
--- a/src/edge/local_digest.rs
+++ b/src/edge/local_digest.rs
@@ -194,7 +194,7 @@
         Some(match request.scope? {
             UsageScope::Host => table.own_loads(),
             UsageScope::Group => table.group_loads(),
-            UsageScope::Fleet => table.loads_without(request.receiver),
+            UsageScope::Fleet => table.loads_excluding(request.receiver),
         })
     }
 
--- a/src/edge/watch_controller.rs
+++ b/src/edge/watch_controller.rs
@@ -188,7 +188,7 @@
         task::sleep(TIDY_PERIOD).await;
         state.take_change(state.view.expire_lapses(boot_now()), None);
         state.links.close_idle();
-        state.queue.lock_table().forget_silent_peers(boot_now());
+        state.queue.lock_table().expire_peer_loads(boot_now());
         state.queue.assign_waiting();
     }
 }
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -245,11 +245,11 @@
         running: 12,
         pending_prefill_tokens: 0,
     };
-    board.take_peer_loads("e2".into(), vec![load], UsageScope::Host, now);
+    board.update_peer_loads("e2".into(), vec![load], UsageScope::Host, now);
 
     let full = board.place(&wish_of(0, 0, now), now, 0.5);
     let later = now + Duration::from_secs(3);
-    board.forget_silent_peers(later);
+    board.expire_peer_loads(later);
     let free = board.place(&wish_of(0, 0, later), later, 0.5);
 
     assert_eq!(full, None);
@@ -291,7 +291,7 @@
         .map(|index| engine(&format!("t{index:02}"), 1))
         .collect();
     let mut board = board_of(members);
-    board.set_share(share_of(0));
+    board.set_group_share(share_of(0));
 
     let placed: Vec<String> = (0..30)
         .filter_map(|index| board.place(&wish_of(0, 0, now), now, f64::from(index) / 30.0))
@@ -316,7 +316,7 @@
             member
         });
         table.set_targets(members.collect(), start());
-        table.set_share(share_of(index));
+        table.set_group_share(share_of(index));
         preferred.extend(table.shard_targets());
     }
     preferred.sort();
@@ -392,7 +392,7 @@
         let mut table = PoolTable::new(own_zone.into());
         let members = (0..40).map(|target| engine(&format!("t{target:02}"), 1));
         table.set_targets(members.collect(), start());
-        table.set_share(share_of(index));
+        table.set_group_share(share_of(index));
         sizes.push(table.shard_targets().len());
     }
 
--- a/tests/request_limits.rs
+++ b/tests/request_limits.rs
@@ -100,7 +100,7 @@
                 lasted_ms: age.as_millis() as u64,
                 age_ms: age.as_millis() as u64,
             };
-            table.take_limits(vec![limit], at + age);
+            table.merge_limits(vec![limit], at + age);
         }
     }
 
@@ -208,11 +208,11 @@
 
     first.record_limit(&name(), Some(2.0), second(1), second(2));
     let named = first.changed_limits(false, second(0), second(2));
-    let taken = other.take_limits(named.clone(), second(2));
-    let again = other.take_limits(named, second(3));
+    let taken = other.merge_limits(named.clone(), second(2));
+    let again = other.merge_limits(named, second(3));
     first.record_limit(&name(), None, second(3), second(4));
     let ended = first.changed_limits(false, second(3), second(4));
-    other.take_limits(ended, second(4));
+    other.merge_limits(ended, second(4));
 
     assert_eq!(taken.len(), 1);
     assert!(again.is_empty());
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -214,13 +214,13 @@
         for host in (0..HOSTS).filter(|host| (host + tick).is_multiple_of(20)) {
             let name = format!("e{host}");
             let demands = self.tables[host].slot_demands();
-            self.granted.take_demands(&name, demands, now);
+            self.granted.update_demands(&name, demands, now);
             let loads = self.tables[host].own_loads();
-            self.tables[0].take_peer_loads(name.clone(), loads, UsageScope::Host, now);
-            let others = self.tables[0].loads_without(&name);
+            self.tables[0].update_peer_loads(name.clone(), loads, UsageScope::Host, now);
+            let others = self.tables[0].loads_excluding(&name);
             if host > 0 {
                 let leader = "leader".to_owned();
-                self.tables[host].take_peer_loads(leader, others, UsageScope::Fleet, now);
+                self.tables[host].update_peer_loads(leader, others, UsageScope::Fleet, now);
             }
             if self.divides {
                 let members = self.granted.hosts();
@@ -388,7 +388,7 @@
     let now = Duration::from_secs(100);
     let mut granted = SlotGrants::default();
     for host in ["e1", "e2", "e3"] {
-        granted.take_demands(host, vec![demand(1, 20)], now);
+        granted.update_demands(host, vec![demand(1, 20)], now);
     }
 
     let mut sums = [0; 2];
