--- a/benches/policy_cost.rs
+++ b/benches/policy_cost.rs
@@ -11,7 +11,7 @@
 use cardamomgw::fleet::TargetKind;
 use cardamomgw::fleet::TargetState;
 use cardamomgw::policy::DispatchPolicy;
-use cardamomgw::policy::PolicyLimits;
+use cardamomgw::policy::PolicySettings;
 use cardamomgw::policy::TargetFacts;
 use cardamomgw::policy::WorkItem;
 use cardamomgw::policy::WorkOutcome;
@@ -80,7 +80,7 @@
         state: TargetState::Live,
         availability_zone: "zone-a".to_owned(),
     });
-    let mut policy = DispatchPolicy::new("entry-1".to_owned(), PolicyLimits::default());
+    let mut policy = DispatchPolicy::new("entry-1".to_owned(), PolicySettings::default());
     policy.set_targets(Duration::ZERO, facts.collect());
     policy.set_hosts(Duration::ZERO, vec!["entry-1".to_owned()]);
     policy
--- a/src/controllers/work_controller.rs
+++ b/src/controllers/work_controller.rs
@@ -21,7 +21,7 @@
 use crate::policy::HostDigest;
 use crate::policy::LoadReport;
 use crate::policy::PolicyAction;
-use crate::policy::PolicyLimits;
+use crate::policy::PolicySettings;
 use crate::policy::TargetFacts;
 use crate::policy::WorkId;
 use crate::policy::WorkItem;
@@ -85,7 +85,7 @@
 
 impl WorkController {
     /// Makes a controller and starts its ticking.
-    pub(crate) fn spawn(host: HostName, limits: PolicyLimits) -> Arc<Self> {
+    pub(crate) fn spawn(host: HostName, limits: PolicySettings) -> Arc<Self> {
         let controller = Arc::new(Self {
             policy: Mutex::new(DispatchPolicy::new(host, limits)),
             waiters: Mutex::new(SortedMap::new()),
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -49,7 +49,7 @@
 use crate::peers::PeerListener;
 use crate::peers::PeerMesh;
 use crate::poison::PoisonGuard;
-use crate::policy::PolicyLimits;
+use crate::policy::PolicySettings;
 use crate::recorder::TraceRecorder;
 use crate::roster::OfferVerdict;
 use crate::roster::RosterPlan;
@@ -106,9 +106,9 @@
             settings.peer_addresses.clone(),
         );
         let claims = open_claims(settings, incarnation, &mesh);
-        let limits = PolicyLimits {
+        let limits = PolicySettings {
             incarnation,
-            ..PolicyLimits::default()
+            ..PolicySettings::default()
         };
         let work = WorkController::spawn(settings.host.clone(), limits);
         let limiter = Arc::new(AccountLimiter::default());
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -10,7 +10,7 @@
 use super::HostDigest;
 use super::LoadReport;
 use super::PolicyAction;
-use super::PolicyLimits;
+use super::PolicySettings;
 use super::TargetFacts;
 use super::WasteCount;
 use super::WorkId;
@@ -32,7 +32,7 @@
 /// The policy of one host: it holds the waiting work and decides.
 #[derive(Debug)]
 pub struct DispatchPolicy {
-    pub(super) limits: PolicyLimits,
+    pub(super) limits: PolicySettings,
     pub(super) ledger: SlotLedger,
     pub(super) targets: SortedMap<TargetName, TargetView>,
     pub(super) queue: FairQueue,
@@ -64,7 +64,7 @@
 impl DispatchPolicy {
     /// Makes the policy of `host`, which knows no target and no host yet; it
     /// dispatches nothing before [`DispatchPolicy::set_hosts`].
-    pub fn new(host: HostName, limits: PolicyLimits) -> Self {
+    pub fn new(host: HostName, limits: PolicySettings) -> Self {
         Self {
             ledger: SlotLedger::new(host, limits.incarnation),
             limits,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,7 +18,7 @@
 //! use cardamomgw::fleet::TargetState;
 //! use cardamomgw::policy::DispatchPolicy;
 //! use cardamomgw::policy::PolicyAction;
-//! use cardamomgw::policy::PolicyLimits;
+//! use cardamomgw::policy::PolicySettings;
 //! use cardamomgw::policy::TargetFacts;
 //! use cardamomgw::policy::WorkOutcome;
 //! use cardamomgw::policy::WorkItem;
@@ -43,7 +43,7 @@
 //!     first_token_goal: None,
 //!     allowed: Arc::new(vec!["engine-1".into()]),
 //! };
-//! let mut policy = DispatchPolicy::new("entry-1".into(), PolicyLimits::default());
+//! let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
 //! policy.set_targets(Duration::ZERO, vec![engine]);
 //! policy.set_hosts(Duration::ZERO, vec!["entry-1".into()]);
 //!
@@ -66,7 +66,7 @@
 mod pace_estimate;
 mod peer_room;
 mod policy_action;
-mod policy_limits;
+mod policy_settings;
 mod pool_state;
 mod prefix_home;
 mod retry_advice;
@@ -87,7 +87,7 @@
 pub use host_digest::TierWait;
 pub use policy_action::PolicyAction;
 pub use policy_action::WorkOutcome;
-pub use policy_limits::PolicyLimits;
+pub use policy_settings::PolicySettings;
 pub(crate) use share::base_share;
 pub use target_facts::LoadReport;
 pub use target_facts::TargetFacts;
--- a/src/policy/policy_limits.rs
+++ b/src/policy/policy_settings.rs
@@ -4,7 +4,7 @@
 
 /// The settings of a policy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct PolicyLimits {
+pub struct PolicySettings {
     /// The most requests that may wait on this host.
     pub max_waiting: u32,
     /// This life of the process: random at its start. Peers tell by it that
@@ -12,7 +12,7 @@
     pub incarnation: IncarnationId,
 }
 
-impl Default for PolicyLimits {
+impl Default for PolicySettings {
     fn default() -> Self {
         Self {
             max_waiting: 4096,
--- a/src/replay/first_policy.rs
+++ b/src/replay/first_policy.rs
@@ -9,7 +9,7 @@
 use crate::sorted::SortedMap;
 
 use crate::policy::PolicyAction;
-use crate::policy::PolicyLimits;
+use crate::policy::PolicySettings;
 use crate::policy::TargetFacts;
 use crate::policy::WorkId;
 use crate::policy::WorkItem;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(super) struct FirstPolicy {
     host: HostName,
-    limits: PolicyLimits,
+    limits: PolicySettings,
     hosts: Vec<HostName>,
     targets: SortedMap<TargetName, TargetView>,
     waiting: Vec<WorkItem>,
@@ -52,7 +52,7 @@
 
 impl FirstPolicy {
     /// Makes the policy of `host`, which knows no target yet.
-    pub(super) fn new(host: HostName, limits: PolicyLimits) -> Self {
+    pub(super) fn new(host: HostName, limits: PolicySettings) -> Self {
         Self {
             hosts: vec![host.clone()],
             host,
--- a/src/replay/replay_policy.rs
+++ b/src/replay/replay_policy.rs
@@ -11,7 +11,7 @@
 use crate::policy::HostDigest;
 use crate::policy::LoadReport;
 use crate::policy::PolicyAction;
-use crate::policy::PolicyLimits;
+use crate::policy::PolicySettings;
 use crate::policy::TargetFacts;
 use crate::policy::WorkId;
 use crate::policy::WorkItem;
@@ -58,7 +58,7 @@
 }
 
 impl ReplayPolicy {
-    pub(super) fn new(kind: PolicyKind, host: HostName, limits: PolicyLimits) -> Self {
+    pub(super) fn new(kind: PolicyKind, host: HostName, limits: PolicySettings) -> Self {
         match kind {
             PolicyKind::Current => Self::Current(Box::new(DispatchPolicy::new(host, limits))),
             PolicyKind::First => Self::First(Box::new(FirstPolicy::new(host, limits))),
--- a/src/replay/replay_setup.rs
+++ b/src/replay/replay_setup.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::TargetKind;
 use crate::fleet::TargetState;
-use crate::policy::PolicyLimits;
+use crate::policy::PolicySettings;
 use crate::policy::TargetFacts;
 use crate::policy::WorkId;
 
@@ -52,9 +52,9 @@
             self.allowed.insert(class.name.clone(), Arc::new(targets));
         }
         for host in &header.hosts {
-            let limits = PolicyLimits {
+            let limits = PolicySettings {
                 incarnation: rng.random(),
-                ..PolicyLimits::default()
+                ..PolicySettings::default()
             };
             let mut policy = ReplayPolicy::new(kind, host.clone(), limits);
             policy.set_targets(Duration::ZERO, facts.clone());
--- a/tests/policy_digest.rs
+++ b/tests/policy_digest.rs
@@ -6,7 +6,7 @@
 use cardamomgw::fleet::TargetState;
 use cardamomgw::policy::DispatchPolicy;
 use cardamomgw::policy::HostDigest;
-use cardamomgw::policy::PolicyLimits;
+use cardamomgw::policy::PolicySettings;
 use cardamomgw::policy::TargetFacts;
 
 /// The bytes that a digest of the larger deployment may take: seven peers, one
@@ -21,9 +21,9 @@
         state: TargetState::Live,
         availability_zone: "zone-a".to_string(),
     });
-    let limits = PolicyLimits {
+    let limits = PolicySettings {
         incarnation: u64::MAX,
-        ..PolicyLimits::default()
+        ..PolicySettings::default()
     };
     let mut policy = DispatchPolicy::new(host.to_string(), limits);
     policy.set_targets(Duration::ZERO, facts.collect());
--- a/tests/policy_first.rs
+++ b/tests/policy_first.rs
@@ -8,7 +8,7 @@
 use cardamomgw::fleet::TargetState;
 use cardamomgw::policy::DispatchPolicy;
 use cardamomgw::policy::PolicyAction;
-use cardamomgw::policy::PolicyLimits;
+use cardamomgw::policy::PolicySettings;
 use cardamomgw::policy::TargetFacts;
 use cardamomgw::policy::WorkItem;
 use cardamomgw::policy::WorkOutcome;
@@ -24,7 +24,7 @@
 }
 
 fn policy(slots: u32) -> DispatchPolicy {
-    let mut policy = DispatchPolicy::new("entry-1".to_string(), PolicyLimits::default());
+    let mut policy = DispatchPolicy::new("entry-1".to_string(), PolicySettings::default());
     policy.set_targets(Duration::ZERO, vec![engine("engine-1", slots)]);
     policy.set_hosts(Duration::ZERO, vec!["entry-1".to_string()]);
     policy
--- a/tests/policy_load/policy_bench.rs
+++ b/tests/policy_load/policy_bench.rs
@@ -8,7 +8,7 @@
 use cardamomgw::fleet::TargetState;
 use cardamomgw::policy::DispatchPolicy;
 use cardamomgw::policy::PolicyAction;
-use cardamomgw::policy::PolicyLimits;
+use cardamomgw::policy::PolicySettings;
 use cardamomgw::policy::TargetFacts;
 use cardamomgw::policy::WorkItem;
 use cardamomgw::policy::WorkOutcome;
@@ -53,9 +53,9 @@
     }
 
     fn with_hosts(host: &str, hosts: &[&str], engines: usize, slots: u32, queue: u32) -> Self {
-        let limits = PolicyLimits {
+        let limits = PolicySettings {
             max_waiting: queue,
-            ..PolicyLimits::default()
+            ..PolicySettings::default()
         };
         let names: Vec<String> = (1..=engines).map(|n| format!("engine-{n}")).collect();
         let facts = names.iter().map(|name| TargetFacts {
--- a/tests/policy_shares.rs
+++ b/tests/policy_shares.rs
@@ -11,7 +11,7 @@
 use cardamomgw::policy::DispatchPolicy;
 use cardamomgw::policy::HostDigest;
 use cardamomgw::policy::PolicyAction;
-use cardamomgw::policy::PolicyLimits;
+use cardamomgw::policy::PolicySettings;
 use cardamomgw::policy::TargetFacts;
 use cardamomgw::policy::WorkItem;
 use cardamomgw::policy::WorkOutcome;
@@ -52,9 +52,9 @@
 
     fn fresh_policy(&mut self, host: usize) -> DispatchPolicy {
         self.count += 1;
-        let limits = PolicyLimits {
+        let limits = PolicySettings {
             incarnation: self.count,
-            ..PolicyLimits::default()
+            ..PolicySettings::default()
         };
         let mut policy = DispatchPolicy::new(self.names[host].clone(), limits);
         let facts = TargetFacts {
--- a/tests/policy_slow_targets.rs
+++ b/tests/policy_slow_targets.rs
@@ -7,13 +7,13 @@
 use cardamomgw::fleet::TargetState;
 use cardamomgw::policy::DispatchPolicy;
 use cardamomgw::policy::PolicyAction;
-use cardamomgw::policy::PolicyLimits;
+use cardamomgw::policy::PolicySettings;
 use cardamomgw::policy::TargetFacts;
 use cardamomgw::policy::WorkItem;
 use cardamomgw::policy::WorkOutcome;
 
 fn policy() -> DispatchPolicy {
-    let mut policy = DispatchPolicy::new("entry-1".to_string(), PolicyLimits::default());
+    let mut policy = DispatchPolicy::new("entry-1".to_string(), PolicySettings::default());
     let service = TargetFacts {
         name: "service-1".to_string(),
         kind: TargetKind::Service,
--- a/tests/policy_stall.rs
+++ b/tests/policy_stall.rs
@@ -7,7 +7,7 @@
 use cardamomgw::fleet::TargetState;
 use cardamomgw::policy::DispatchPolicy;
 use cardamomgw::policy::PolicyAction;
-use cardamomgw::policy::PolicyLimits;
+use cardamomgw::policy::PolicySettings;
 use cardamomgw::policy::TargetFacts;
 use cardamomgw::policy::WorkItem;
 use cardamomgw::policy::WorkOutcome;
@@ -51,9 +51,9 @@
         .into_iter()
         .enumerate()
         .map(|(index, host)| {
-            let limits = PolicyLimits {
+            let limits = PolicySettings {
                 incarnation: index as u64 + 1,
-                ..PolicyLimits::default()
+                ..PolicySettings::default()
             };
             let mut policy = DispatchPolicy::new(host, limits);
             policy.set_hosts(Duration::ZERO, hosts());
@@ -112,7 +112,7 @@
 /// from both.
 #[test]
 fn reserve_follows_the_slots_that_are_left() {
-    let mut policy = DispatchPolicy::new("entry-1".into(), PolicyLimits::default());
+    let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
     policy.set_hosts(Duration::ZERO, vec!["entry-1".into()]);
     let two_slots = |state| {
         let mut engines = engines(state);
@@ -146,7 +146,7 @@
 /// targets are passed over.
 #[test]
 fn work_goes_to_a_slow_target_where_it_is_the_only_one() {
-    let mut policy = DispatchPolicy::new("entry-1".into(), PolicyLimits::default());
+    let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
     policy.set_hosts(Duration::ZERO, vec!["entry-1".into()]);
     policy.set_targets(Duration::ZERO, vec![service()]);
     let mut now = Duration::ZERO;
@@ -169,7 +169,7 @@
 /// the service is back, and does not wait beside it.
 #[test]
 fn work_goes_back_to_the_only_target_that_did_not_take_it() {
-    let mut policy = DispatchPolicy::new("entry-1".into(), PolicyLimits::default());
+    let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
     policy.set_hosts(Duration::ZERO, vec!["entry-1".into()]);
     policy.set_targets(Duration::ZERO, vec![service()]);
     let now = Duration::from_millis(20);
