--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -226,7 +226,7 @@
         running: turn % 9,
         pace_us: 31_000 + turn % 997,
         best_us: 28_000,
-        given: Vec::new(),
+        lent: Vec::new(),
     });
     PeerDigest {
         version: 17_000,
--- a/src/peers/digest_delta.rs
+++ b/src/peers/digest_delta.rs
@@ -13,8 +13,8 @@
 use crate::ids::IncarnationId;
 use crate::ids::TierRank;
 use crate::poison::PoisonEntry;
-use crate::policy::GivenSlots;
 use crate::policy::HostDigest;
+use crate::policy::LentSlots;
 use crate::policy::TargetDemand;
 use crate::policy::TierWait;
 use crate::roster::RosterDigest;
@@ -88,8 +88,8 @@
     Pace(u32),
     /// See [`TargetDemand::best_us`].
     Best(u32),
-    /// See [`TargetDemand::given`].
-    Given(Vec<GivenSlots>),
+    /// See [`TargetDemand::lent`].
+    Lent(Vec<LentSlots>),
 }
 
 impl DigestDelta {
@@ -198,7 +198,7 @@
             Self::Running(running) => target.running = *running,
             Self::Pace(pace) => target.pace_us = *pace,
             Self::Best(best) => target.best_us = *best,
-            Self::Given(given) => target.given.clone_from(given),
+            Self::Lent(lent) => target.lent.clone_from(lent),
         }
     }
 }
@@ -213,7 +213,7 @@
         running,
         pace_us,
         best_us,
-        given,
+        lent,
     } = new;
     let fields = [
         (old.epoch != *epoch).then_some(DemandField::Epoch(*epoch)),
@@ -222,7 +222,7 @@
         (old.running != *running).then_some(DemandField::Running(*running)),
         (old.pace_us != *pace_us).then_some(DemandField::Pace(*pace_us)),
         (old.best_us != *best_us).then_some(DemandField::Best(*best_us)),
-        (old.given != *given).then(|| DemandField::Given(given.clone())),
+        (old.lent != *lent).then(|| DemandField::Lent(lent.clone())),
     ];
     fields.into_iter().flatten().collect()
 }
--- a/src/policy/host_digest.rs
+++ b/src/policy/host_digest.rs
@@ -46,7 +46,7 @@
     pub best_us: u32,
     /// The slots that the sender gave each host in this epoch, all added up,
     /// by the host's place in the sorted list; hosts that got none are absent.
-    pub given: Vec<GivenSlots>,
+    pub lent: Vec<LentSlots>,
 }
 
 /// How long new engine work of a tier waits on a host.
@@ -60,9 +60,9 @@
 
 /// The slots that a host gave one peer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct GivenSlots {
+pub struct LentSlots {
     /// The peer's place in the sorted list of hosts.
-    pub place: u16,
+    pub host_index: u16,
     /// All that it was given, added up.
     pub slots: u32,
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -81,8 +81,8 @@
 mod work_item;
 
 pub use dispatch_policy::DispatchPolicy;
-pub use host_digest::GivenSlots;
 pub use host_digest::HostDigest;
+pub use host_digest::LentSlots;
 pub use host_digest::TargetDemand;
 pub use host_digest::TierWait;
 pub use policy_action::PolicyAction;
--- a/src/policy/slot_ledger.rs
+++ b/src/policy/slot_ledger.rs
@@ -26,8 +26,8 @@
 use crate::ids::TargetName;
 use crate::sorted::SortedMap;
 
-use super::GivenSlots;
 use super::HostDigest;
+use super::LentSlots;
 use super::TargetDemand;
 use super::share::base_share;
 
@@ -64,7 +64,7 @@
     /// an earlier epoch. If it settled or showed its epoch then, the others
     /// would fill their base shares beside it and overfill the target.
     overfull: bool,
-    given: SortedMap<HostName, u32>,
+    lent: SortedMap<HostName, u32>,
     peers: SortedMap<HostName, PeerPart>,
 }
 
@@ -76,7 +76,7 @@
     wanted: u32,
     received: u32,
     /// What was given to the peer when the digest came.
-    given_before: u32,
+    lent_before: u32,
 }
 
 impl SlotLedger {
@@ -178,17 +178,17 @@
         let Some(account) = self.accounts.get_mut(&demand.target) else {
             return;
         };
-        let given = demand
-            .given
+        let lent = demand
+            .lent
             .iter()
-            .find(|given| Some(usize::from(given.place)) == own)
-            .map_or(0, |given| given.slots);
+            .find(|lent| Some(usize::from(lent.host_index)) == own)
+            .map_or(0, |lent| lent.slots);
         let part = PeerPart {
             epoch: demand.epoch,
             held: demand.held,
             wanted: demand.wanted,
-            received: given,
-            given_before: account.given.get(from).copied().unwrap_or(0),
+            received: lent,
+            lent_before: account.lent.get(from).copied().unwrap_or(0),
         };
         account.peers.insert(from.clone(), part);
         account.try_settle(&self.hosts, &self.host);
@@ -210,11 +210,11 @@
         account.overfull &= running > account.base;
         account.try_settle(hosts, &self.host);
         account.lend(running, wanted);
-        let place = |host: &HostName| hosts.binary_search(host).ok();
-        let given = account.given.iter().filter_map(|(host, slots)| {
-            let place = place(host)? as u16;
-            Some(GivenSlots {
-                place,
+        let host_index = |host: &HostName| hosts.binary_search(host).ok();
+        let lent = account.lent.iter().filter_map(|(host, slots)| {
+            let host_index = host_index(host)? as u16;
+            Some(LentSlots {
+                host_index,
                 slots: *slots,
             })
         });
@@ -226,7 +226,7 @@
             running,
             pace_us: 0,
             best_us: 0,
-            given: given.collect(),
+            lent: lent.collect(),
         }
     }
 
@@ -253,7 +253,7 @@
             account.cautious = held.min(account.base);
             account.settled = self.hosts.len() == 1;
             account.overfull = true;
-            account.given = SortedMap::new();
+            account.lent = SortedMap::new();
             account.epoch = lives.map_or(0, |lives| epoch_hash(lives, name, account.slots));
         }
     }
@@ -284,7 +284,7 @@
             cautious: base - lendable(base),
             settled: self.hosts.len() == 1,
             overfull: true,
-            given: SortedMap::new(),
+            lent: SortedMap::new(),
             peers: SortedMap::new(),
         }
     }
@@ -297,8 +297,8 @@
         }
         let current = self.peers.values().filter(|part| part.epoch == self.epoch);
         let received: u32 = current.map(|part| part.received).sum();
-        let given: u32 = self.given.values().sum();
-        (self.base + received).saturating_sub(given)
+        let lent: u32 = self.lent.values().sum();
+        (self.base + received).saturating_sub(lent)
     }
 
     /// Settles once every other host has shown the epoch.
@@ -332,7 +332,7 @@
                 return;
             }
             let host = host.clone();
-            *self.given.get_or_insert_with(host, || 0) += 1;
+            *self.lent.get_or_insert_with(host, || 0) += 1;
             free -= 1;
         }
     }
@@ -342,8 +342,8 @@
         if part.epoch != self.epoch {
             return 0;
         }
-        let given = self.given.get(host).copied().unwrap_or(0);
-        let on_the_way = given.saturating_sub(part.given_before);
+        let lent = self.lent.get(host).copied().unwrap_or(0);
+        let on_the_way = lent.saturating_sub(part.lent_before);
         part.wanted.saturating_sub(part.held + on_the_way)
     }
 }
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -14,8 +14,8 @@
 use cardamomgw::peers::PeerCall;
 use cardamomgw::peers::PeerDigest;
 use cardamomgw::poison::PoisonEntry;
-use cardamomgw::policy::GivenSlots;
 use cardamomgw::policy::HostDigest;
+use cardamomgw::policy::LentSlots;
 use cardamomgw::policy::TargetDemand;
 use cardamomgw::policy::TierWait;
 use cardamomgw::roster::RosterDigest;
@@ -51,7 +51,7 @@
         running: 7,
         pace_us: 31_000,
         best_us: 28_000,
-        given: Vec::new(),
+        lent: Vec::new(),
     }
 }
 
@@ -117,8 +117,8 @@
         11 => target.running = value,
         12 => target.pace_us = value,
         13 => target.best_us = value,
-        14 => target.given.push(GivenSlots {
-            place: 1,
+        14 => target.lent.push(LentSlots {
+            host_index: 1,
             slots: value,
         }),
         _ => {}
