--- a/src/peers/digest_delta.rs
+++ b/src/peers/digest_delta.rs
@@ -35,7 +35,7 @@
     /// Requests that targets were lost to, where they changed.
     pub suspects: Option<Vec<PoisonEntry>>,
     /// As in the new digest.
-    pub turn: u32,
+    pub generation: u32,
     /// As in the new digest.
     pub engine_level: TierRank,
     /// As in the new digest.
@@ -110,7 +110,7 @@
             document: (mark != DocumentMark::of(base)).then_some(mark),
             roster: new.roster.clone().filter(|_| new.roster != base.roster),
             suspects: (new.suspects != base.suspects).then(|| new.suspects.clone()),
-            turn: policy.turn,
+            generation: policy.generation,
             engine_level: policy.engine_level,
             service_level: policy.service_level,
             waits: policy.waits.clone(),
@@ -129,7 +129,7 @@
         let policy = HostDigest {
             incarnation: self.incarnation,
             sequence: self.base.checked_add(self.steps)?,
-            turn: self.turn,
+            generation: self.generation,
             engine_level: self.engine_level,
             service_level: self.service_level,
             waits: self.waits.clone(),
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -257,7 +257,7 @@
         HostDigest {
             incarnation: self.limits.incarnation,
             sequence: self.sequence,
-            turn: self.ledger.turn(),
+            generation: self.ledger.generation(),
             engine_level: self.engines.shed.own(now),
             service_level: self.services.shed.own(now),
             waits: self.tier_waits(),
--- a/src/policy/host_digest.rs
+++ b/src/policy/host_digest.rs
@@ -15,7 +15,7 @@
     /// Rises with each digest of one life; receivers drop older ones.
     pub sequence: u64,
     /// Rises within a life each time the sender's hosts or slots change.
-    pub turn: u32,
+    pub generation: u32,
     /// The lowest tier that the sender still lets in to engines.
     pub engine_level: TierRank,
     /// The lowest tier that the sender still lets in to services.
--- a/src/policy/slot_ledger.rs
+++ b/src/policy/slot_ledger.rs
@@ -36,7 +36,7 @@
 pub(super) struct SlotLedger {
     host: HostName,
     incarnation: IncarnationId,
-    turn: u32,
+    generation: u32,
     hosts: Vec<HostName>,
     lives: SortedMap<HostName, PeerLife>,
     accounts: SortedMap<TargetName, SlotAccount>,
@@ -46,7 +46,7 @@
 #[derive(Debug, Default)]
 struct PeerLife {
     incarnation: IncarnationId,
-    turn: u32,
+    generation: u32,
     sequence: u64,
 }
 
@@ -85,7 +85,7 @@
             hosts: Vec::new(),
             host,
             incarnation,
-            turn: 0,
+            generation: 0,
             lives: SortedMap::new(),
             accounts: SortedMap::new(),
             changed: true,
@@ -110,7 +110,7 @@
             accounts.insert(name.clone(), account);
         }
         self.accounts = accounts;
-        self.begin_turn();
+        self.begin_generation();
     }
 
     /// Takes up the cell's hosts.
@@ -127,7 +127,7 @@
                 account.settled = false;
             }
         }
-        self.begin_turn();
+        self.begin_generation();
     }
 
     /// Returns how many slots of the target this host may fill.
@@ -141,8 +141,8 @@
     }
 
     /// Returns how often the hosts or slots changed in this life.
-    pub(super) const fn turn(&self) -> u32 {
-        self.turn
+    pub(super) const fn generation(&self) -> u32 {
+        self.generation
     }
 
     /// Takes a peer's digest; returns false for one that is older than the last.
@@ -158,12 +158,12 @@
             return false;
         }
         let replaced = !same && life.incarnation != 0;
-        let moved = !same || life.turn != digest.turn;
+        let moved = !same || life.generation != digest.generation;
         life.incarnation = digest.incarnation;
-        life.turn = digest.turn;
+        life.generation = digest.generation;
         life.sequence = digest.sequence;
         if replaced {
-            self.begin_turn();
+            self.begin_generation();
         } else if moved {
             self.begin_epochs();
         }
@@ -237,10 +237,10 @@
     /// life. Lives have no order, so a digest that comes late from a former one
     /// looks like a restart; had that life once shown the epoch, this host would
     /// fill its whole base share beside the slots that it lent since. A life that
-    /// ended before the new turn cannot have shown an epoch of that turn, so
+    /// ended before the new generation cannot have shown an epoch of that generation, so
     /// this host waits until the life that runs now has heard of it.
-    fn begin_turn(&mut self) {
-        self.turn += 1;
+    fn begin_generation(&mut self) {
+        self.generation += 1;
         self.begin_epochs();
     }
 
@@ -262,15 +262,15 @@
     fn life_hash(&self) -> Option<u64> {
         let mut hash = Xxh3::new();
         for host in &self.hosts {
-            let (incarnation, turn) = if *host == self.host {
-                (self.incarnation, self.turn)
+            let (incarnation, generation) = if *host == self.host {
+                (self.incarnation, self.generation)
             } else {
                 let life = self.lives.get(host)?;
-                (life.incarnation, life.turn)
+                (life.incarnation, life.generation)
             };
             hash.update(host.as_bytes());
             hash.update(&incarnation.to_le_bytes());
-            hash.update(&turn.to_le_bytes());
+            hash.update(&generation.to_le_bytes());
         }
         Some(hash.digest())
     }
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -32,7 +32,7 @@
         policy: Some(HostDigest {
             incarnation,
             sequence,
-            turn: 1,
+            generation: 1,
             engine_level: 255,
             service_level: 255,
             waits: Vec::new(),
@@ -91,7 +91,7 @@
         return Ok(());
     };
     if kind == 5 {
-        policy.turn = value;
+        policy.generation = value;
         policy.engine_level = value as u8;
         policy.service_level = (value >> 8) as u8;
         policy.waits.push(TierWait {
