--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -134,7 +134,7 @@
             }
         }
         if let Some(policy) = digest.policy {
-            self.work.peer_digest(from, policy);
+            self.work.apply_peer_digest(from, policy);
         }
         self.suspects.merge(&digest.suspects);
     }
--- a/src/controllers/work_controller.rs
+++ b/src/controllers/work_controller.rs
@@ -145,8 +145,8 @@
     }
 
     /// Passes a peer's digest on.
-    pub(crate) fn peer_digest(&self, host: &HostName, digest: HostDigest) {
-        lock(&self.policy).peer_digest(boot_now(), host, digest);
+    pub(crate) fn apply_peer_digest(&self, host: &HostName, digest: HostDigest) {
+        lock(&self.policy).apply_peer_digest(boot_now(), host, digest);
     }
 
     /// Returns what the peers should know.
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -210,7 +210,7 @@
     }
 
     /// Takes a peer's digest, which may be old or lost.
-    pub fn peer_digest(&mut self, now: Duration, host: &HostName, digest: HostDigest) {
+    pub fn apply_peer_digest(&mut self, now: Duration, host: &HostName, digest: HostDigest) {
         if !self.ledger.take(host, &digest) {
             return;
         }
--- a/src/replay/replay_exchange.rs
+++ b/src/replay/replay_exchange.rs
@@ -48,7 +48,7 @@
     pub(super) fn take_digest(&mut self, from: usize, to: usize, digest: &HostDigest) {
         if self.live[to] {
             let name = &self.trace.header.hosts[from];
-            self.policies[to].peer_digest(self.now, name, digest.clone());
+            self.policies[to].apply_peer_digest(self.now, name, digest.clone());
         }
     }
 
--- a/src/replay/replay_policy.rs
+++ b/src/replay/replay_policy.rs
@@ -143,9 +143,9 @@
         }
     }
 
-    pub(super) fn peer_digest(&mut self, now: Duration, host: &HostName, digest: HostDigest) {
+    pub(super) fn apply_peer_digest(&mut self, now: Duration, host: &HostName, digest: HostDigest) {
         if let Self::Current(policy) = self {
-            policy.peer_digest(now, host, digest);
+            policy.apply_peer_digest(now, host, digest);
         }
     }
 
--- a/tests/policy_digest.rs
+++ b/tests/policy_digest.rs
@@ -40,7 +40,7 @@
         for from in 0..hosts.len() {
             let digest = policies[from].digest(Duration::ZERO);
             for to in (0..hosts.len()).filter(|to| *to != from) {
-                policies[to].peer_digest(Duration::ZERO, &hosts[from], digest.clone());
+                policies[to].apply_peer_digest(Duration::ZERO, &hosts[from], digest.clone());
             }
         }
     }
--- a/tests/policy_load/main.rs
+++ b/tests/policy_load/main.rs
@@ -163,7 +163,7 @@
 
     let digest = busy.policy.digest(busy.now);
     idle.policy
-        .peer_digest(idle.now, &"entry-1".to_string(), digest);
+        .apply_peer_digest(idle.now, &"entry-1".to_string(), digest);
     let after = refusals(&idle.arrive(long("account-1")));
     idle.now += 3 * SECOND;
     let reopened = refusals(&idle.arrive(long("account-1")));
@@ -180,7 +180,7 @@
     let mut idle = PolicyBench::in_cell("entry-2", 1, 4);
     let digest = idle.policy.digest(idle.now);
     busy.policy
-        .peer_digest(busy.now, &"entry-2".to_string(), digest);
+        .apply_peer_digest(busy.now, &"entry-2".to_string(), digest);
 
     let actions: Vec<PolicyAction> = (0..6).flat_map(|_| busy.arrive(brief(0))).collect();
 
--- a/tests/policy_shares.rs
+++ b/tests/policy_shares.rs
@@ -77,7 +77,7 @@
     fn deliver(&mut self, digest: usize, to: usize) {
         let (from, digest) = self.sent[digest].clone();
         let name = self.names[from].clone();
-        self.policies[to].peer_digest(self.now, &name, digest);
+        self.policies[to].apply_peer_digest(self.now, &name, digest);
     }
 
     fn exchange_all(&mut self) {
--- a/tests/policy_stall.rs
+++ b/tests/policy_stall.rs
@@ -68,7 +68,7 @@
     for from in 0..cell.len() {
         let digest = cell[from].digest(now);
         for to in (0..cell.len()).filter(|to| *to != from) {
-            cell[to].peer_digest(now, &hosts()[from], digest.clone());
+            cell[to].apply_peer_digest(now, &hosts()[from], digest.clone());
         }
     }
 }
