--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -19,7 +19,7 @@
 use crate::errors::ErrorKind;
 use crate::errors::RequestOutcome;
 use crate::ids::HostName;
-use crate::limits::ByteShare;
+use crate::limits::BytePermit;
 use crate::poison::RequestFingerprint;
 use crate::policy::WorkOutcome;
 use crate::recorder::RecordedRequest;
@@ -72,7 +72,7 @@
     /// The request's body.
     pub(crate) body: Bytes,
     /// What the body takes of the host's budget.
-    pub(crate) _share: ByteShare,
+    pub(crate) _permit: BytePermit,
     /// Where the answer goes.
     pub(crate) slot: Arc<AnswerSlot>,
 }
--- a/src/gateway/request_entry.rs
+++ b/src/gateway/request_entry.rs
@@ -8,7 +8,7 @@
 use crate::answers::AnswerReader;
 use crate::answers::BookEntry;
 use crate::errors::ErrorKind;
-use crate::limits::ByteShare;
+use crate::limits::BytePermit;
 use crate::poison::fingerprint_request;
 
 use super::ClassifiedRequest;
@@ -28,7 +28,7 @@
     host: &Arc<HostState>,
     request: ClassifiedRequest,
     body: Bytes,
-    share: ByteShare,
+    permit: BytePermit,
 ) -> Result<AnswerReader, ErrorKind> {
     let entry = host
         .answers
@@ -50,7 +50,7 @@
                 request,
                 fingerprint,
                 body,
-                _share: share,
+                _permit: permit,
                 slot,
             };
             task::spawn(run.run());
--- a/src/limits/byte_budget.rs
+++ b/src/limits/byte_budget.rs
@@ -16,7 +16,7 @@
 
 /// Bytes of a budget, given back when dropped.
 #[derive(Debug)]
-pub struct ByteShare {
+pub struct BytePermit {
     budget: Arc<ByteBudget>,
     bytes: usize,
 }
@@ -31,10 +31,10 @@
     }
 
     /// Takes bytes, unless that would go over the limit.
-    pub fn take(self: &Arc<Self>, bytes: usize) -> Option<ByteShare> {
+    pub fn take(self: &Arc<Self>, bytes: usize) -> Option<BytePermit> {
         let taken = self.taken.fetch_add(bytes, Ordering::AcqRel);
         // The share gives the bytes back in both cases.
-        let share = ByteShare {
+        let share = BytePermit {
             budget: self.clone(),
             bytes,
         };
@@ -47,7 +47,7 @@
     }
 }
 
-impl Drop for ByteShare {
+impl Drop for BytePermit {
     fn drop(&mut self) {
         self.budget.taken.fetch_sub(self.bytes, Ordering::AcqRel);
     }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -7,4 +7,4 @@
 pub use account_bucket::AccountBucket;
 pub(crate) use account_limiter::AccountLimiter;
 pub use byte_budget::ByteBudget;
-pub use byte_budget::ByteShare;
+pub use byte_budget::BytePermit;
