--- a/src/edge/edge_state.rs
+++ b/src/edge/edge_state.rs
@@ -32,7 +32,7 @@
 use crate::members::MemberTable;
 use crate::metrics::RequestMetrics;
 use crate::poison::PoisonGuard;
-use crate::quota::QuotaLedger;
+use crate::quota::QuotaLimiter;
 use crate::quota::RetryBudget;
 use crate::sorted::SortedMap;
 use crate::view::SharedView;
@@ -71,7 +71,7 @@
     deadlines: Mutex<DeadlineHistory>,
     /// The slots that hosts which report to this one may use.
     slot_grants: Mutex<SlotGrants>,
-    quotas: Mutex<QuotaLedger>,
+    quotas: Mutex<QuotaLimiter>,
     retries: Mutex<RetryBudget>,
     /// Boot time in milliseconds of the signal to leave; 0 before it.
     leaving_since: AtomicU64,
@@ -119,7 +119,7 @@
             log,
             metrics: EdgeMetrics::default(),
             requests,
-            quotas: Mutex::new(QuotaLedger::new(tolerance, hosts, started)),
+            quotas: Mutex::new(QuotaLimiter::new(tolerance, hosts, started)),
             retries: Mutex::default(),
             leaving_since: AtomicU64::new(0),
             entry_closed: AtomicBool::new(false),
@@ -195,7 +195,7 @@
     }
 
     /// Gives access to the quotas; never held over a wait.
-    pub(crate) fn quotas(&self) -> MutexGuard<'_, QuotaLedger> {
+    pub(crate) fn quotas(&self) -> MutexGuard<'_, QuotaLimiter> {
         lock(&self.quotas)
     }
 
--- a/src/quota/quota_ledger.rs
+++ b/src/quota/quota_limiter.rs
@@ -103,7 +103,7 @@
 /// that is silent though it was not said to have left, its part of the rate is taken
 /// for spent, so that all sides of a split keep within the whole together.
 #[derive(Debug)]
-pub struct QuotaLedger {
+pub struct QuotaLimiter {
     tolerance: QuotaTolerance,
     /// When this host started.
     born: Duration,
@@ -127,7 +127,7 @@
     silent: SilentHosts,
 }
 
-impl QuotaLedger {
+impl QuotaLimiter {
     /// Makes the ledger of a host that starts now, among so many `hosts`.
     pub const fn new(tolerance: QuotaTolerance, hosts: usize, now: Duration) -> Self {
         Self {
--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -6,7 +6,7 @@
 use cardamomgw::catalog::TokenRate;
 use cardamomgw::members::hash_host;
 use cardamomgw::quota::PriorityClass;
-use cardamomgw::quota::QuotaLedger;
+use cardamomgw::quota::QuotaLimiter;
 use cardamomgw::quota::QuotaRequest;
 use cardamomgw::quota::QuotaTolerance;
 use cardamomgw::quota::QuotaVerdict;
@@ -25,7 +25,7 @@
 
 /// Hosts in groups; the first live host of each leads it.
 struct GroupWorld {
-    ledgers: Vec<QuotaLedger>,
+    ledgers: Vec<QuotaLimiter>,
     dead: Vec<usize>,
     chance: ChaCha8Rng,
     admitted: Vec<(Duration, f64)>,
@@ -59,7 +59,7 @@
             slack: SLACK,
         };
         let ledger = || {
-            let mut ledger = QuotaLedger::new(tolerance, HOSTS, start);
+            let mut ledger = QuotaLimiter::new(tolerance, HOSTS, start);
             ledger.set_grouped(true, start);
             ledger
         };
--- a/tests/quota_ledger.rs
+++ b/tests/quota_limiter.rs
@@ -6,7 +6,7 @@
 use cardamomgw::catalog::TokenRate;
 use cardamomgw::quota::AccountUsage;
 use cardamomgw::quota::PriorityClass;
-use cardamomgw::quota::QuotaLedger;
+use cardamomgw::quota::QuotaLimiter;
 use cardamomgw::quota::QuotaRequest;
 use cardamomgw::quota::QuotaTolerance;
 use cardamomgw::quota::QuotaVerdict;
@@ -51,17 +51,17 @@
     QuotaRequest { lane: URGENT, cost }
 }
 
-fn ledger_from(start: Duration) -> QuotaLedger {
+fn ledger_from(start: Duration) -> QuotaLimiter {
     ledger_among(1, start)
 }
 
-fn ledger_among(hosts: usize, start: Duration) -> QuotaLedger {
+fn ledger_among(hosts: usize, start: Duration) -> QuotaLimiter {
     let tolerance = QuotaTolerance {
         window: WINDOW,
         overage: 0.25,
         slack: 1000.0,
     };
-    QuotaLedger::new(tolerance, hosts, start)
+    QuotaLimiter::new(tolerance, hosts, start)
 }
 
 fn millis(millis: u64) -> Duration {
@@ -70,7 +70,7 @@
 
 /// Hosts that tell each other what they let in.
 struct SpendWorld {
-    ledgers: Vec<QuotaLedger>,
+    ledgers: Vec<QuotaLimiter>,
     chance: ChaCha8Rng,
     /// What was let in: when, at which host and how much.
     spent: Vec<(Duration, usize, f64)>,
