--- a/src/edge/quota_filter.rs
+++ b/src/edge/quota_filter.rs
@@ -6,8 +6,8 @@
 use crate::clock::boot_now;
 use crate::errors::ErrorKind;
 use crate::quota::PriorityClass;
+use crate::quota::QuotaDecision;
 use crate::quota::QuotaRequest;
-use crate::quota::QuotaVerdict;
 
 /// When a caller may come back that asked beyond its account's allowance, in objectives
 /// of its route: soon enough that its second try can still be in time, and spread, so
@@ -44,8 +44,8 @@
         .quotas()
         .spend(account, request, boot_now(), rand::random());
     match verdict {
-        QuotaVerdict::Within => Ok(()),
-        QuotaVerdict::Beyond => {
+        QuotaDecision::Admitted => Ok(()),
+        QuotaDecision::Rejected => {
             let spread = LEAST_RETURN + RETURN_SPREAD * rand::random::<f64>();
             let wait = routed.objective.mul_f64(spread);
             Err((EdgeRefusal::after(ErrorKind::AccountLimit, wait), cost))
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -55,11 +55,11 @@
 
 /// Whether a request is within its account's allowance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum QuotaVerdict {
+pub enum QuotaDecision {
     /// It is, and was counted.
-    Within,
+    Admitted,
     /// It is not.
-    Beyond,
+    Rejected,
 }
 
 /// For how long sums over peers serve several reports.
@@ -172,9 +172,9 @@
         request: QuotaRequest,
         now: Duration,
         spread: f64,
-    ) -> QuotaVerdict {
+    ) -> QuotaDecision {
         let Some(allowance) = account.allowance else {
-            return QuotaVerdict::Within;
+            return QuotaDecision::Admitted;
         };
         let window = self.tolerance.window;
         let state = self.accounts.get_or_insert_with(account.name.clone(), || {
@@ -190,7 +190,7 @@
         }
         match self.accounts.get_mut(&account.name) {
             Some(state) => state.spend(request, now, spread),
-            None => QuotaVerdict::Beyond,
+            None => QuotaDecision::Rejected,
         }
     }
 
@@ -544,17 +544,17 @@
         }
     }
 
-    fn spend(&mut self, request: QuotaRequest, now: Duration, spread: f64) -> QuotaVerdict {
+    fn spend(&mut self, request: QuotaRequest, now: Duration, spread: f64) -> QuotaDecision {
         if let Some(plan) = &mut self.plan {
             let enough = plan.left + plan.overdraft >= request.cost;
             if !enough || spread >= plan.part(request.lane) {
-                return QuotaVerdict::Beyond;
+                return QuotaDecision::Rejected;
             }
             plan.left -= request.cost;
         }
         self.window.add(request.cost, now);
         self.own_total += request.cost;
-        QuotaVerdict::Within
+        QuotaDecision::Admitted
     }
 
     /// Counts what a peer spent since `since`, as far as it lies in this host's life.
--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -6,10 +6,10 @@
 use cardamomgw::catalog::TokenRate;
 use cardamomgw::members::hash_host;
 use cardamomgw::quota::PriorityClass;
+use cardamomgw::quota::QuotaDecision;
 use cardamomgw::quota::QuotaLimiter;
 use cardamomgw::quota::QuotaRequest;
 use cardamomgw::quota::QuotaTolerance;
-use cardamomgw::quota::QuotaVerdict;
 use cardamomgw::quota::UsageReport;
 use cardamomgw::quota::UsageScope;
 use rand::RngExt;
@@ -107,8 +107,8 @@
             };
             let spread = self.chance.random::<f64>();
             match self.ledgers[host].spend(&account(), request, now, spread) {
-                QuotaVerdict::Within => self.admitted.push((now, cost)),
-                QuotaVerdict::Beyond => self.refused += 1,
+                QuotaDecision::Admitted => self.admitted.push((now, cost)),
+                QuotaDecision::Rejected => self.refused += 1,
             }
         }
     }
--- a/tests/quota_limiter.rs
+++ b/tests/quota_limiter.rs
@@ -6,10 +6,10 @@
 use cardamomgw::catalog::TokenRate;
 use cardamomgw::quota::AccountUsage;
 use cardamomgw::quota::PriorityClass;
+use cardamomgw::quota::QuotaDecision;
 use cardamomgw::quota::QuotaLimiter;
 use cardamomgw::quota::QuotaRequest;
 use cardamomgw::quota::QuotaTolerance;
-use cardamomgw::quota::QuotaVerdict;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -94,7 +94,8 @@
         now: Duration,
     ) -> bool {
         let spread = self.chance.random::<f64>();
-        let within = self.ledgers[host].spend(account, wish, now, spread) == QuotaVerdict::Within;
+        let within =
+            self.ledgers[host].spend(account, wish, now, spread) == QuotaDecision::Admitted;
         if within {
             self.spent.push((now, host, wish.cost));
         }
@@ -189,7 +190,7 @@
         let now = Duration::from_secs(20) + millis(step * 100);
         let host = step as usize % 3;
         let verdict = world.ledgers[host].spend(&account, wish(95.0), now, 0.999);
-        assert_eq!(verdict, QuotaVerdict::Within, "at {now:?}");
+        assert_eq!(verdict, QuotaDecision::Admitted, "at {now:?}");
         world.tell_all(&group, OLD_LIFE, now);
     }
 }
@@ -351,7 +352,7 @@
     let now = Duration::from_secs(28);
     let verdict = ledger.spend(&after, wish(20.0), now, 0.999);
 
-    assert_eq!(verdict, QuotaVerdict::Within);
+    assert_eq!(verdict, QuotaDecision::Admitted);
 }
 
 /// A host says that it leaves and goes on telling until its end. What it had spent
@@ -371,7 +372,7 @@
 
     let later = start + millis(1200);
     let verdict = ledger.spend(&account, wish(1000.0), later, 0.999);
-    assert_eq!(verdict, QuotaVerdict::Within);
+    assert_eq!(verdict, QuotaDecision::Admitted);
 }
 
 /// A host is cut off from one of two peers, which serves the same account. Each
@@ -443,7 +444,7 @@
     ledger.take_peer("e2".into(), 1, OLD_LIFE, told(10_000.0), healed);
 
     let verdict = ledger.spend(&account, wish(100.0), healed, 0.999);
-    assert_eq!(verdict, QuotaVerdict::Within);
+    assert_eq!(verdict, QuotaDecision::Admitted);
 }
 
 /// All hosts of a fleet were killed and started again. Until they found each other,
@@ -460,7 +461,7 @@
     ledger.take_peer("e2".into(), 1, millis(900), told(3000.0), met);
 
     let verdict = ledger.spend(&account, wish(500.0), met, 0.5);
-    assert_eq!(verdict, QuotaVerdict::Beyond);
+    assert_eq!(verdict, QuotaDecision::Rejected);
 }
 
 /// In a large fleet each host hears of another one once a second. An account that
