--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -112,12 +112,12 @@
         self.set_role(Arc::clone(&role));
         let mut quotas = self.quotas();
         quotas.set_grouped(role.layout.is_grouped(), now);
-        quotas.note_hosts(role.layout.host_count(), now);
+        quotas.set_host_count(role.layout.host_count(), now);
         let members = self.members();
         let seen = members.size().max(1);
         let unseen = seen - 1 - members.seen_count(now).min(seen - 1);
         let unseen_part = unseen as f64 / (seen - 1).max(1) as f64;
-        quotas.note_sightings(|host| members.unseen_for(host, now), unseen_part, now);
+        quotas.set_unseen_hosts(|host| members.unseen_for(host, now), unseen_part, now);
         let turn = (!role.is_joining).then(|| members.own_position());
         drop(members);
         drop(quotas);
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -91,9 +91,9 @@
         silent: message.silent,
     };
     let mut quotas = state.quotas();
-    quotas.take_report(host.clone(), report, now);
+    quotas.record_report(host.clone(), report, now);
     if message.own.leaving {
-        quotas.note_left(&host);
+        quotas.mark_departed(&host);
     }
     drop(quotas);
     if let Some(loads) = message.loads {
--- a/src/edge/local_digest.rs
+++ b/src/edge/local_digest.rs
@@ -183,7 +183,7 @@
         let mut ledger = self.quotas();
         match request.scope {
             None => (Vec::new(), SilentHosts::default()),
-            Some(UsageScope::Host) => (ledger.own_spending(all, now), SilentHosts::default()),
+            Some(UsageScope::Host) => (ledger.own_usage(all, now), SilentHosts::default()),
             Some(UsageScope::Group) => ledger.group_usage(all, now),
             Some(UsageScope::Fleet) => ledger.fleet_usage(request.receiver, all, now),
         }
--- a/src/edge/quota_filter.rs
+++ b/src/edge/quota_filter.rs
@@ -42,7 +42,7 @@
     };
     let verdict = state
         .quotas()
-        .spend(account, request, boot_now(), rand::random());
+        .try_consume(account, request, boot_now(), rand::random());
     match verdict {
         QuotaDecision::Admitted => Ok(()),
         QuotaDecision::Rejected => {
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -158,7 +158,7 @@
     /// spend their part all the same.
     ///
     /// A host that has just started knows of fewer than there are.
-    pub fn note_hosts(&mut self, hosts: usize, now: Duration) {
+    pub fn set_host_count(&mut self, hosts: usize, now: Duration) {
         if now.saturating_sub(self.born) >= SILENCE_BOUND || hosts > self.hosts {
             self.hosts = hosts;
         }
@@ -166,7 +166,7 @@
 
     /// Counts a request if it is within the account's allowance; `spread` is 0 to 1,
     /// evenly.
-    pub fn spend(
+    pub fn try_consume(
         &mut self,
         account: &ClientAccount,
         request: QuotaRequest,
@@ -189,7 +189,7 @@
             self.make_plan(&account.name, rate, now);
         }
         match self.accounts.get_mut(&account.name) {
-            Some(state) => state.spend(request, now, spread),
+            Some(state) => state.try_consume(request, now, spread),
             None => QuotaDecision::Rejected,
         }
     }
@@ -197,7 +197,7 @@
     /// Returns what this host tells a peer: of the accounts that were asked for lately, or
     /// of `all`. To a peer that was told of all once, the totals of the others stand as they
     /// were.
-    pub fn own_spending(&mut self, all: bool, now: Duration) -> Vec<AccountUsage> {
+    pub fn own_usage(&mut self, all: bool, now: Duration) -> Vec<AccountUsage> {
         let accounts = self.accounts.iter_mut();
         accounts
             .map(|(account, state)| AccountUsage {
@@ -244,7 +244,7 @@
     /// Notes which hosts nobody has seen lately: those of a peer that fell silent may
     /// report elsewhere. `unseen_for` says for how long a host was not seen, and
     /// `unseen_part` which part of all hosts was not.
-    pub fn note_sightings(
+    pub fn set_unseen_hosts(
         &mut self,
         unseen_for: impl Fn(u32) -> Option<Duration>,
         unseen_part: f64,
@@ -265,7 +265,7 @@
     }
 
     /// Takes what a peer told of itself in its present life of `age`.
-    pub fn take_peer(
+    pub fn record_host_usage(
         &mut self,
         host: HostName,
         incarnation: IncarnationId,
@@ -273,11 +273,11 @@
         usage: Vec<AccountUsage>,
         now: Duration,
     ) {
-        self.take_report(host, UsageReport::of_host(incarnation, age, usage), now);
+        self.record_report(host, UsageReport::of_host(incarnation, age, usage), now);
     }
 
     /// Takes a peer's report.
-    pub fn take_report(&mut self, host: HostName, report: UsageReport, now: Duration) {
+    pub fn record_report(&mut self, host: HostName, report: UsageReport, now: Duration) {
         let UsageReport {
             incarnation, age, ..
         } = report;
@@ -375,7 +375,7 @@
 
     /// Notes that a host has left: it spends nothing any more. What it spent still
     /// counts, and is not taken twice if it goes on telling until its end.
-    pub fn note_left(&mut self, host: &str) {
+    pub fn mark_departed(&mut self, host: &str) {
         if let Some(peer) = self.peers.get_mut(host) {
             peer.left = true;
         }
@@ -544,7 +544,7 @@
         }
     }
 
-    fn spend(&mut self, request: QuotaRequest, now: Duration, spread: f64) -> QuotaDecision {
+    fn try_consume(&mut self, request: QuotaRequest, now: Duration, spread: f64) -> QuotaDecision {
         if let Some(plan) = &mut self.plan {
             let enough = plan.left + plan.overdraft >= request.cost;
             if !enough || spread >= plan.part(request.lane) {
--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -106,7 +106,7 @@
                 cost,
             };
             let spread = self.chance.random::<f64>();
-            match self.ledgers[host].spend(&account(), request, now, spread) {
+            match self.ledgers[host].try_consume(&account(), request, now, spread) {
                 QuotaDecision::Admitted => self.admitted.push((now, cost)),
                 QuotaDecision::Rejected => self.refused += 1,
             }
@@ -144,7 +144,7 @@
                 false => Some(Duration::from_millis(500)),
             };
             for ledger in &mut self.ledgers {
-                ledger.note_sightings(unseen_for, 1.0, now);
+                ledger.set_unseen_hosts(unseen_for, 1.0, now);
             }
         }
     }
@@ -153,7 +153,7 @@
         let receiver = name_of(to);
         let ledger = &mut self.ledgers[from];
         let (accounts, silent) = match scope {
-            UsageScope::Host => (ledger.own_spending(false, now), Default::default()),
+            UsageScope::Host => (ledger.own_usage(false, now), Default::default()),
             UsageScope::Group => ledger.group_usage(false, now),
             UsageScope::Fleet => ledger.fleet_usage(&receiver, false, now),
         };
@@ -176,7 +176,7 @@
             accounts,
             silent,
         };
-        self.ledgers[to].take_report(name_of(from), report, now);
+        self.ledgers[to].record_report(name_of(from), report, now);
     }
 
     /// Returns the most that was admitted in any window that ends behind `from`.
--- a/tests/quota_limiter.rs
+++ b/tests/quota_limiter.rs
@@ -95,7 +95,7 @@
     ) -> bool {
         let spread = self.chance.random::<f64>();
         let within =
-            self.ledgers[host].spend(account, wish, now, spread) == QuotaDecision::Admitted;
+            self.ledgers[host].try_consume(account, wish, now, spread) == QuotaDecision::Admitted;
         if within {
             self.spent.push((now, host, wish.cost));
         }
@@ -120,16 +120,16 @@
 
     /// Lets one host tell another one.
     fn tell(&mut self, from: usize, to: usize, life: Duration, now: Duration) {
-        let told = self.ledgers[from].own_spending(false, now);
-        self.ledgers[to].take_peer(format!("e{from}"), 1, life, told, now);
+        let told = self.ledgers[from].own_usage(false, now);
+        self.ledgers[to].record_host_usage(format!("e{from}"), 1, life, told, now);
     }
 
     /// Lets each host of a group tell all others of it.
     fn tell_all(&mut self, group: &[usize], life: Duration, now: Duration) {
         for from in group {
-            let told: Vec<AccountUsage> = self.ledgers[*from].own_spending(false, now);
+            let told: Vec<AccountUsage> = self.ledgers[*from].own_usage(false, now);
             for to in group.iter().filter(|to| *to != from) {
-                self.ledgers[*to].take_peer(format!("e{from}"), 1, life, told.clone(), now);
+                self.ledgers[*to].record_host_usage(format!("e{from}"), 1, life, told.clone(), now);
             }
         }
     }
@@ -189,7 +189,7 @@
     for step in 0..400 {
         let now = Duration::from_secs(20) + millis(step * 100);
         let host = step as usize % 3;
-        let verdict = world.ledgers[host].spend(&account, wish(95.0), now, 0.999);
+        let verdict = world.ledgers[host].try_consume(&account, wish(95.0), now, 0.999);
         assert_eq!(verdict, QuotaDecision::Admitted, "at {now:?}");
         world.tell_all(&group, OLD_LIFE, now);
     }
@@ -346,11 +346,11 @@
     let mut ledger = ledger_from(Duration::ZERO);
     for step in 0..80 {
         let now = Duration::from_secs(20) + millis(step * 100);
-        ledger.spend(&before, wish(100.0), now, 0.999);
+        ledger.try_consume(&before, wish(100.0), now, 0.999);
     }
 
     let now = Duration::from_secs(28);
-    let verdict = ledger.spend(&after, wish(20.0), now, 0.999);
+    let verdict = ledger.try_consume(&after, wish(20.0), now, 0.999);
 
     assert_eq!(verdict, QuotaDecision::Admitted);
 }
@@ -362,16 +362,16 @@
     let account = account_with(1000.0, 1000.0);
     let mut ledger = ledger_from(Duration::ZERO);
     let start = Duration::from_secs(20);
-    ledger.spend(&account, wish(10.0), start, 0.5);
-    ledger.take_peer("e2".into(), 1, OLD_LIFE, told(0.0), start);
+    ledger.try_consume(&account, wish(10.0), start, 0.5);
+    ledger.record_host_usage("e2".into(), 1, OLD_LIFE, told(0.0), start);
 
     for _ in 0..5 {
-        ledger.take_peer("e2".into(), 1, OLD_LIFE, told(500.0), start);
-        ledger.note_left("e2");
+        ledger.record_host_usage("e2".into(), 1, OLD_LIFE, told(500.0), start);
+        ledger.mark_departed("e2");
     }
 
     let later = start + millis(1200);
-    let verdict = ledger.spend(&account, wish(1000.0), later, 0.999);
+    let verdict = ledger.try_consume(&account, wish(1000.0), later, 0.999);
     assert_eq!(verdict, QuotaDecision::Admitted);
 }
 
@@ -438,12 +438,12 @@
 fn what_a_host_spent_behind_a_cut_counts_for_when_it_was_spent() {
     let account = account_with(1000.0, 1000.0);
     let mut ledger = ledger_from(Duration::ZERO);
-    ledger.take_peer("e2".into(), 1, OLD_LIFE, told(0.0), Duration::from_secs(20));
+    ledger.record_host_usage("e2".into(), 1, OLD_LIFE, told(0.0), Duration::from_secs(20));
 
     let healed = Duration::from_secs(40);
-    ledger.take_peer("e2".into(), 1, OLD_LIFE, told(10_000.0), healed);
+    ledger.record_host_usage("e2".into(), 1, OLD_LIFE, told(10_000.0), healed);
 
-    let verdict = ledger.spend(&account, wish(100.0), healed, 0.999);
+    let verdict = ledger.try_consume(&account, wish(100.0), healed, 0.999);
     assert_eq!(verdict, QuotaDecision::Admitted);
 }
 
@@ -455,12 +455,12 @@
     let account = account_with(1000.0, 1000.0);
     let start = Duration::from_secs(100);
     let mut ledger = ledger_from(start);
-    ledger.spend(&account, wish(10.0), start, 0.5);
+    ledger.try_consume(&account, wish(10.0), start, 0.5);
 
     let met = start + millis(800);
-    ledger.take_peer("e2".into(), 1, millis(900), told(3000.0), met);
+    ledger.record_host_usage("e2".into(), 1, millis(900), told(3000.0), met);
 
-    let verdict = ledger.spend(&account, wish(500.0), met, 0.5);
+    let verdict = ledger.try_consume(&account, wish(500.0), met, 0.5);
     assert_eq!(verdict, QuotaDecision::Rejected);
 }
 
