--- a/src/edge/quota_filter.rs
+++ b/src/edge/quota_filter.rs
@@ -34,7 +34,7 @@
     };
     let cost = cost as f64;
     let request = QuotaRequest {
-        lane: PriorityClass {
+        priority_class: PriorityClass {
             tier: routed.priority.route,
             metered: account.counts_tokens && routed.usage.is_some(),
         },
--- a/src/quota/demand_track.rs
+++ b/src/quota/demand_track.rs
@@ -35,10 +35,10 @@
     }
 
     /// Counts a request.
-    pub(super) fn note(&mut self, lane: PriorityClass, cost: f64, now: Duration) {
+    pub(super) fn note(&mut self, priority_class: PriorityClass, cost: f64, now: Duration) {
         self.decay(now);
         let demand = ClassDemand {
-            lane,
+            priority_class,
             per_second: cost / MEMORY.as_secs_f64(),
         };
         add_demand(&mut self.demands, demand);
@@ -76,7 +76,7 @@
 
 /// Adds a demand to those of its lane; `demands` stay sorted by lane.
 pub(super) fn add_demand(demands: &mut Vec<ClassDemand>, more: ClassDemand) {
-    match demands.binary_search_by_key(&more.lane, |demand| demand.lane) {
+    match demands.binary_search_by_key(&more.priority_class, |demand| demand.priority_class) {
         Ok(index) => demands[index].per_second += more.per_second,
         Err(index) => demands.insert(index, more),
     }
@@ -84,7 +84,9 @@
 
 /// Takes a demand from those of its lane.
 pub(super) fn subtract_demand(demands: &mut Vec<ClassDemand>, less: ClassDemand) {
-    if let Ok(index) = demands.binary_search_by_key(&less.lane, |demand| demand.lane) {
+    if let Ok(index) =
+        demands.binary_search_by_key(&less.priority_class, |demand| demand.priority_class)
+    {
         demands[index].per_second -= less.per_second;
         if demands[index].per_second <= LEAST_RATE {
             demands.remove(index);
--- a/src/quota/priority_split.rs
+++ b/src/quota/priority_split.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClassDemand {
     /// The kind.
-    pub lane: PriorityClass,
+    pub priority_class: PriorityClass,
     /// Tokens a second, over all tries.
     pub per_second: f64,
 }
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaRequest {
     /// Its kind.
-    pub lane: PriorityClass,
+    pub priority_class: PriorityClass,
     /// What it counts.
     pub cost: f64,
 }
@@ -180,7 +180,7 @@
         let state = self.accounts.get_or_insert_with(account.name.clone(), || {
             AccountState::new(window, self.born)
         });
-        state.demand.note(request.lane, request.cost, now);
+        state.demand.note(request.priority_class, request.cost, now);
         let phase = state.phase.get_or_insert(PhasedAllowance::new(allowance));
         let allowance = phase.now(allowance, window, now);
         let rate = self.tolerance.spend_rate(allowance);
@@ -547,7 +547,7 @@
     fn try_consume(&mut self, request: QuotaRequest, now: Duration, spread: f64) -> QuotaDecision {
         if let Some(plan) = &mut self.plan {
             let enough = plan.left + plan.overdraft >= request.cost;
-            if !enough || spread >= plan.part(request.lane) {
+            if !enough || spread >= plan.part(request.priority_class) {
                 return QuotaDecision::Rejected;
             }
             plan.left -= request.cost;
@@ -594,10 +594,10 @@
 
 impl SharePlan {
     /// Returns the part of a kind that is admitted, 0 to 1.
-    fn part(&self, lane: PriorityClass) -> f64 {
+    fn part(&self, priority_class: PriorityClass) -> f64 {
         let found = self
             .demands
-            .binary_search_by_key(&lane, |demand| demand.lane);
+            .binary_search_by_key(&priority_class, |demand| demand.priority_class);
         // Nothing of the kind was asked for lately: it is not what asks too much.
         found.map_or(1.0, |index| self.parts[index])
     }
--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -99,7 +99,7 @@
                 continue;
             }
             let request = QuotaRequest {
-                lane: PriorityClass {
+                priority_class: PriorityClass {
                     tier: 0,
                     metered: true,
                 },
--- a/tests/quota_limiter.rs
+++ b/tests/quota_limiter.rs
@@ -48,7 +48,10 @@
 };
 
 fn wish(cost: f64) -> QuotaRequest {
-    QuotaRequest { lane: URGENT, cost }
+    QuotaRequest {
+        priority_class: URGENT,
+        cost,
+    }
 }
 
 fn ledger_from(start: Duration) -> QuotaLimiter {
@@ -263,9 +266,17 @@
                 (PLAIN, 5.0),
             ];
             let rates = [2000.0, 2000.0, 4000.0, 100.0];
-            for (kind, (lane, cost)) in kinds.into_iter().enumerate() {
+            for (kind, (priority_class, cost)) in kinds.into_iter().enumerate() {
                 if world.chance.random::<f64>() < rates[kind] * 0.01 / cost {
-                    let within = world.ask(host, &account, QuotaRequest { lane, cost }, now);
+                    let within = world.ask(
+                        host,
+                        &account,
+                        QuotaRequest {
+                            priority_class,
+                            cost,
+                        },
+                        now,
+                    );
                     counts[kind][0] += 1.0;
                     counts[kind][1] += f64::from(u8::from(within));
                 }
