--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -88,7 +88,7 @@
             UsageScope::Fleet => Vec::new(),
         },
         accounts: message.usage,
-        silent: message.silent,
+        unresponsive: message.unresponsive,
     };
     let mut quotas = state.quotas();
     quotas.record_report(host.clone(), report, now);
--- a/src/edge/local_digest.rs
+++ b/src/edge/local_digest.rs
@@ -13,7 +13,7 @@
 use crate::members::MemberNote;
 use crate::members::hash_host;
 use crate::quota::AccountUsage;
-use crate::quota::SilentHosts;
+use crate::quota::UnresponsiveHosts;
 use crate::quota::UsageScope;
 use crate::sorted::SortedMap;
 use crate::view::ViewUpdate;
@@ -108,7 +108,7 @@
         let new = request.new || is_young(life);
         let since = request.since.unwrap_or(now.saturating_sub(CHANGE_TIME));
         let (revision, catalog) = self.view.marks();
-        let (usage, silent) = self.usage_for(request, new, now);
+        let (usage, unresponsive) = self.usage_for(request, new, now);
         let message = GossipMessage {
             own: self.own_note(),
             life_ms: life.as_millis() as u64,
@@ -132,7 +132,7 @@
                 _ => Vec::new(),
             },
             usage,
-            silent,
+            unresponsive,
             limits: self.queue.lock_table().changed_limits(new, since, now),
             poison: self.poison.changed_entries(new, since),
         };
@@ -179,11 +179,11 @@
         request: MessageRequest<'_>,
         all: bool,
         now: Duration,
-    ) -> (Vec<AccountUsage>, SilentHosts) {
+    ) -> (Vec<AccountUsage>, UnresponsiveHosts) {
         let mut ledger = self.quotas();
         match request.scope {
-            None => (Vec::new(), SilentHosts::default()),
-            Some(UsageScope::Host) => (ledger.own_usage(all, now), SilentHosts::default()),
+            None => (Vec::new(), UnresponsiveHosts::default()),
+            Some(UsageScope::Host) => (ledger.own_usage(all, now), UnresponsiveHosts::default()),
             Some(UsageScope::Group) => ledger.group_usage(all, now),
             Some(UsageScope::Fleet) => ledger.fleet_usage(request.receiver, all, now),
         }
--- a/src/members/gossip_message.rs
+++ b/src/members/gossip_message.rs
@@ -17,7 +17,7 @@
 use crate::ids::ZoneName;
 use crate::poison::PoisonEntry;
 use crate::quota::AccountUsage;
-use crate::quota::SilentHosts;
+use crate::quota::UnresponsiveHosts;
 use crate::quota::UsageScope;
 use crate::view::ViewUpdate;
 
@@ -98,7 +98,7 @@
     /// What was admitted lately of each account's quota.
     pub usage: Vec<AccountUsage>,
     /// Hosts of the scope that are silent.
-    pub silent: SilentHosts,
+    pub unresponsive: UnresponsiveHosts,
     /// Limits that targets name, as far as they changed.
     pub limits: Vec<TargetLimit>,
     /// Requests that targets were lost to.
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -12,7 +12,7 @@
 mod usage_window;
 
 pub use peer_usage::AccountUsage;
-pub use peer_usage::SilentHosts;
+pub use peer_usage::UnresponsiveHosts;
 pub use peer_usage::UsageReport;
 pub use peer_usage::UsageScope;
 pub use priority_split::ClassDemand;
--- a/src/quota/peer_usage.rs
+++ b/src/quota/peer_usage.rs
@@ -27,7 +27,7 @@
     /// What is asked for now, by kind, sorted.
     pub demands: Vec<ClassDemand>,
     /// The share of the account's work that silent hosts of the report get, 0 to 1.
-    pub silent: f64,
+    pub unresponsive_share: f64,
 }
 
 /// Whose usage a report tells.
@@ -43,7 +43,7 @@
 
 /// Hosts of a report that are silent and may serve callers all the same.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SilentHosts {
+pub struct UnresponsiveHosts {
     /// How many.
     pub hosts: u16,
     /// For how long the first of them has been, in milliseconds.
@@ -66,7 +66,7 @@
     /// The usage, sorted by account.
     pub accounts: Vec<AccountUsage>,
     /// Silent hosts among those that it covers.
-    pub silent: SilentHosts,
+    pub unresponsive: UnresponsiveHosts,
 }
 
 /// What a peer told of an account, and how much of the account's work it gets.
@@ -86,7 +86,7 @@
     pub(super) scope: UsageScope,
     pub(super) covered: Vec<u32>,
     pub(super) hosts: usize,
-    pub(super) silent: SilentHosts,
+    pub(super) unresponsive: UnresponsiveHosts,
     pub(super) heard: Duration,
     pub(super) left: bool,
     /// The part of its hosts that nobody has seen lately, 0 to 1.
@@ -105,7 +105,7 @@
             covered: Vec::new(),
             hosts: 1,
             accounts,
-            silent: SilentHosts::default(),
+            unresponsive: UnresponsiveHosts::default(),
         }
     }
 }
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -9,7 +9,7 @@
 use super::peer_usage::PeerAccount;
 use super::peer_usage::PeerUsage;
 use super::peer_usage::SILENCE_BOUND;
-use super::peer_usage::SilentHosts;
+use super::peer_usage::UnresponsiveHosts;
 use super::peer_usage::UsageReport;
 use super::peer_usage::UsageScope;
 use super::peer_usage::untold_of;
@@ -124,7 +124,7 @@
 struct UsageSums {
     made: Duration,
     accounts: Vec<AccountUsage>,
-    silent: SilentHosts,
+    unresponsive: UnresponsiveHosts,
 }
 
 impl QuotaLimiter {
@@ -204,18 +204,22 @@
                 account: account.clone(),
                 total: state.own_total,
                 demands: state.demand.demands(now),
-                silent: 0.0,
+                unresponsive_share: 0.0,
             })
             .filter(|told| told.is_reported(all))
             .collect()
     }
 
     /// Returns what this host tells other leaders of the hosts that report to it.
-    pub fn group_usage(&mut self, all: bool, now: Duration) -> (Vec<AccountUsage>, SilentHosts) {
+    pub fn group_usage(
+        &mut self,
+        all: bool,
+        now: Duration,
+    ) -> (Vec<AccountUsage>, UnresponsiveHosts) {
         let sums = self.sums(UsageScope::Group, now);
         let wanted = sums.accounts.into_iter();
         let accounts = wanted.filter(|told| told.is_reported(all));
-        (accounts.collect(), sums.silent)
+        (accounts.collect(), sums.unresponsive)
     }
 
     /// Returns what this host tells one that reports to it of all others.
@@ -224,7 +228,7 @@
         receiver: &str,
         all: bool,
         now: Duration,
-    ) -> (Vec<AccountUsage>, SilentHosts) {
+    ) -> (Vec<AccountUsage>, UnresponsiveHosts) {
         let mut sums = self.sums(UsageScope::Fleet, now);
         let own = self.peers.get(receiver);
         for told in &mut sums.accounts {
@@ -238,7 +242,7 @@
         }
         let wanted = sums.accounts.into_iter();
         let accounts = wanted.filter(|told| told.is_reported(all));
-        (accounts.collect(), sums.silent)
+        (accounts.collect(), sums.unresponsive)
     }
 
     /// Notes which hosts nobody has seen lately: those of a peer that fell silent may
@@ -342,7 +346,7 @@
             scope: report.scope,
             covered: report.covered,
             hosts: report.hosts.max(1),
-            silent: report.silent,
+            unresponsive: report.unresponsive,
             heard: now,
             left: false,
             unseen: 1.0,
@@ -447,10 +451,13 @@
                 let even = EVEN_PART * peer.hosts as f64 / hosts;
                 let part = (even + (1.0 - EVEN_PART) * asked) * peer.unseen;
                 parts.push((part, now.saturating_sub(peer.heard)));
-            } else if peer.silent.hosts > 0 {
-                let asked = account.map_or(0.0, |account| account.told.silent);
-                let part = EVEN_PART * f64::from(peer.silent.hosts) / hosts + asked;
-                parts.push((part, Duration::from_millis(u64::from(peer.silent.age_ms))));
+            } else if peer.unresponsive.hosts > 0 {
+                let asked = account.map_or(0.0, |account| account.told.unresponsive_share);
+                let part = EVEN_PART * f64::from(peer.unresponsive.hosts) / hosts + asked;
+                parts.push((
+                    part,
+                    Duration::from_millis(u64::from(peer.unresponsive.age_ms)),
+                ));
             }
         }
         parts.retain(|(part, _)| *part > 0.0);
@@ -495,19 +502,19 @@
                         UsageScope::Host | UsageScope::Fleet => state.relayed_total,
                     },
                 demands: state.demand.demands(now),
-                silent: 0.0,
+                unresponsive_share: 0.0,
             })
             .collect();
         let hosts = self.hosts.max(1) as f64;
-        let mut silent = SilentHosts::default();
+        let mut unresponsive = UnresponsiveHosts::default();
         for peer in self.peers_of(scope).filter(|peer| peer.counts(now)) {
             if peer.is_silent(now) {
                 let age = now.saturating_sub(peer.heard).as_millis() as u32;
-                silent.hosts += (peer.hosts as f64 * peer.unseen).round() as u16;
-                silent.age_ms = silent.age_ms.max(age);
+                unresponsive.hosts += (peer.hosts as f64 * peer.unseen).round() as u16;
+                unresponsive.age_ms = unresponsive.age_ms.max(age);
             } else {
-                silent.hosts += peer.silent.hosts;
-                silent.age_ms = silent.age_ms.max(peer.silent.age_ms);
+                unresponsive.hosts += peer.unresponsive.hosts;
+                unresponsive.age_ms = unresponsive.age_ms.max(peer.unresponsive.age_ms);
             }
         }
         for sum in &mut accounts {
@@ -518,14 +525,14 @@
                 }
             }
             let parts = self.silent_peer_parts(&sum.account, hosts, scope, now);
-            let even = EVEN_PART * f64::from(silent.hosts) / hosts;
+            let even = EVEN_PART * f64::from(unresponsive.hosts) / hosts;
             let all: f64 = parts.iter().map(|(part, _)| part).sum();
-            sum.silent = (all - even).max(0.0);
+            sum.unresponsive_share = (all - even).max(0.0);
         }
         UsageSums {
             made: now,
             accounts,
-            silent,
+            unresponsive,
         }
     }
 }
--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -152,7 +152,7 @@
     fn send(&mut self, from: usize, to: usize, scope: UsageScope, start: Duration, now: Duration) {
         let receiver = name_of(to);
         let ledger = &mut self.ledgers[from];
-        let (accounts, silent) = match scope {
+        let (accounts, unresponsive) = match scope {
             UsageScope::Host => (ledger.own_usage(false, now), Default::default()),
             UsageScope::Group => ledger.group_usage(false, now),
             UsageScope::Fleet => ledger.fleet_usage(&receiver, false, now),
@@ -174,7 +174,7 @@
             },
             covered,
             accounts,
-            silent,
+            unresponsive,
         };
         self.ledgers[to].record_report(name_of(from), report, now);
     }
--- a/tests/quota_limiter.rs
+++ b/tests/quota_limiter.rs
@@ -544,6 +544,6 @@
         account: "acme".into(),
         total,
         demands: Vec::new(),
-        silent: 0.0,
+        unresponsive_share: 0.0,
     }]
 }
