--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -109,9 +109,9 @@
 pub(super) fn merge_members(state: &EdgeState, message: &GossipMessage) {
     let now = boot_now();
     let mut members = state.members();
-    members.take_note(&message.own, now);
+    members.apply_record(&message.own, now);
     for note in &message.members {
-        members.take_note(note, now);
+        members.apply_record(note, now);
     }
     for sighting in &message.sightings {
         members.take_sighting(*sighting, now);
--- a/src/edge/local_digest.rs
+++ b/src/edge/local_digest.rs
@@ -10,7 +10,7 @@
 use crate::members::GossipMessage;
 use crate::members::HostSighting;
 use crate::members::LoadVersion;
-use crate::members::MemberNote;
+use crate::members::MemberRecord;
 use crate::members::hash_host;
 use crate::quota::AccountUsage;
 use crate::quota::UnresponsiveHosts;
@@ -161,9 +161,9 @@
         granted.grant(host, pools, now)
     }
 
-    fn own_note(&self) -> MemberNote {
+    fn own_note(&self) -> MemberRecord {
         let settings = self.settings.load();
-        MemberNote {
+        MemberRecord {
             host: settings.host.clone(),
             availability_zone: settings.availability_zone.clone(),
             address: settings.peer_address,
@@ -205,15 +205,15 @@
         request: MessageRequest<'_>,
         since: Duration,
         now: Duration,
-    ) -> Vec<MemberNote> {
+    ) -> Vec<MemberRecord> {
         let members = self.members();
         let known = (members.live_count(now) + 1) as f64;
         if (request.peer_hosts as f64) < known * KNOWN_PART {
-            return members.notes_from(0, FIRST_NOTES, now);
+            return members.records_from(0, FIRST_NOTES, now);
         }
         let turn = self.sent_state().take_note_turn(NOTES_A_MESSAGE);
-        let mut notes = members.notes_from(turn, NOTES_A_MESSAGE, now);
-        notes.extend(members.changed_notes(since, now));
+        let mut notes = members.records_from(turn, NOTES_A_MESSAGE, now);
+        notes.extend(members.changed_records(since, now));
         notes
     }
 
--- a/src/members/gossip_message.rs
+++ b/src/members/gossip_message.rs
@@ -31,7 +31,7 @@
 
 /// What a host knows of another one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct MemberNote {
+pub struct MemberRecord {
     /// The host.
     pub host: HostName,
     /// Its availability zone.
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GossipMessage {
     /// The host itself, aged 0.
-    pub own: MemberNote,
+    pub own: MemberRecord,
     /// How long its present life has lasted, in milliseconds.
     pub life_ms: u64,
     /// How many hosts it knows to serve, itself included.
@@ -69,7 +69,7 @@
     /// Whether it has its place in a group, and reports to a leader or is one.
     pub grouped: bool,
     /// Some of the other hosts that it knows.
-    pub members: Vec<MemberNote>,
+    pub members: Vec<MemberRecord>,
     /// When hosts were last seen: those of its group between leaders, some of all others.
     pub sightings: Vec<HostSighting>,
     /// The revision of the last change in its view of the fleet.
--- a/src/members/member_table.rs
+++ b/src/members/member_table.rs
@@ -6,7 +6,7 @@
 use super::HostHash;
 use super::HostPlace;
 use super::HostSighting;
-use super::MemberNote;
+use super::MemberRecord;
 use super::hash_host;
 use crate::dispatch::HostPosition;
 use crate::ids::HostName;
@@ -18,7 +18,7 @@
 /// sightings are up to 3 s old, and a restart takes about a second.
 const DEATH_BOUND: Duration = Duration::from_secs(5);
 /// How many hosts that joined or changed a message names at most.
-const MAX_CHANGED_NOTES: usize = 128;
+const MAX_CHANGED_RECORDS: usize = 128;
 /// Within which a host counts as seen: sightings are passed on over two hops.
 const SEEN_BOUND: Duration = Duration::from_secs(3);
 /// How long a dead host is remembered: as long as a cut is likely to last, since
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug)]
-struct MemberRow {
+struct MemberEntry {
     availability_zone: ZoneName,
     address: SocketAddr,
     capacity: u32,
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct MemberTable {
     own: HostName,
-    rows: SortedMap<HostName, MemberRow>,
+    rows: SortedMap<HostName, MemberEntry>,
     by_hash: SortedMap<HostHash, HostName>,
     /// Whether the set of addresses changed since it was last asked for.
     changed: bool,
@@ -73,7 +73,7 @@
     ///
     /// The younger word wins. A new life of a host replaces the old one at once:
     /// a host that was killed is back under its name before it counts as dead.
-    pub fn take_note(&mut self, note: &MemberNote, now: Duration) {
+    pub fn apply_record(&mut self, note: &MemberRecord, now: Duration) {
         if note.host == self.own {
             return;
         }
@@ -88,7 +88,7 @@
             }
             return;
         }
-        let row = MemberRow {
+        let row = MemberEntry {
             availability_zone: note.availability_zone.clone(),
             address: note.address,
             capacity: note.capacity,
@@ -193,14 +193,14 @@
 
     /// Returns what to tell peers of the other hosts; dead ones are left out, or
     /// hosts would bring them back to each other for ever.
-    pub fn notes(&self, now: Duration) -> Vec<MemberNote> {
-        self.notes_from(0, self.rows.len(), now)
+    pub fn records(&self, now: Duration) -> Vec<MemberRecord> {
+        self.records_from(0, self.rows.len(), now)
     }
 
     /// Returns what to tell peers of `count` hosts from the `skipped`th on, around.
-    pub fn notes_from(&self, skipped: usize, count: usize, now: Duration) -> Vec<MemberNote> {
+    pub fn records_from(&self, skipped: usize, count: usize, now: Duration) -> Vec<MemberRecord> {
         let rows = self.live_rows(skipped, count, now);
-        rows.map(|(host, row)| row.note(host, now)).collect()
+        rows.map(|(host, row)| row.record(host, now)).collect()
     }
 
     /// Returns those that live of `count` hosts from the `skipped`th on, around.
@@ -209,7 +209,7 @@
         skipped: usize,
         count: usize,
         now: Duration,
-    ) -> impl Iterator<Item = (&HostName, &MemberRow)> {
+    ) -> impl Iterator<Item = (&HostName, &MemberEntry)> {
         let hosts = self.rows.len();
         let rows = self.rows.iter().cycle().skip(skipped % hosts.max(1));
         rows.take(count.min(hosts))
@@ -217,12 +217,12 @@
     }
 
     /// Returns what to tell of hosts that joined or changed since then.
-    pub fn changed_notes(&self, since: Duration, now: Duration) -> Vec<MemberNote> {
+    pub fn changed_records(&self, since: Duration, now: Duration) -> Vec<MemberRecord> {
         let rows = self.rows.iter();
         rows.filter(|(_, row)| row.changed_at >= since)
             .filter(|(_, row)| now.saturating_sub(row.heard) < DEATH_BOUND)
-            .take(MAX_CHANGED_NOTES)
-            .map(|(host, row)| row.note(host, now))
+            .take(MAX_CHANGED_RECORDS)
+            .map(|(host, row)| row.record(host, now))
             .collect()
     }
 
@@ -265,8 +265,8 @@
     }
 }
 
-impl MemberRow {
-    fn renew(&mut self, note: &MemberNote, heard: Duration, now: Duration) {
+impl MemberEntry {
+    fn renew(&mut self, note: &MemberRecord, heard: Duration, now: Duration) {
         if self.incarnation != note.incarnation || self.leaving != note.leaving {
             self.changed_at = now;
         }
@@ -278,8 +278,8 @@
         self.leaving = note.leaving;
     }
 
-    fn note(&self, host: &HostName, now: Duration) -> MemberNote {
-        MemberNote {
+    fn record(&self, host: &HostName, now: Duration) -> MemberRecord {
+        MemberRecord {
             host: host.clone(),
             availability_zone: self.availability_zone.clone(),
             address: self.address,
--- a/src/members/mod.rs
+++ b/src/members/mod.rs
@@ -12,7 +12,7 @@
 pub use gossip_message::GossipMessage;
 pub use gossip_message::HostHash;
 pub use gossip_message::HostSighting;
-pub use gossip_message::MemberNote;
+pub use gossip_message::MemberRecord;
 pub use gossip_message::hash_host;
 pub use gossip_schedule::DuePeer;
 pub use gossip_schedule::GossipPeer;
--- a/tests/members_table.rs
+++ b/tests/members_table.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cardamomgw::members::MemberNote;
+use cardamomgw::members::MemberRecord;
 use cardamomgw::members::MemberState;
 use cardamomgw::members::MemberTable;
 
@@ -10,8 +10,8 @@
     Duration::from_secs(seconds)
 }
 
-fn note(host: &str, incarnation: u64, age_ms: u32) -> MemberNote {
-    MemberNote {
+fn record(host: &str, incarnation: u64, age_ms: u32) -> MemberRecord {
+    MemberRecord {
         host: host.into(),
         availability_zone: "za".into(),
         address: ([127, 0, 0, 1], 7000).into(),
@@ -31,7 +31,7 @@
 #[test]
 fn a_host_that_nobody_hears_of_is_dead_and_still_called() {
     let mut table = MemberTable::new("e1".into());
-    table.take_note(&note("e2", 1, 0), seconds(100));
+    table.apply_record(&record("e2", 1, 0), seconds(100));
 
     assert_eq!(
         state_of(&table, "e2", seconds(101)),
@@ -47,7 +47,7 @@
         "a cut that heals must be noticed"
     );
     assert!(
-        table.notes(seconds(110)).is_empty(),
+        table.records(seconds(110)).is_empty(),
         "or all keep it alive for ever"
     );
 }
@@ -57,9 +57,9 @@
 #[test]
 fn hearsay_ages_on_its_way() {
     let mut table = MemberTable::new("e1".into());
-    table.take_note(&note("e2", 1, 0), seconds(100));
+    table.apply_record(&record("e2", 1, 0), seconds(100));
 
-    table.take_note(&note("e2", 1, 3_000), seconds(102));
+    table.apply_record(&record("e2", 1, 3_000), seconds(102));
 
     assert_eq!(
         state_of(&table, "e2", seconds(105)),
@@ -70,11 +70,11 @@
 #[test]
 fn a_new_life_replaces_the_old_one_and_the_host_itself_is_no_member() {
     let mut table = MemberTable::new("e1".into());
-    table.take_note(&note("e2", 1, 0), seconds(100));
-    table.take_note(&note("e2", 2, 0), seconds(101));
-    table.take_note(&note("e1", 9, 0), seconds(101));
+    table.apply_record(&record("e2", 1, 0), seconds(100));
+    table.apply_record(&record("e2", 2, 0), seconds(101));
+    table.apply_record(&record("e1", 9, 0), seconds(101));
 
-    let notes = table.notes(seconds(101));
+    let notes = table.records(seconds(101));
 
     assert_eq!(notes.len(), 1);
     assert_eq!(notes[0].incarnation, 2);
@@ -83,10 +83,10 @@
 #[test]
 fn only_changed_addresses_are_connected_anew() {
     let mut table = MemberTable::new("e1".into());
-    table.take_note(&note("e2", 1, 0), seconds(100));
+    table.apply_record(&record("e2", 1, 0), seconds(100));
 
     let first = table.take_changed();
-    table.take_note(&note("e2", 1, 0), seconds(101));
+    table.apply_record(&record("e2", 1, 0), seconds(101));
 
     assert!(first);
     assert!(!table.take_changed());
