--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -115,9 +115,9 @@
         quotas.set_host_count(role.layout.host_count(), now);
         let members = self.members();
         let seen = members.size().max(1);
-        let unseen = seen - 1 - members.seen_count(now).min(seen - 1);
+        let unseen = seen - 1 - members.recently_seen_count(now).min(seen - 1);
         let unseen_part = unseen as f64 / (seen - 1).max(1) as f64;
-        quotas.set_unseen_hosts(|host| members.unseen_for(host, now), unseen_part, now);
+        quotas.set_unseen_hosts(|host| members.time_since_seen(host, now), unseen_part, now);
         let turn = (!role.is_joining).then(|| members.own_position());
         drop(members);
         drop(quotas);
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -9,7 +9,7 @@
 use crate::clock::boot_now;
 use crate::logs::DecisionLine;
 use crate::members::GossipMessage;
-use crate::members::HostSighting;
+use crate::members::HeartbeatAge;
 use crate::quota::UsageReport;
 use crate::quota::UsageScope;
 
@@ -79,12 +79,12 @@
         scope,
         hosts: match scope {
             UsageScope::Host => 1,
-            UsageScope::Group => message.sightings.len(),
+            UsageScope::Group => message.heartbeats.len(),
             UsageScope::Fleet => usize::from(message.hosts).saturating_sub(1),
         },
         covered: match scope {
             UsageScope::Host => vec![crate::members::hash_host(&host)],
-            UsageScope::Group => hashes_of(&message.sightings),
+            UsageScope::Group => hashes_of(&message.heartbeats),
             UsageScope::Fleet => Vec::new(),
         },
         accounts: message.usage,
@@ -113,8 +113,8 @@
     for note in &message.members {
         members.apply_record(note, now);
     }
-    for sighting in &message.sightings {
-        members.take_sighting(*sighting, now);
+    for sighting in &message.heartbeats {
+        members.apply_heartbeat(*sighting, now);
     }
     drop(members);
     state.note_known_by(&message.own.host, usize::from(message.hosts));
@@ -139,6 +139,6 @@
     }
 }
 
-fn hashes_of(sightings: &[HostSighting]) -> Vec<u32> {
-    sightings.iter().map(|sighting| sighting.host).collect()
+fn hashes_of(heartbeats: &[HeartbeatAge]) -> Vec<u32> {
+    heartbeats.iter().map(|sighting| sighting.host).collect()
 }
--- a/src/edge/local_digest.rs
+++ b/src/edge/local_digest.rs
@@ -8,7 +8,7 @@
 use crate::dispatch::TargetLoad;
 use crate::ids::HostName;
 use crate::members::GossipMessage;
-use crate::members::HostSighting;
+use crate::members::HeartbeatAge;
 use crate::members::LoadVersion;
 use crate::members::MemberRecord;
 use crate::members::hash_host;
@@ -28,7 +28,7 @@
 const FIRST_NOTES: usize = 512;
 /// The part of the hosts that a peer must know to be named only those that changed.
 const KNOWN_PART: f64 = 0.8;
-/// Into how many messages the sightings of a whole fleet are divided.
+/// Into how many messages the heartbeats of a whole fleet are divided.
 const SIGHTING_TURNS: usize = 8;
 /// Until when a host has started lately.
 const YOUNG_AGE: Duration = Duration::from_secs(5);
@@ -63,7 +63,7 @@
     loads: Vec<TargetLoad>,
     version: LoadVersion,
     note_turn: usize,
-    /// Which sightings each peer gets next.
+    /// Which heartbeats each peer gets next.
     sighting_turns: SortedMap<HostName, usize>,
 }
 
@@ -115,7 +115,7 @@
             hosts: self.live_hosts() as u16,
             grouped: self.role().is_placed(),
             members: self.some_notes(request, since, now),
-            sightings: self.some_sightings(request, now),
+            heartbeats: self.some_sightings(request, now),
             revision,
             complete: self.view.revision(),
             catalog,
@@ -218,7 +218,7 @@
     }
 
     /// Returns when hosts were seen: those that report here, or some of all.
-    fn some_sightings(&self, request: MessageRequest<'_>, now: Duration) -> Vec<HostSighting> {
+    fn some_sightings(&self, request: MessageRequest<'_>, now: Duration) -> Vec<HeartbeatAge> {
         match request.scope {
             None | Some(UsageScope::Host) => Vec::new(),
             Some(UsageScope::Group) => self.reporters(now),
@@ -227,24 +227,24 @@
                 let count = members.size().div_ceil(SIGHTING_TURNS);
                 let mut sent = self.sent_state();
                 let turn = sent.take_sighting_turn(request.receiver, count);
-                members.sightings(turn, count, now)
+                members.heartbeats(turn, count, now)
             }
         }
     }
 
     /// Returns the hosts that report to this one, itself included.
-    fn reporters(&self, now: Duration) -> Vec<HostSighting> {
-        let own = HostSighting {
+    fn reporters(&self, now: Duration) -> Vec<HeartbeatAge> {
+        let own = HeartbeatAge {
             host: hash_host(&self.settings.load().host),
             age_ms: 0,
         };
-        let mut sightings = vec![own];
+        let mut heartbeats = vec![own];
         let reports = self.reports();
-        sightings.extend(reports.iter().map(|(host, at)| HostSighting {
+        heartbeats.extend(reports.iter().map(|(host, at)| HeartbeatAge {
             host: hash_host(host),
             age_ms: now.saturating_sub(*at).as_millis() as u32,
         }));
-        sightings
+        heartbeats
     }
 }
 
--- a/src/members/gossip_message.rs
+++ b/src/members/gossip_message.rs
@@ -50,7 +50,7 @@
 
 /// When a known host was last seen.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct HostSighting {
+pub struct HeartbeatAge {
     /// The host.
     pub host: HostHash,
     /// How long ago, in milliseconds.
@@ -71,7 +71,7 @@
     /// Some of the other hosts that it knows.
     pub members: Vec<MemberRecord>,
     /// When hosts were last seen: those of its group between leaders, some of all others.
-    pub sightings: Vec<HostSighting>,
+    pub heartbeats: Vec<HeartbeatAge>,
     /// The revision of the last change in its view of the fleet.
     pub revision: StoreRevision,
     /// The revision up to which that view is complete.
--- a/src/members/member_table.rs
+++ b/src/members/member_table.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use super::HeartbeatAge;
 use super::HostHash;
 use super::HostPlace;
-use super::HostSighting;
 use super::MemberRecord;
 use super::hash_host;
 use crate::dispatch::HostPosition;
@@ -15,11 +15,11 @@
 use crate::sorted::SortedMap;
 
 /// How long a host may go unseen by anybody before it counts as dead. In a large fleet
-/// sightings are up to 3 s old, and a restart takes about a second.
+/// heartbeats are up to 3 s old, and a restart takes about a second.
 const DEATH_BOUND: Duration = Duration::from_secs(5);
 /// How many hosts that joined or changed a message names at most.
 const MAX_CHANGED_RECORDS: usize = 128;
-/// Within which a host counts as seen: sightings are passed on over two hops.
+/// Within which a host counts as seen: heartbeats are passed on over two hops.
 const SEEN_BOUND: Duration = Duration::from_secs(3);
 /// How long a dead host is remembered: as long as a cut is likely to last, since
 /// nobody else may know its address when the cut heals.
@@ -104,7 +104,7 @@
     }
 
     /// Takes in when a host was last seen; one that is not known needs a note first.
-    pub fn take_sighting(&mut self, sighting: HostSighting, now: Duration) {
+    pub fn apply_heartbeat(&mut self, sighting: HeartbeatAge, now: Duration) {
         let seen = now.saturating_sub(Duration::from_millis(u64::from(sighting.age_ms)));
         let host = self.by_hash.get(&sighting.host);
         if let Some(row) = host.and_then(|host| self.rows.get_mut(host)) {
@@ -114,15 +114,15 @@
 
     /// Returns how long ago a host was last seen, by anybody; `None` for one that is not
     /// known.
-    pub fn unseen_for(&self, host: HostHash, now: Duration) -> Option<Duration> {
+    pub fn time_since_seen(&self, host: HostHash, now: Duration) -> Option<Duration> {
         let row = self.rows.get(self.by_hash.get(&host)?)?;
         Some(now.saturating_sub(row.heard))
     }
 
-    /// Returns `count` sightings of live hosts from the `skipped`th on, around.
-    pub fn sightings(&self, skipped: usize, count: usize, now: Duration) -> Vec<HostSighting> {
+    /// Returns `count` heartbeats of live hosts from the `skipped`th on, around.
+    pub fn heartbeats(&self, skipped: usize, count: usize, now: Duration) -> Vec<HeartbeatAge> {
         let rows = self.live_rows(skipped, count, now);
-        rows.map(|(host, row)| HostSighting {
+        rows.map(|(host, row)| HeartbeatAge {
             host: hash_host(host),
             age_ms: now.saturating_sub(row.heard).as_millis() as u32,
         })
@@ -149,7 +149,7 @@
     }
 
     /// Returns how many other hosts somebody has seen lately.
-    pub fn seen_count(&self, now: Duration) -> usize {
+    pub fn recently_seen_count(&self, now: Duration) -> usize {
         let rows = self.rows.values();
         rows.filter(|row| now.saturating_sub(row.heard) <= SEEN_BOUND)
             .count()
--- a/src/members/mod.rs
+++ b/src/members/mod.rs
@@ -10,8 +10,8 @@
 mod member_table;
 
 pub use gossip_message::GossipMessage;
+pub use gossip_message::HeartbeatAge;
 pub use gossip_message::HostHash;
-pub use gossip_message::HostSighting;
 pub use gossip_message::MemberRecord;
 pub use gossip_message::hash_host;
 pub use gossip_schedule::DuePeer;
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -250,7 +250,7 @@
     /// `unseen_part` which part of all hosts was not.
     pub fn set_unseen_hosts(
         &mut self,
-        unseen_for: impl Fn(u32) -> Option<Duration>,
+        time_since_seen: impl Fn(u32) -> Option<Duration>,
         unseen_part: f64,
         now: Duration,
     ) {
@@ -261,7 +261,7 @@
                 peer.unseen = unseen_part;
             } else if !peer.covered.is_empty() {
                 let is_unseen =
-                    |host: &&u32| unseen_for(**host).is_none_or(|age| age > SIGHTING_BOUND);
+                    |host: &&u32| time_since_seen(**host).is_none_or(|age| age > SIGHTING_BOUND);
                 let unseen = peer.covered.iter().filter(is_unseen).count();
                 peer.unseen = unseen as f64 / peer.covered.len() as f64;
             }
--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -139,12 +139,12 @@
                 .iter()
                 .map(|host| hash_host(&name_of(*host)))
                 .collect();
-            let unseen_for = |host: u32| match dead.contains(&host) {
+            let time_since_seen = |host: u32| match dead.contains(&host) {
                 true => None,
                 false => Some(Duration::from_millis(500)),
             };
             for ledger in &mut self.ledgers {
-                ledger.set_unseen_hosts(unseen_for, 1.0, now);
+                ledger.set_unseen_hosts(time_since_seen, 1.0, now);
             }
         }
     }
