--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -20,7 +20,7 @@
     let role = state.role();
     let near = message.loads.is_some();
     let peer_hosts = usize::from(message.hosts);
-    let new = is_young(Duration::from_millis(message.life_ms)) || state.schedule().is_new(&peer);
+    let new = is_young(Duration::from_millis(message.uptime_ms)) || state.schedule().is_new(&peer);
     let since = state.schedule().last_exchange(&peer);
     let update = state.update_for(&message);
     let (revision, catalog) = state.view.marks();
@@ -75,7 +75,7 @@
     }
     let report = UsageReport {
         incarnation: message.own.incarnation,
-        age: Duration::from_millis(message.life_ms),
+        age: Duration::from_millis(message.uptime_ms),
         scope,
         hosts: match scope {
             UsageScope::Host => 1,
--- a/src/edge/local_digest.rs
+++ b/src/edge/local_digest.rs
@@ -111,13 +111,13 @@
         let (usage, unresponsive) = self.usage_for(request, new, now);
         let message = GossipMessage {
             own: self.own_note(),
-            life_ms: life.as_millis() as u64,
+            uptime_ms: life.as_millis() as u64,
             hosts: self.live_hosts() as u16,
             grouped: self.role().is_placed(),
             members: self.some_notes(request, since, now),
             heartbeats: self.some_sightings(request, now),
             revision,
-            complete: self.view.revision(),
+            complete_revision: self.view.revision(),
             catalog,
             catalog_revision: self.view.catalog_revision(),
             evidence_age_ms: self.evidence_age().map(as_millis),
@@ -145,7 +145,7 @@
         if self.view.marks().0 <= message.revision {
             return None;
         }
-        let update = self.view.update_since(message.complete)?;
+        let update = self.view.update_since(message.complete_revision)?;
         let changes = update.targets.len() + update.removals.len();
         (changes <= CHANGES_A_MESSAGE).then(|| Box::new(update))
     }
--- a/src/members/gossip_message.rs
+++ b/src/members/gossip_message.rs
@@ -63,7 +63,7 @@
     /// The host itself, aged 0.
     pub own: MemberRecord,
     /// How long its present life has lasted, in milliseconds.
-    pub life_ms: u64,
+    pub uptime_ms: u64,
     /// How many hosts it knows to serve, itself included.
     pub hosts: u16,
     /// Whether it has its place in a group, and reports to a leader or is one.
@@ -75,7 +75,7 @@
     /// The revision of the last change in its view of the fleet.
     pub revision: StoreRevision,
     /// The revision up to which that view is complete.
-    pub complete: StoreRevision,
+    pub complete_revision: StoreRevision,
     /// The version of the catalog in force there.
     pub catalog: CatalogVersion,
     /// The revision up to which that catalog is the newest one.
