--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -7,7 +7,7 @@
 use crate::clock::boot_now;
 use crate::ids::HostName;
 use crate::members::GroupLayout;
-use crate::members::HostPlace;
+use crate::members::LayoutHost;
 use crate::members::is_grouped;
 
 /// How long a layout of the groups is kept before it is made anew.
@@ -129,14 +129,14 @@
 
     fn make_role(&self, held: &FleetRole, now: Duration) -> FleetRole {
         let settings = self.settings.load();
-        let own = HostPlace {
+        let own = LayoutHost {
             availability_zone: settings.availability_zone.clone(),
             host: settings.host.clone(),
             capacity: settings.capacity,
         };
         let mut members = self.members();
         members.forget_dead(now);
-        let places = members.live_places(now);
+        let places = members.layout_hosts(now);
         drop(members);
         let known = places.len() + 1;
         let (size, peers_grouped) = self.known_size().get(now);
@@ -147,7 +147,7 @@
         let knows_few = (known as f64) < size as f64 * KNOWN_PART;
         let is_joining = age < LONGEST_JOIN && (knows_few || awaits_word);
         let own_group = layout.own_group();
-        let leads = layout.candidates(own_group).first() == Some(&&own.host);
+        let leads = layout.leader_candidates(own_group).first() == Some(&&own.host);
         let turn = match (layout.is_grouped(), leads) {
             (false, _) => self.earlier_hosts(),
             (true, true) => own_group,
--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -112,7 +112,7 @@
         match self.state.acts_as_leader(role) {
             true => self.leaders_of_others(&role.layout, is_usable),
             false => {
-                let candidates = role.layout.candidates(role.layout.own_group());
+                let candidates = role.layout.leader_candidates(role.layout.own_group());
                 let leader = candidates.into_iter().find(is_usable);
                 let busy = match self.state.has_waiting() {
                     true => BUSY_REPORT_PERIOD,
@@ -132,7 +132,7 @@
     ) -> Vec<GossipPeer> {
         let groups = (0..layout.group_count()).filter(|group| *group != layout.own_group());
         let leaders = groups.filter_map(|group| {
-            let candidates = layout.candidates(group);
+            let candidates = layout.leader_candidates(group);
             candidates
                 .into_iter()
                 .take(KEPT_CANDIDATES)
@@ -194,7 +194,7 @@
         };
         let mut wanted = Vec::new();
         for group in groups {
-            let candidates = layout.candidates(group).into_iter();
+            let candidates = layout.leader_candidates(group).into_iter();
             wanted.extend(candidates.take(KEPT_CANDIDATES).cloned());
         }
         wanted
--- a/src/members/group_layout.rs
+++ b/src/members/group_layout.rs
@@ -18,7 +18,7 @@
 
 /// A host as far as the layout depends on it.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct HostPlace {
+pub struct LayoutHost {
     /// Its availability zone.
     pub availability_zone: ZoneName,
     /// Its name.
@@ -44,7 +44,7 @@
 /// within one zone. A host that joins or leaves moves at most one host over each border.
 #[derive(Clone, Debug, Default)]
 pub struct GroupLayout {
-    hosts: Vec<HostPlace>,
+    hosts: Vec<LayoutHost>,
     /// Where each group starts in `hosts`, and the end of the last one.
     starts: Vec<usize>,
     own_group: usize,
@@ -58,7 +58,7 @@
 
 impl GroupLayout {
     /// Lays out the live hosts, `own` among them.
-    pub fn new(own: &HostPlace, others: Vec<HostPlace>, grouped: bool) -> Self {
+    pub fn new(own: &LayoutHost, others: Vec<LayoutHost>, grouped: bool) -> Self {
         let mut hosts = others;
         hosts.push(own.clone());
         hosts.sort();
@@ -104,8 +104,8 @@
 
     /// Returns the hosts of a group, those first that should lead it. All hosts that know
     /// the same ones agree on it.
-    pub fn candidates(&self, group: usize) -> Vec<&HostName> {
-        let mut places: Vec<&HostPlace> = self.hosts[self.range(group)].iter().collect();
+    pub fn leader_candidates(&self, group: usize) -> Vec<&HostName> {
+        let mut places: Vec<&LayoutHost> = self.hosts[self.range(group)].iter().collect();
         places.sort_by_key(|place| {
             let hash = xxh3_64(place.host.as_bytes());
             (std::cmp::Reverse(place.capacity), hash)
--- a/src/members/member_table.rs
+++ b/src/members/member_table.rs
@@ -5,7 +5,7 @@
 
 use super::HeartbeatAge;
 use super::HostHash;
-use super::HostPlace;
+use super::LayoutHost;
 use super::MemberRecord;
 use super::hash_host;
 use crate::dispatch::HostPosition;
@@ -130,10 +130,10 @@
     }
 
     /// Returns the live hosts as far as the layout of groups depends on them.
-    pub fn live_places(&self, now: Duration) -> Vec<HostPlace> {
+    pub fn layout_hosts(&self, now: Duration) -> Vec<LayoutHost> {
         let rows = self.rows.iter();
         rows.filter(|(_, row)| row.state(now) == MemberState::Live)
-            .map(|(host, row)| HostPlace {
+            .map(|(host, row)| LayoutHost {
                 availability_zone: row.availability_zone.clone(),
                 host: host.clone(),
                 capacity: row.capacity,
--- a/src/members/mod.rs
+++ b/src/members/mod.rs
@@ -21,7 +21,7 @@
 pub use gossip_schedule::PairCaller;
 pub use group_layout::GroupLayout;
 pub use group_layout::GroupShare;
-pub use group_layout::HostPlace;
+pub use group_layout::LayoutHost;
 pub use group_layout::is_grouped;
 pub use member_table::MemberState;
 pub use member_table::MemberTable;
--- a/tests/group_layout.rs
+++ b/tests/group_layout.rs
@@ -1,11 +1,11 @@
 //! The groups in which a large fleet gossips.
 
 use cardamomgw::members::GroupLayout;
-use cardamomgw::members::HostPlace;
+use cardamomgw::members::LayoutHost;
 use cardamomgw::members::is_grouped;
 
-fn place(index: usize) -> HostPlace {
-    HostPlace {
+fn place(index: usize) -> LayoutHost {
+    LayoutHost {
         availability_zone: format!("z{}", index % 5),
         host: format!("e{index:03}"),
         capacity: if index < 15 { 500 } else { 120 },
@@ -31,11 +31,11 @@
     let first = &layouts[0];
     let mut members = 0;
     for group in 0..first.group_count() {
-        let candidates = first.candidates(group);
+        let candidates = first.leader_candidates(group);
         members += candidates.len();
         assert!((8..=24).contains(&candidates.len()), "{}", candidates.len());
         for layout in &layouts {
-            assert_eq!(layout.candidates(group), candidates);
+            assert_eq!(layout.leader_candidates(group), candidates);
         }
     }
     assert_eq!(members, 295);
@@ -49,7 +49,7 @@
     let layout = layout_of(0, &hosts);
 
     for group in 0..layout.group_count() {
-        let candidates = layout.candidates(group);
+        let candidates = layout.leader_candidates(group);
         let is_large = |host: &&String| host[1..].parse::<usize>().unwrap() < 15;
         let any_large = candidates.iter().any(is_large);
         assert_eq!(any_large, is_large(&candidates[0]));
