--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -24,10 +24,10 @@
 use crate::clock::boot_now;
 use crate::ids::HostName;
 use crate::logs::DecisionLine;
+use crate::members::CallInitiator;
 use crate::members::DuePeer;
 use crate::members::GossipPeer;
 use crate::members::GroupLayout;
-use crate::members::PairCaller;
 use crate::peers::PeerCall;
 use crate::peers::PeerMesh;
 use crate::peers::PeerReply;
@@ -140,10 +140,10 @@
         });
         let peers = leaders.cloned().map(|host| GossipPeer {
             host,
-            busy: LEADER_PERIOD,
-            quiet: LEADER_PERIOD,
-            caller: PairCaller::InTurn,
-            near: true,
+            active_interval: LEADER_PERIOD,
+            idle_interval: LEADER_PERIOD,
+            initiator: CallInitiator::Alternating,
+            sends_loads: true,
         });
         peers.collect()
     }
@@ -235,8 +235,8 @@
         let (message, version) = self.state.message_for(MessageRequest {
             receiver: &peer.host,
             scope: Some(scope),
-            near: peer.near,
-            new: peer.new,
+            near: peer.sends_loads,
+            new: peer.is_first_exchange,
             peer_hosts: self.state.known_by(&peer.host),
             since,
         });
@@ -327,10 +327,10 @@
     let peers = connected.iter().cloned();
     let peers = peers.map(|host| GossipPeer {
         host,
-        busy: GOSSIP_PERIOD,
-        quiet: GOSSIP_PERIOD * QUIET_PERIODS,
-        caller: PairCaller::ByHash,
-        near: true,
+        active_interval: GOSSIP_PERIOD,
+        idle_interval: GOSSIP_PERIOD * QUIET_PERIODS,
+        initiator: CallInitiator::ByHash,
+        sends_loads: true,
     });
     peers.collect()
 }
@@ -338,19 +338,19 @@
 fn joining_peer(host: HostName) -> GossipPeer {
     GossipPeer {
         host,
-        busy: QUIET_REPORT_PERIOD,
-        quiet: QUIET_REPORT_PERIOD,
-        caller: PairCaller::Own,
-        near: false,
+        active_interval: QUIET_REPORT_PERIOD,
+        idle_interval: QUIET_REPORT_PERIOD,
+        initiator: CallInitiator::Local,
+        sends_loads: false,
     }
 }
 
-fn leader_peer(host: HostName, busy: Duration) -> GossipPeer {
+fn leader_peer(host: HostName, active_interval: Duration) -> GossipPeer {
     GossipPeer {
         host,
-        busy,
-        quiet: QUIET_REPORT_PERIOD,
-        caller: PairCaller::Own,
-        near: true,
+        active_interval,
+        idle_interval: QUIET_REPORT_PERIOD,
+        initiator: CallInitiator::Local,
+        sends_loads: true,
     }
 }
--- a/src/members/gossip_schedule.rs
+++ b/src/members/gossip_schedule.rs
@@ -21,14 +21,14 @@
 
 /// Which side of a pair calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PairCaller {
+pub enum CallInitiator {
     /// This host, always: a member of a group calls its leader.
-    Own,
+    Local,
     /// One side, by the hash of both names: a pair uses one connection.
     ByHash,
     /// The side that did not call last. Only an answer says how old the view of the
     /// platform is, so both sides must get some.
-    InTurn,
+    Alternating,
 }
 
 /// A peer to gossip with.
@@ -37,13 +37,13 @@
     /// The peer.
     pub host: HostName,
     /// How often, while the loads of this host change.
-    pub busy: Duration,
+    pub active_interval: Duration,
     /// How often otherwise.
-    pub quiet: Duration,
+    pub idle_interval: Duration,
     /// Which side calls.
-    pub caller: PairCaller,
+    pub initiator: CallInitiator,
     /// Whether it gets the loads of this host.
-    pub near: bool,
+    pub sends_loads: bool,
 }
 
 /// A peer that is to be called now.
@@ -52,9 +52,9 @@
     /// The peer.
     pub host: HostName,
     /// Whether it gets the loads of this host.
-    pub near: bool,
+    pub sends_loads: bool,
     /// Whether nothing was exchanged with it before.
-    pub new: bool,
+    pub is_first_exchange: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -125,13 +125,13 @@
             let state = *self.peer_state(&peer.host, now);
             let wait = match state.sent {
                 None => Duration::ZERO,
-                Some(sent) if sent == loads => peer.quiet,
-                Some(_) => peer.busy,
+                Some(sent) if sent == loads => peer.idle_interval,
+                Some(_) => peer.active_interval,
             };
-            let calls = match peer.caller {
-                PairCaller::Own => true,
-                PairCaller::ByHash => self.calls_by_hash(&peer.host),
-                PairCaller::InTurn => !state.called_last,
+            let calls = match peer.initiator {
+                CallInitiator::Local => true,
+                CallInitiator::ByHash => self.calls_by_hash(&peer.host),
+                CallInitiator::Alternating => !state.called_last,
             };
             let wait = match calls {
                 _ if state.urgent => Duration::ZERO,
@@ -141,8 +141,8 @@
             if !state.running && now.saturating_sub(state.at) >= wait {
                 due.push(DuePeer {
                     host: peer.host.clone(),
-                    near: peer.near,
-                    new: state.sent.is_none(),
+                    sends_loads: peer.sends_loads,
+                    is_first_exchange: state.sent.is_none(),
                 });
             }
         }
