--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -183,7 +183,7 @@
     fn mesh_links(&self, now: Duration) -> Vec<HostName> {
         let live = self.state.members().live_names(now);
         let mut schedule = self.state.schedule();
-        schedule.wanted_links(live.iter(), now)
+        schedule.wanted_connections(live.iter(), now)
     }
 
     fn group_links(&self, role: &FleetRole) -> Vec<HostName> {
@@ -214,7 +214,7 @@
         let due = self.state.schedule().due(peers, version, now);
         let due = due.into_iter();
         for peer in due.filter(|peer| connected.binary_search(&peer.host).is_ok()) {
-            self.state.schedule().begin(&peer.host, now);
+            self.state.schedule().record_call_start(&peer.host, now);
             task::spawn(Arc::clone(self).call(peer, scope));
         }
     }
@@ -249,7 +249,9 @@
             Err(error) => return self.fail_exchange(&peer.host, &error.to_string()),
         };
         self.note_success(&peer.host);
-        self.state.schedule().end(&peer.host, Some(version));
+        self.state
+            .schedule()
+            .record_call_end(&peer.host, Some(version));
         if self.state.role().is_placed() && received.scope.is_none() {
             // It is no leader: it joins or leaves, or knows other hosts.
             self.state
@@ -280,7 +282,7 @@
     /// Ends an exchange that failed, and passes the peer over for a while.
     fn fail_exchange(&self, peer: &HostName, reason: &str) {
         let state = &self.state;
-        state.schedule().end(peer, None);
+        state.schedule().record_call_end(peer, None);
         state.pass_over(peer, boot_now() + PASS_OVER_TIME);
         let mut failing = self.failing();
         if let Err(index) = failing.binary_search(peer) {
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -51,7 +51,7 @@
     });
     own.update = update;
     let mut schedule = state.schedule();
-    schedule.note_answered(&peer, version, now);
+    schedule.record_answered_call(&peer, version, now);
     if is_ahead && scope == Some(UsageScope::Group) {
         schedule.expedite(&peer);
     }
--- a/src/members/gossip_schedule.rs
+++ b/src/members/gossip_schedule.rs
@@ -101,7 +101,7 @@
 
     /// Returns the members of a full mesh to which a connection is kept up: those that this
     /// host calls, and those that should have called and did not.
-    pub fn wanted_links<'a>(
+    pub fn wanted_connections<'a>(
         &mut self,
         members: impl Iterator<Item = &'a HostName>,
         now: Duration,
@@ -156,7 +156,7 @@
     }
 
     /// Notes that a call to the peer starts.
-    pub fn begin(&mut self, peer: &str, now: Duration) {
+    pub fn record_call_start(&mut self, peer: &str, now: Duration) {
         if let Some(state) = self.peers.get_mut(peer) {
             state.running = true;
             state.called_last = true;
@@ -167,7 +167,7 @@
 
     /// Notes that the call to the peer has ended, and the loads that it was sent if it
     /// answered.
-    pub fn end(&mut self, peer: &str, sent: Option<LoadVersion>) {
+    pub fn record_call_end(&mut self, peer: &str, sent: Option<LoadVersion>) {
         if let Some(state) = self.peers.get_mut(peer) {
             state.running = false;
             state.sent = sent.or(state.sent);
@@ -176,7 +176,7 @@
     }
 
     /// Notes that a call of the peer was answered, and the loads that it was sent.
-    pub fn note_answered(&mut self, peer: &str, sent: LoadVersion, now: Duration) {
+    pub fn record_answered_call(&mut self, peer: &str, sent: LoadVersion, now: Duration) {
         let state = self.peer_state(peer, now);
         // That the peer calls again shows that it got the answer before.
         state.exchanged = state.sent.map(|_| state.at);
