--- a/src/poison/mod.rs
+++ b/src/poison/mod.rs
@@ -4,9 +4,9 @@
 mod poison_guard;
 mod poison_table;
 
-pub use poison_entry::LossMark;
 pub use poison_entry::PoisonEntry;
 pub use poison_entry::RequestFingerprint;
+pub use poison_entry::TargetLoss;
 pub use poison_entry::fingerprint_request;
 pub(crate) use poison_guard::PoisonGuard;
 pub use poison_table::PoisonTable;
--- a/src/poison/poison_entry.rs
+++ b/src/poison/poison_entry.rs
@@ -25,7 +25,7 @@
 
 /// One target that was lost while it ran the request.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct LossMark {
+pub struct TargetLoss {
     /// When, by the clock of the host that saw it.
     pub at: UnixMillis,
     /// The target.
@@ -39,7 +39,7 @@
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The targets that were lost, sorted.
-    pub losses: Vec<LossMark>,
+    pub losses: Vec<TargetLoss>,
     /// When a target last ran it to the end; losses up to then count no more.
     pub cleared: UnixMillis,
 }
--- a/src/poison/poison_table.rs
+++ b/src/poison/poison_table.rs
@@ -4,9 +4,9 @@
 //! again by its caller. Without it the caller empties the fleet, one target a
 //! resend, and everything that ran beside it is lost as well.
 
-use super::LossMark;
 use super::PoisonEntry;
 use super::RequestFingerprint;
+use super::TargetLoss;
 use crate::ids::TargetName;
 use crate::ids::UnixMillis;
 use crate::sorted::SortedMap;
@@ -42,7 +42,7 @@
         now: UnixMillis,
     ) {
         let mut loss = PoisonEntry::new(fingerprint);
-        loss.losses.push(LossMark {
+        loss.losses.push(TargetLoss {
             at: now,
             target: target.clone(),
         });
