--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -163,7 +163,7 @@
             digest: document.digest,
             roster: Some(self.claims.register().roster().digest()),
             policy: None,
-            suspects: self.suspects.ledger().entries(),
+            suspects: self.suspects.table().entries(),
         }
     }
 
@@ -242,7 +242,7 @@
     fn urgent_news(&self) -> UrgentNews {
         UrgentNews {
             shed_levels: self.work.shed_levels(),
-            suspects: self.suspects.ledger().entries(),
+            suspects: self.suspects.table().entries(),
         }
     }
 
--- a/src/edge/caller_session.rs
+++ b/src/edge/caller_session.rs
@@ -143,7 +143,7 @@
         refuse(request.message, refusal, None, None)
     })?;
     let account = routed.account.as_ref().map(|account| account.name.clone());
-    if state.poison.ledger().is_refused(routed.fingerprint) {
+    if state.poison.table().is_refused(routed.fingerprint) {
         let refusal = ErrorKind::SuspectRequest.into();
         return Err(refuse(routed.request.message, refusal, account, None));
     }
--- a/src/edge/crash_check.rs
+++ b/src/edge/crash_check.rs
@@ -36,7 +36,7 @@
         return;
     }
     let name = target.name;
-    state.poison.note_loss(fingerprint, &name);
+    state.poison.record_loss(fingerprint, &name);
     state.log.write(&DecisionLine::TargetCrashed {
         target: name,
         request,
--- a/src/edge/run_report.rs
+++ b/src/edge/run_report.rs
@@ -57,7 +57,7 @@
             // A plain answer begins as it ends.
             self.routed.series.record_first_token(self.routed.age());
         }
-        self.state.poison.note_success(self.routed.fingerprint);
+        self.state.poison.record_success(self.routed.fingerprint);
         self.write_answered(target, status, RequestOutcome::Done);
     }
 
--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -69,8 +69,8 @@
     };
     match relayed {
         Ok(()) => {
-            let mut ledger = run.host.suspects.ledger();
-            ledger.note_success(run.fingerprint, unix_now());
+            let mut ledger = run.host.suspects.table();
+            ledger.record_success(run.fingerprint, unix_now());
             drop(ledger);
             ticket.end(WorkOutcome::Finished);
         }
@@ -111,9 +111,9 @@
 /// Notes that the request ran on a target that was lost, and says so once it
 /// is refused for that.
 fn note_loss(run: &RequestRun, target: &TargetName) {
-    let mut ledger = run.host.suspects.ledger();
+    let mut ledger = run.host.suspects.table();
     let before = ledger.is_refused(run.fingerprint);
-    ledger.note_loss(run.fingerprint, target, unix_now());
+    ledger.record_loss(run.fingerprint, target, unix_now());
     if !before && ledger.is_refused(run.fingerprint) {
         run.host.log.write(&StateChange::CrashingRequest {
             fingerprint: format!("{:016x}", run.fingerprint),
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -125,7 +125,7 @@
         if let Err(refusal) = limit_account(&self.host, &self.request) {
             return ChainEnd::Refused(refusal);
         }
-        if self.host.suspects.ledger().is_refused(self.fingerprint) {
+        if self.host.suspects.table().is_refused(self.fingerprint) {
             return ChainEnd::Refused(RequestRefusal {
                 kind: ErrorKind::CrashesTargets,
                 retry_after: Some(CRASH_RETRY),
@@ -175,7 +175,7 @@
             let _alone = self
                 .host
                 .suspects
-                .enter_alone(self.fingerprint, &target, self.request.deadline)
+                .acquire_exclusive(self.fingerprint, &target, self.request.deadline)
                 .await;
             match claim_place(self, &target, held).await {
                 ClaimedPlace::Ready(connection, claim) => {
--- a/src/poison/poison_guard.rs
+++ b/src/poison/poison_guard.rs
@@ -24,7 +24,7 @@
 /// The suspects of one host.
 #[derive(Debug, Default)]
 pub(crate) struct PoisonGuard {
-    ledger: Mutex<PoisonTable>,
+    table: Mutex<PoisonTable>,
     /// When an entry last changed here, on the boot clock.
     changed: Mutex<SortedMap<RequestFingerprint, Duration>>,
     running: Mutex<SortedMap<TargetName, RequestFingerprint>>,
@@ -38,9 +38,9 @@
 }
 
 impl PoisonGuard {
-    /// Gives access to the ledger; never held over an await.
-    pub(crate) fn ledger(&self) -> MutexGuard<'_, PoisonTable> {
-        lock(&self.ledger)
+    /// Gives access to the table; never held over an await.
+    pub(crate) fn table(&self) -> MutexGuard<'_, PoisonTable> {
+        lock(&self.table)
     }
 
     /// Waits until no other suspect runs on the target, or until `deadline` on
@@ -48,13 +48,13 @@
     ///
     /// Two suspects that are lost together again could not be told apart, and
     /// the innocent one would be refused with the other.
-    pub(crate) async fn enter_alone(
+    pub(crate) async fn acquire_exclusive(
         &self,
         fingerprint: RequestFingerprint,
         target: &TargetName,
         deadline: Duration,
     ) -> SuspectGuard<'_> {
-        if !self.ledger().is_suspect(fingerprint) {
+        if !self.table().is_suspect(fingerprint) {
             return self.guard(None);
         }
         while boot_now() < deadline {
@@ -71,24 +71,24 @@
         if entries.is_empty() {
             return;
         }
-        let mut ledger = self.ledger();
+        let mut table = self.table();
         for entry in entries {
-            if ledger.merge(entry) {
+            if table.merge(entry) {
                 self.note_change(entry.fingerprint);
             }
         }
-        ledger.forget(unix_now());
+        table.forget(unix_now());
     }
 
     /// Notes that a target was lost while it ran the request.
-    pub(crate) fn note_loss(&self, fingerprint: RequestFingerprint, target: &TargetName) {
-        self.ledger().note_loss(fingerprint, target, unix_now());
+    pub(crate) fn record_loss(&self, fingerprint: RequestFingerprint, target: &TargetName) {
+        self.table().record_loss(fingerprint, target, unix_now());
         self.note_change(fingerprint);
     }
 
     /// Notes that a target ran the request to its end.
-    pub(crate) fn note_success(&self, fingerprint: RequestFingerprint) {
-        let was_known = self.ledger().note_success(fingerprint, unix_now());
+    pub(crate) fn record_success(&self, fingerprint: RequestFingerprint) {
+        let was_known = self.table().record_success(fingerprint, unix_now());
         if was_known {
             self.note_change(fingerprint);
         }
@@ -96,9 +96,9 @@
 
     /// Returns what to send a peer: what changed since then, or `all`.
     pub(crate) fn changed_entries(&self, all: bool, since: Duration) -> Vec<PoisonEntry> {
-        let ledger = self.ledger();
+        let table = self.table();
         if all {
-            return ledger.entries();
+            return table.entries();
         }
         let mut changed = lock(&self.changed);
         let now = boot_now();
@@ -106,7 +106,7 @@
         if !changed.values().any(|at| *at >= since) {
             return Vec::new();
         }
-        let mut entries = ledger.entries();
+        let mut entries = table.entries();
         entries.retain(|entry| {
             let at = changed.get(&entry.fingerprint);
             at.is_some_and(|at| *at >= since)
--- a/src/poison/poison_table.rs
+++ b/src/poison/poison_table.rs
@@ -35,7 +35,7 @@
 
 impl PoisonTable {
     /// Notes that a target was lost while it ran the request.
-    pub fn note_loss(
+    pub fn record_loss(
         &mut self,
         fingerprint: RequestFingerprint,
         target: &TargetName,
@@ -52,7 +52,7 @@
 
     /// Notes that a target ran the request to its end; returns whether that was news of
     /// a suspect.
-    pub fn note_success(&mut self, fingerprint: RequestFingerprint, now: UnixMillis) -> bool {
+    pub fn record_success(&mut self, fingerprint: RequestFingerprint, now: UnixMillis) -> bool {
         let Some(entry) = self.entries.get_mut(&fingerprint) else {
             return false;
         };
--- a/tests/poison_table.rs
+++ b/tests/poison_table.rs
@@ -35,8 +35,8 @@
 #[test]
 fn second_loss_on_another_host_refuses_on_both() {
     let (mut left, mut right) = (PoisonTable::default(), PoisonTable::default());
-    left.note_loss(killer(), &target(1), MINUTE);
-    right.note_loss(killer(), &target(2), MINUTE + 5_000);
+    left.record_loss(killer(), &target(1), MINUTE);
+    right.record_loss(killer(), &target(2), MINUTE + 5_000);
     assert!(!left.is_refused(killer()));
 
     exchange(&mut left, &mut right);
@@ -47,10 +47,10 @@
 #[test]
 fn request_that_ran_beside_it_is_cleared_everywhere_by_one_success() {
     let (mut left, mut right) = (PoisonTable::default(), PoisonTable::default());
-    left.note_loss(innocent(), &target(1), MINUTE);
+    left.record_loss(innocent(), &target(1), MINUTE);
     exchange(&mut left, &mut right);
 
-    right.note_success(innocent(), MINUTE + 3_000);
+    right.record_success(innocent(), MINUTE + 3_000);
     exchange(&mut left, &mut right);
     exchange(&mut left, &mut right);
 
@@ -59,28 +59,28 @@
 
 #[test]
 fn copies_lost_with_one_target_are_one_loss() {
-    let mut ledger = PoisonTable::default();
+    let mut table = PoisonTable::default();
 
-    ledger.note_loss(killer(), &target(1), MINUTE);
-    ledger.note_loss(killer(), &target(1), MINUTE + 10);
+    table.record_loss(killer(), &target(1), MINUTE);
+    table.record_loss(killer(), &target(1), MINUTE + 10);
 
-    assert!(ledger.is_suspect(killer()));
-    assert!(!ledger.is_refused(killer()));
+    assert!(table.is_suspect(killer()));
+    assert!(!table.is_refused(killer()));
 }
 
 #[test]
 fn refusal_ends_with_the_memory_and_memory_is_bounded() {
-    let mut ledger = PoisonTable::default();
-    ledger.note_loss(killer(), &target(1), MINUTE);
-    ledger.note_loss(killer(), &target(2), MINUTE);
+    let mut table = PoisonTable::default();
+    table.record_loss(killer(), &target(1), MINUTE);
+    table.record_loss(killer(), &target(2), MINUTE);
     for other in 0..1000u32 {
         let other = fingerprint_request("harbour", "digest", &other.to_le_bytes());
-        ledger.note_loss(other, &target(3), MINUTE / 2);
+        table.record_loss(other, &target(3), MINUTE / 2);
     }
-    assert!(ledger.is_refused(killer()));
-    assert!(ledger.entries().len() <= 64);
+    assert!(table.is_refused(killer()));
+    assert!(table.entries().len() <= 64);
 
-    ledger.forget(20 * MINUTE);
+    table.forget(20 * MINUTE);
 
-    assert!(!ledger.is_suspect(killer()));
+    assert!(!table.is_suspect(killer()));
 }
