--- a/src/edge/caller_session.rs
+++ b/src/edge/caller_session.rs
@@ -187,7 +187,7 @@
         retry_after_ms: refusal.retry_after.map(|after| after.as_millis() as u64),
         attempts: told.sends,
         total_ms: boot_now().saturating_sub(told.arrived).as_millis() as u64,
-        catalog: state.view.marks().1,
+        catalog: state.view.held_versions().1,
         evidence_age_ms: state.evidence_age().map(|age| age.as_millis() as u64),
         waiting,
     });
--- a/src/edge/edge_state.rs
+++ b/src/edge/edge_state.rs
@@ -336,7 +336,7 @@
         }
         if !change.changed.is_empty() || !change.gone.is_empty() {
             self.log.write(&DecisionLine::TargetsChanged {
-                revision: self.view.marks().0,
+                revision: self.view.held_versions().0,
                 changed: change.changed,
                 gone: change.gone,
             });
--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -316,11 +316,11 @@
         let view = &self.state.view;
         let shown = |age_ms: u64| begun.saturating_sub(Duration::from_millis(age_ms));
         if let Some(age) = mark.evidence_age_ms {
-            view.vouch(mark.catalog, shown(age), boot_now());
+            view.confirm_catalog(mark.catalog, shown(age), boot_now());
         }
         view.note_catalog_revision(mark.catalog, mark.catalog_revision);
         if let Some(age) = mark.view_age_ms {
-            view.vouch_view(mark.revision, shown(age));
+            view.confirm_view(mark.revision, shown(age));
         }
     }
 }
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -23,7 +23,7 @@
     let new = is_young(Duration::from_millis(message.uptime_ms)) || state.schedule().is_new(&peer);
     let since = state.schedule().last_exchange(&peer);
     let update = state.update_for(&message);
-    let (revision, catalog) = state.view.marks();
+    let (revision, catalog) = state.view.held_versions();
     let is_ahead = message.revision > revision || message.catalog > catalog;
     let placed = role.is_placed() && message.grouped;
     if placed && message.scope == Some(UsageScope::Host) && !message.own.leaving {
--- a/src/edge/gossip_service.rs
+++ b/src/edge/gossip_service.rs
@@ -64,7 +64,7 @@
         let packed = &self.packed_view;
         let mut packed = packed.lock().unwrap_or_else(PoisonError::into_inner);
         if packed.0 != self.state.view.revision() || packed.1.is_empty() {
-            let update = self.state.view.whole_update();
+            let update = self.state.view.full_update();
             *packed = (update.revision, pack_value(&update));
         }
         packed.1.clone()
--- a/src/edge/local_digest.rs
+++ b/src/edge/local_digest.rs
@@ -107,7 +107,7 @@
         let life = now.saturating_sub(self.started);
         let new = request.new || is_young(life);
         let since = request.since.unwrap_or(now.saturating_sub(CHANGE_TIME));
-        let (revision, catalog) = self.view.marks();
+        let (revision, catalog) = self.view.held_versions();
         let (usage, unresponsive) = self.usage_for(request, new, now);
         let message = GossipMessage {
             own: self.own_note(),
@@ -142,7 +142,7 @@
     /// Returns the targets and evacuations that a peer's view lacks, by the message that it
     /// sent; `None` where they are too many for a message, which the peer fetches then.
     pub(crate) fn update_for(&self, message: &GossipMessage) -> Option<Box<ViewUpdate>> {
-        if self.view.marks().0 <= message.revision {
+        if self.view.held_versions().0 <= message.revision {
             return None;
         }
         let update = self.view.update_since(message.complete_revision)?;
--- a/src/edge/tests/following.rs
+++ b/src/edge/tests/following.rs
@@ -41,7 +41,7 @@
     };
 
     let begun = now.saturating_sub(Duration::from_millis(1600));
-    host.view.take_store_answer(update, begun, now);
+    host.view.apply_store_response(update, begun, now);
 
     // A target that leaves gets no new work after 2 s by default.
     assert_eq!(host.store_access(), StoreAccess::Poll);
--- a/src/edge/tests/gossip.rs
+++ b/src/edge/tests/gossip.rs
@@ -67,11 +67,13 @@
     let now = boot_now();
     member
         .view
-        .take_store_answer(catalog_update(1, 10), now, now);
+        .apply_store_response(catalog_update(1, 10), now, now);
     leader
         .view
-        .take_store_answer(catalog_update(2, 1400), now, now);
-    leader.view.take_store_answer(removal_update(3), now, now);
+        .apply_store_response(catalog_update(2, 1400), now, now);
+    leader
+        .view
+        .apply_store_response(removal_update(3), now, now);
     let (message, _) = member.message_for(MessageRequest {
         receiver: "leader",
         scope: None,
@@ -116,7 +118,7 @@
     let now = boot_now();
     leader
         .view
-        .take_store_answer(targets_update(1, 3000), now, now);
+        .apply_store_response(targets_update(1, 3000), now, now);
     let (message, _) = young.message_for(MessageRequest {
         receiver: "leader",
         scope: None,
--- a/src/edge/view_fetcher.rs
+++ b/src/edge/view_fetcher.rs
@@ -69,7 +69,7 @@
     /// Reads what a peer has and this host lacks, unless a package is on its way already. The
     /// catalog goes first: without it nothing is served.
     pub(super) async fn catch_up(&self, peer: &HostName, mark: ViewMark) {
-        let (revision, catalog) = self.state.view.marks();
+        let (revision, catalog) = self.state.view.held_versions();
         let is_behind = mark.catalog > catalog || mark.revision > revision;
         if !is_behind || self.is_fetching.swap(true, Ordering::AcqRel) {
             return;
@@ -78,7 +78,7 @@
         if mark.catalog > catalog {
             fetched = self.take_catalog(peer).await;
         }
-        if fetched.is_ok() && mark.revision > self.state.view.marks().0 {
+        if fetched.is_ok() && mark.revision > self.state.view.held_versions().0 {
             fetched = self.take_targets(peer).await;
         }
         self.is_fetching.store(false, Ordering::Release);
@@ -93,7 +93,7 @@
     }
 
     async fn take_catalog(&self, peer: &HostName) -> Result<(), PeerError> {
-        let known = self.state.view.marks().1;
+        let known = self.state.view.held_versions().1;
         let parts: Option<CatalogParts> = self.fetch(peer, PeerCall::Catalog { known }).await?;
         if parts.is_some() {
             let update = ViewUpdate {
@@ -114,7 +114,7 @@
 
     /// Takes an update of a peer in, and has it passed on.
     pub(super) fn take_update(&self, update: ViewUpdate, peer: &HostName) {
-        let change = self.state.view.take_peer_view(update, boot_now());
+        let change = self.state.view.apply_peer_view(update, boot_now());
         if !change.is_empty() {
             self.state.schedule().expedite_all();
         }
--- a/src/edge/watch_controller.rs
+++ b/src/edge/watch_controller.rs
@@ -97,8 +97,8 @@
                 needs_whole = false;
                 backoff.reset();
                 let change = match update.whole || access == StoreAccess::Watch {
-                    true => state.view.take_store_answer(update, begun, boot_now()),
-                    false => state.view.take_store_targets(update, begun, boot_now()),
+                    true => state.view.apply_store_response(update, begun, boot_now()),
+                    false => state.view.apply_store_targets(update, begun, boot_now()),
                 };
                 let changed = !change.is_empty();
                 state.take_change(change, None);
@@ -157,7 +157,7 @@
         match source.read_catalog().await {
             Ok(update) => {
                 backoff.reset();
-                let change = state.view.take_store_answer(update, begun, boot_now());
+                let change = state.view.apply_store_response(update, begun, boot_now());
                 state.take_change(change, None);
             }
             // The watch writes down that the store is lost.
@@ -186,7 +186,7 @@
 pub(crate) async fn tidy(state: Arc<EdgeState>) {
     loop {
         task::sleep(TIDY_PERIOD).await;
-        state.take_change(state.view.expire_lapses(boot_now()), None);
+        state.take_change(state.view.remove_lapsed(boot_now()), None);
         state.links.close_idle();
         state.queue.lock_table().expire_peer_loads(boot_now());
         state.queue.assign_waiting();
--- a/src/view/platform_view.rs
+++ b/src/view/platform_view.rs
@@ -102,7 +102,7 @@
     ///
     /// Lapsed targets are left out. The store removed them before the view's revision,
     /// so a peer that took them for standing would never hear of their removal.
-    pub fn whole_update(&self) -> ViewUpdate {
+    pub fn full_update(&self) -> ViewUpdate {
         ViewUpdate {
             revision: self.revision,
             whole: true,
@@ -118,7 +118,7 @@
     /// large for a message that must arrive within the bound on leaving targets.
     pub fn update_since(&self, complete: StoreRevision) -> Option<ViewUpdate> {
         if complete < self.forgotten {
-            return Some(self.whole_update());
+            return Some(self.full_update());
         }
         let targets = self.standing_targets();
         let targets = targets.filter(|target| target.revision > complete);
@@ -184,7 +184,7 @@
     }
 
     /// Lets go of lapsed targets that did not come back in time.
-    pub fn expire_lapses(&mut self, now: Duration) -> ViewChange {
+    pub fn remove_lapsed(&mut self, now: Duration) -> ViewChange {
         let mut change = ViewChange::default();
         let due: Vec<TargetName> = self
             .lapses
--- a/src/view/shared_view.rs
+++ b/src/view/shared_view.rs
@@ -42,7 +42,7 @@
 impl SharedView {
     /// Takes in what the store answered, whole or the catalog alone, to a call that was
     /// begun at `begun`.
-    pub fn take_store_answer(
+    pub fn apply_store_response(
         &self,
         update: ViewUpdate,
         begun: Duration,
@@ -66,7 +66,7 @@
 
     /// Takes in what the store answered to a call that was begun at `begun` and that asked for
     /// changes of the targets alone. It proves nothing about the catalog.
-    pub fn take_store_targets(
+    pub fn apply_store_targets(
         &self,
         update: ViewUpdate,
         begun: Duration,
@@ -80,15 +80,15 @@
     }
 
     /// Takes in what a peer believes. Its view proves nothing about its age; see
-    /// [`SharedView::vouch`].
-    pub fn take_peer_view(&self, update: ViewUpdate, now: Duration) -> ViewChange {
+    /// [`SharedView::confirm_catalog`].
+    pub fn apply_peer_view(&self, update: ViewUpdate, now: Duration) -> ViewChange {
         let mut state = self.lock();
         self.apply(&mut state, update, now)
     }
 
     /// Takes a peer's word that the catalog of this version was the store's at
     /// `shown`; it counts only if this host holds that catalog or a newer one.
-    pub fn vouch(&self, version: CatalogVersion, shown: Duration, now: Duration) {
+    pub fn confirm_catalog(&self, version: CatalogVersion, shown: Duration, now: Duration) {
         let mut state = self.lock();
         if version == 0 || state.view.catalog_version() < version {
             return;
@@ -106,15 +106,15 @@
 
     /// Takes a peer's word that its view, whose last change is `revision`, was the store's
     /// at `shown`; it counts only if this host holds that change.
-    pub fn vouch_view(&self, revision: StoreRevision, shown: Duration) {
-        if revision > 0 && self.marks().0 >= revision {
+    pub fn confirm_view(&self, revision: StoreRevision, shown: Duration) {
+        if revision > 0 && self.held_versions().0 >= revision {
             raise(&self.view_ms, shown);
         }
     }
 
     /// Lets go of lapsed targets that did not come back in time.
-    pub fn expire_lapses(&self, now: Duration) -> ViewChange {
-        self.lock().view.expire_lapses(now)
+    pub fn remove_lapsed(&self, now: Duration) -> ViewChange {
+        self.lock().view.remove_lapsed(now)
     }
 
     /// Returns the catalog in force.
@@ -135,7 +135,7 @@
     }
 
     /// Returns the revision of the last change that is held, and the catalog's version.
-    pub fn marks(&self) -> (StoreRevision, CatalogVersion) {
+    pub fn held_versions(&self) -> (StoreRevision, CatalogVersion) {
         let state = self.lock();
         (state.view.changed_at(), state.view.catalog_version())
     }
@@ -168,8 +168,8 @@
     }
 
     /// Returns all targets and evacuations for a peer.
-    pub fn whole_update(&self) -> ViewUpdate {
-        self.lock().view.whole_update()
+    pub fn full_update(&self) -> ViewUpdate {
+        self.lock().view.full_update()
     }
 
     /// Returns the targets and evacuations that a peer lacks whose view is complete up to
--- a/tests/platform_view.rs
+++ b/tests/platform_view.rs
@@ -72,10 +72,10 @@
 fn an_old_view_brings_nothing_back() {
     let feed = SharedView::default();
     let now = seconds(100);
-    feed.take_store_answer(whole(5, &[target("a", 3), target("b", 4)]), now, now);
-    feed.take_store_answer(removal("a", 9), now, now);
+    feed.apply_store_response(whole(5, &[target("a", 3), target("b", 4)]), now, now);
+    feed.apply_store_response(removal("a", 9), now, now);
 
-    feed.take_peer_view(whole(5, &[target("a", 3), target("b", 4)]), now);
+    feed.apply_peer_view(whole(5, &[target("a", 3), target("b", 4)]), now);
 
     let names: Vec<String> = feed.targets().into_iter().map(|held| held.name).collect();
     assert_eq!(names, ["b"]);
@@ -84,9 +84,9 @@
 #[test]
 fn catalogs_only_rise() {
     let feed = SharedView::default();
-    feed.take_peer_view(with_catalog(7), seconds(1));
+    feed.apply_peer_view(with_catalog(7), seconds(1));
 
-    let change = feed.take_peer_view(with_catalog(5), seconds(2));
+    let change = feed.apply_peer_view(with_catalog(5), seconds(2));
 
     assert!(change.is_empty());
     assert_eq!(feed.catalog().unwrap().version(), 7);
@@ -98,17 +98,17 @@
 fn what_lapsed_in_an_outage_may_serve_until_it_is_back() {
     let feed = SharedView::default();
     let targets = [target("back", 3), target("gone", 4)];
-    feed.take_store_answer(whole(5, &targets), seconds(100), seconds(100));
+    feed.apply_store_response(whole(5, &targets), seconds(100), seconds(100));
 
-    feed.take_store_answer(whole(8, &[]), seconds(105), seconds(105));
+    feed.apply_store_response(whole(8, &[]), seconds(105), seconds(105));
     let during = feed.targets().len();
     let registered = ViewUpdate {
         revision: 9,
         targets: vec![target("back", 9)],
         ..ViewUpdate::default()
     };
-    feed.take_store_answer(registered, seconds(106), seconds(106));
-    let change = feed.expire_lapses(seconds(107));
+    feed.apply_store_response(registered, seconds(106), seconds(106));
+    let change = feed.remove_lapsed(seconds(107));
 
     assert_eq!(during, 2);
     assert_eq!(change.gone, ["gone"]);
@@ -124,10 +124,10 @@
         catalog: Some(catalog(7)),
         ..whole(5, &[target("a", 3)])
     };
-    feed.take_store_answer(first, seconds(100), seconds(100));
+    feed.apply_store_response(first, seconds(100), seconds(100));
 
-    feed.take_store_answer(with_catalog(7), seconds(105), seconds(105));
-    feed.take_store_answer(removal("a", 6), seconds(105), seconds(106));
+    feed.apply_store_response(with_catalog(7), seconds(105), seconds(105));
+    feed.apply_store_response(removal("a", 6), seconds(105), seconds(106));
 
     assert_eq!(feed.targets().len(), 1);
 }
@@ -142,12 +142,12 @@
         catalog: Some(catalog(7)),
         ..whole(5, &[target("a", 3)])
     };
-    feed.take_store_answer(first, seconds(100), seconds(100));
+    feed.apply_store_response(first, seconds(100), seconds(100));
     for second in 101..=112 {
-        feed.vouch(7, seconds(second), seconds(second));
+        feed.confirm_catalog(7, seconds(second), seconds(second));
     }
 
-    let change = feed.take_store_answer(removal("a", 6), seconds(113), seconds(113));
+    let change = feed.apply_store_response(removal("a", 6), seconds(113), seconds(113));
 
     assert_eq!(change.gone, ["a"]);
 }
@@ -156,9 +156,9 @@
 #[test]
 fn a_removal_in_calm_times_is_one() {
     let feed = SharedView::default();
-    feed.take_store_answer(whole(5, &[target("a", 3)]), seconds(100), seconds(100));
+    feed.apply_store_response(whole(5, &[target("a", 3)]), seconds(100), seconds(100));
 
-    let change = feed.take_store_answer(removal("a", 6), seconds(101), seconds(101));
+    let change = feed.apply_store_response(removal("a", 6), seconds(101), seconds(101));
 
     assert_eq!(change.gone, ["a"]);
 }
@@ -168,11 +168,11 @@
 #[test]
 fn a_peers_word_counts_only_for_what_is_held() {
     let feed = SharedView::default();
-    feed.take_store_answer(with_catalog(7), seconds(100), seconds(100));
+    feed.apply_store_response(with_catalog(7), seconds(100), seconds(100));
 
-    feed.vouch(8, seconds(110), seconds(110));
+    feed.confirm_catalog(8, seconds(110), seconds(110));
     let unheld = feed.evidence_age(seconds(111));
-    feed.vouch(7, seconds(110), seconds(110));
+    feed.confirm_catalog(7, seconds(110), seconds(110));
     let held = feed.evidence_age(seconds(111));
 
     assert_eq!(unheld, Some(seconds(11)));
@@ -185,7 +185,7 @@
 fn evidence_has_the_age_of_the_calls_begin() {
     let feed = SharedView::default();
 
-    feed.take_store_answer(with_catalog(7), seconds(100), seconds(110));
+    feed.apply_store_response(with_catalog(7), seconds(100), seconds(110));
 
     assert_eq!(feed.evidence_age(seconds(110)), Some(seconds(10)));
 }
@@ -199,16 +199,16 @@
     let (first, second) = (SharedView::default(), SharedView::default());
     let start = seconds(100);
     let known = [target("old", 3), target("other", 4)];
-    first.take_store_answer(whole(5, &known), start, start);
-    second.take_store_answer(whole(5, &known), start, start);
+    first.apply_store_response(whole(5, &known), start, start);
+    second.apply_store_response(whole(5, &known), start, start);
     let back = start + seconds(10);
-    first.take_store_answer(ViewUpdate::default(), back, back);
-    first.take_store_answer(removal("old", 8), back, back);
+    first.apply_store_response(ViewUpdate::default(), back, back);
+    first.apply_store_response(removal("old", 8), back, back);
     assert_eq!(first.targets().len(), 2, "it may still come back");
 
-    second.take_peer_view(first.whole_update(), back);
+    second.apply_peer_view(first.full_update(), back);
 
-    second.expire_lapses(back + seconds(2));
+    second.remove_lapsed(back + seconds(2));
     let names: Vec<String> = second.targets().into_iter().map(|held| held.name).collect();
     assert_eq!(names, ["other"]);
 }
@@ -232,11 +232,11 @@
     let view = SharedView::default();
     let now = seconds(100);
 
-    view.take_store_answer(evacuation("za", 5, true), now, now);
-    let repeated = view.take_peer_view(evacuation("za", 4, false), now);
+    view.apply_store_response(evacuation("za", 5, true), now, now);
+    let repeated = view.apply_peer_view(evacuation("za", 4, false), now);
     let held = view.evacuated_zones();
-    let ended = view.take_peer_view(evacuation("za", 9, false), now);
-    view.take_peer_view(evacuation("za", 5, true), now);
+    let ended = view.apply_peer_view(evacuation("za", 9, false), now);
+    view.apply_peer_view(evacuation("za", 5, true), now);
 
     assert!(repeated.is_empty());
     assert_eq!(held, ["za"]);
@@ -250,9 +250,9 @@
 fn a_whole_read_ends_an_evacuation_that_it_does_not_name() {
     let view = SharedView::default();
     let now = seconds(100);
-    view.take_store_answer(evacuation("za", 5, true), now, now);
+    view.apply_store_response(evacuation("za", 5, true), now, now);
 
-    let change = view.take_store_answer(whole(9, &[]), now, now);
+    let change = view.apply_store_response(whole(9, &[]), now, now);
 
     assert_eq!(change.evacuations.len(), 1);
     assert!(view.evacuated_zones().is_empty());
@@ -265,13 +265,13 @@
     let young = SharedView::default();
     let late = SharedView::default();
     let now = seconds(100);
-    view.take_store_answer(whole(3, &[target("a", 3)]), now, now);
-    view.take_store_answer(evacuation("za", 5, true), now, now);
-    late.take_peer_view(whole(3, &[target("a", 3)]), now);
+    view.apply_store_response(whole(3, &[target("a", 3)]), now, now);
+    view.apply_store_response(evacuation("za", 5, true), now, now);
+    late.apply_peer_view(whole(3, &[target("a", 3)]), now);
 
-    young.take_peer_view(view.whole_update(), now);
+    young.apply_peer_view(view.full_update(), now);
     let lacking = view.update_since(3).expect("it lacks the evacuation");
-    late.take_peer_view(lacking, now);
+    late.apply_peer_view(lacking, now);
 
     assert_eq!(young.evacuated_zones(), ["za"]);
     assert_eq!(late.evacuated_zones(), ["za"]);
@@ -286,12 +286,12 @@
         catalog: Some(catalog(7)),
         ..whole(5, &[target("a", 3)])
     };
-    view.take_store_answer(first, now, now);
+    view.apply_store_response(first, now, now);
 
-    view.take_peer_view(removal("a", 9), now);
+    view.apply_peer_view(removal("a", 9), now);
     view.note_catalog_revision(8, 9);
     let behind = view.complete_revision();
-    view.take_peer_view(with_catalog(8), now);
+    view.apply_peer_view(with_catalog(8), now);
     view.note_catalog_revision(8, 9);
 
     assert_eq!(behind, 5);
