--- a/src/edge/edge_state.rs
+++ b/src/edge/edge_state.rs
@@ -334,11 +334,11 @@
                 active: evacuation.active,
             });
         }
-        if !change.changed.is_empty() || !change.gone.is_empty() {
+        if !change.changed.is_empty() || !change.removed.is_empty() {
             self.log.write(&DecisionLine::TargetsChanged {
                 revision: self.view.held_versions().0,
                 changed: change.changed,
-                gone: change.gone,
+                gone: change.removed,
             });
         }
     }
--- a/src/edge/tests/edge_fixture.rs
+++ b/src/edge/tests/edge_fixture.rs
@@ -70,7 +70,7 @@
     pub(super) fn write(&self, version: u64, targets: &[RawTarget], keys: &[&str]) {
         let update = ViewUpdate {
             revision: version,
-            whole: true,
+            full: true,
             catalog: Some(catalog_of(version, keys)),
             targets: targets
                 .iter()
@@ -90,7 +90,7 @@
 }
 
 impl FleetSource for ManualStore {
-    fn read_whole(&self) -> SourceFuture<'_> {
+    fn read_all(&self) -> SourceFuture<'_> {
         Box::pin(async { self.read() })
     }
 
--- a/src/edge/watch_controller.rs
+++ b/src/edge/watch_controller.rs
@@ -85,7 +85,7 @@
         };
         count(&state.metrics.store_calls);
         let read = match needs_whole || after == 0 {
-            true => source.read_whole().await,
+            true => source.read_all().await,
             false => source.watch(after, store_wait(&state, access)).await,
         };
         match read {
@@ -96,7 +96,7 @@
                 }
                 needs_whole = false;
                 backoff.reset();
-                let change = match update.whole || access == StoreAccess::Watch {
+                let change = match update.full || access == StoreAccess::Watch {
                     true => state.view.apply_store_response(update, begun, boot_now()),
                     false => state.view.apply_store_targets(update, begun, boot_now()),
                 };
--- a/src/view/fleet_source.rs
+++ b/src/view/fleet_source.rs
@@ -46,7 +46,7 @@
 /// The store from which routes and targets are read. It can only be read.
 pub trait FleetSource: Send + Sync + 'static {
     /// Reads everything.
-    fn read_whole(&self) -> SourceFuture<'_>;
+    fn read_all(&self) -> SourceFuture<'_>;
 
     /// Reads the catalog alone, as it stands now.
     fn read_catalog(&self) -> SourceFuture<'_>;
--- a/src/view/platform_view.rs
+++ b/src/view/platform_view.rs
@@ -105,7 +105,7 @@
     pub fn full_update(&self) -> ViewUpdate {
         ViewUpdate {
             revision: self.revision,
-            whole: true,
+            full: true,
             catalog: None,
             targets: self.standing_targets().cloned().collect(),
             removals: Vec::new(),
@@ -126,7 +126,7 @@
         let evacuations = self.evacuations.values();
         let update = ViewUpdate {
             revision: self.revision,
-            whole: false,
+            full: false,
             catalog: None,
             targets: targets.cloned().collect(),
             removals: removals
@@ -153,7 +153,7 @@
         if let Some(parts) = update.catalog {
             change.catalog = self.raise_catalog(parts);
         }
-        if update.whole {
+        if update.full {
             self.end_absent_evacuations(&update.evacuations, update.revision, &mut change);
             self.remove_absent(&update.targets, update.revision, outage, now, &mut change);
         }
@@ -195,7 +195,7 @@
         for name in due {
             self.lapses.remove(&name);
             self.targets.remove(&name);
-            change.gone.push(name);
+            change.removed.push(name);
         }
         change
     }
@@ -310,7 +310,7 @@
             self.lapses.insert(removal.name.clone(), until);
         } else {
             self.targets.remove(&removal.name);
-            change.gone.push(removal.name.clone());
+            change.removed.push(removal.name.clone());
         }
         self.note_removal(removal, now);
     }
--- a/src/view/view_update.rs
+++ b/src/view/view_update.rs
@@ -25,7 +25,7 @@
     /// The revision up to which the source has shown everything.
     pub revision: StoreRevision,
     /// Whether `targets` holds every target: one that is absent is gone.
-    pub whole: bool,
+    pub full: bool,
     /// The catalog, where the source has another than before.
     pub catalog: Option<CatalogParts>,
     /// Targets as they were written.
@@ -44,7 +44,7 @@
     /// Targets that are new or differ.
     pub changed: Vec<TargetName>,
     /// Targets that are gone.
-    pub gone: Vec<TargetName>,
+    pub removed: Vec<TargetName>,
     /// Availability zones whose evacuation started or ended.
     pub evacuations: Vec<ZoneEvacuation>,
 }
@@ -54,7 +54,7 @@
     pub fn is_empty(&self) -> bool {
         self.catalog.is_none()
             && self.changed.is_empty()
-            && self.gone.is_empty()
+            && self.removed.is_empty()
             && self.evacuations.is_empty()
     }
 }
--- a/tests/platform_view.rs
+++ b/tests/platform_view.rs
@@ -42,7 +42,7 @@
 fn whole(revision: u64, targets: &[TargetRecord]) -> ViewUpdate {
     ViewUpdate {
         revision,
-        whole: true,
+        full: true,
         targets: targets.to_vec(),
         ..ViewUpdate::default()
     }
@@ -111,7 +111,7 @@
     let change = feed.remove_lapsed(seconds(107));
 
     assert_eq!(during, 2);
-    assert_eq!(change.gone, ["gone"]);
+    assert_eq!(change.removed, ["gone"]);
     assert_eq!(feed.targets().len(), 1);
 }
 
@@ -149,7 +149,7 @@
 
     let change = feed.apply_store_response(removal("a", 6), seconds(113), seconds(113));
 
-    assert_eq!(change.gone, ["a"]);
+    assert_eq!(change.removed, ["a"]);
 }
 
 /// Without an outage a removal counts at once.
@@ -160,7 +160,7 @@
 
     let change = feed.apply_store_response(removal("a", 6), seconds(101), seconds(101));
 
-    assert_eq!(change.gone, ["a"]);
+    assert_eq!(change.removed, ["a"]);
 }
 
 /// A peer vouches for a catalog that this host doesn't hold yet. To take its word
