--- a/src/dispatch/target_runtime.rs
+++ b/src/dispatch/target_runtime.rs
@@ -80,7 +80,9 @@
     /// the one before, so what was seen of that is forgotten.
     pub(super) fn renew(&mut self, member: PoolMember, now: Duration) {
         let record = &member.record;
-        if self.record.born_ms != record.born_ms || self.record.address != record.address {
+        if self.record.started_at_ms != record.started_at_ms
+            || self.record.address != record.address
+        {
             let own = self.own;
             *self = Self::new(member, now);
             self.own = own;
--- a/src/edge/tests/edge_fixture.rs
+++ b/src/edge/tests/edge_fixture.rs
@@ -357,7 +357,7 @@
         availability_zone: "za".into(),
         slots: 4,
         phase: TargetPhase::Ready,
-        born_ms: 0,
+        started_at_ms: 0,
         cold_remaining: Duration::ZERO,
         revision,
     }
--- a/src/edge/tests/gossip.rs
+++ b/src/edge/tests/gossip.rs
@@ -36,7 +36,7 @@
         availability_zone: "za".into(),
         slots: 4,
         phase: TargetPhase::Ready,
-        born_ms: 1_796_000_000_123,
+        started_at_ms: 1_796_000_000_123,
         cold_remaining: Duration::ZERO,
         revision,
     };
--- a/src/view/target_record.rs
+++ b/src/view/target_record.rs
@@ -37,7 +37,7 @@
     pub phase: TargetPhase,
     /// When this life of it began, in milliseconds of its own clock; a target may
     /// start again under its old name and then knows nothing of before.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
     /// For how long it stays cold, as of this registration.
     pub cold_remaining: Duration,
     /// The revision of the store at which it was written.
--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -52,7 +52,7 @@
             availability_zone: "za".into(),
             slots: 11,
             phase: TargetPhase::Ready,
-            born_ms: 0,
+            started_at_ms: 0,
             cold_remaining,
             revision,
         },
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -34,7 +34,7 @@
             availability_zone: "za".into(),
             slots,
             phase: TargetPhase::Ready,
-            born_ms: 0,
+            started_at_ms: 0,
             cold_remaining: Duration::ZERO,
             revision: 1,
         },
--- a/tests/platform_view.rs
+++ b/tests/platform_view.rs
@@ -23,7 +23,7 @@
         availability_zone: "za".into(),
         slots: 4,
         phase: TargetPhase::Ready,
-        born_ms: 0,
+        started_at_ms: 0,
         cold_remaining: Duration::ZERO,
         revision,
     }
--- a/tests/request_limits.rs
+++ b/tests/request_limits.rs
@@ -49,7 +49,7 @@
             availability_zone: "za".into(),
             slots: 12,
             phase: TargetPhase::Ready,
-            born_ms: 0,
+            started_at_ms: 0,
             cold_remaining: Duration::ZERO,
             revision: 1,
         },
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -73,7 +73,7 @@
             availability_zone: "za".into(),
             slots: SLOTS as u32,
             phase: TargetPhase::Ready,
-            born_ms: 0,
+            started_at_ms: 0,
             cold_remaining: Duration::ZERO,
             revision: 1,
         },
