--- a/src/catalog/service_route.rs
+++ b/src/catalog/service_route.rs
@@ -28,7 +28,7 @@
     }
 
     /// Tells whether the request may run again after it may have run.
-    pub const fn is_repeatable(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
@@ -58,10 +58,10 @@
     /// Within which the first event, or the whole answer, is worth the most.
     pub objective: Duration,
     /// The longest pause between two events of a stream that is still in time.
-    pub pause_objective: Option<Duration>,
+    pub event_gap_objective: Option<Duration>,
     /// How long callers wait for the first event before they give up, where that is
     /// known to be shorter than their deadline.
-    pub patience: Option<Duration>,
+    pub abandon_timeout: Option<Duration>,
     /// The urgency; 0 is the highest.
     pub tier: TierRank,
     /// To how many targets one request may be sent at most.
--- a/src/dispatch/placement_request.rs
+++ b/src/dispatch/placement_request.rs
@@ -38,7 +38,7 @@
     /// How many tokens its caller expects, where it says so.
     pub output_tokens: Option<u64>,
     /// The longest pause between two events that is still in time.
-    pub pause_objective: Option<Duration>,
+    pub event_gap_objective: Option<Duration>,
     /// When its time is over.
     pub deadline: Duration,
     /// Targets that it was sent to already.
--- a/src/dispatch/target_choice.rs
+++ b/src/dispatch/target_choice.rs
@@ -148,7 +148,7 @@
     request: &PlacementRequest,
     view: ChoiceView<'_>,
 ) -> bool {
-    let (Some(objective), Some(pause_ms)) = (request.pause_objective, target.pace.pause_ms())
+    let (Some(objective), Some(pause_ms)) = (request.event_gap_objective, target.pace.pause_ms())
     else {
         return false;
     };
--- a/src/edge/request_run.rs
+++ b/src/edge/request_run.rs
@@ -172,7 +172,7 @@
             is_retry: !routed.waited.is_zero() || self.progress.began,
             prompt_tokens: routed.usage.map_or(0, |usage| usage.prompt),
             output_tokens: routed.usage.and_then(|usage| usage.expected_output),
-            pause_objective: routed.pause_objective,
+            event_gap_objective: routed.event_gap_objective,
             deadline: routed.deadline,
             tried: self.tried.clone(),
         }
@@ -221,7 +221,7 @@
             SendEnd::TimeOver => return Some(self.give_up(ErrorKind::TargetSilent).await),
             SendEnd::NotRun(cause) => (cause, true, ErrorKind::Overloaded),
             SendEnd::Lost(cause) => {
-                let repeatable = self.routed.kind.is_repeatable();
+                let repeatable = self.routed.kind.is_retryable();
                 (cause.to_string(), repeatable, ErrorKind::TargetLost)
             }
             SendEnd::Failure { head, body } => {
--- a/src/edge/route_filter.rs
+++ b/src/edge/route_filter.rs
@@ -54,7 +54,7 @@
     /// Within which its first event, or its answer, is worth the most.
     pub(crate) objective: Duration,
     /// The longest pause between two events of a stream that is still in time.
-    pub(crate) pause_objective: Option<Duration>,
+    pub(crate) event_gap_objective: Option<Duration>,
     /// How long its caller has waited in earlier attempts.
     pub(crate) waited: Duration,
     /// Until when its caller waits for the first event, on the boot clock.
@@ -140,9 +140,9 @@
         kind: route.kind,
         max_attempts: route.max_attempts,
         objective: route.objective,
-        pause_objective: route.pause_objective,
+        event_gap_objective: route.event_gap_objective,
         waited,
-        patience_end: route.patience.map_or(deadline, |patience| {
+        patience_end: route.abandon_timeout.map_or(deadline, |patience| {
             deadline.min(request.arrived + patience)
         }),
         pool: route.pool_for(rand::random()).clone(),
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -62,7 +62,7 @@
         is_retry: false,
         prompt_tokens,
         output_tokens: None,
-        pause_objective: None,
+        event_gap_objective: None,
         deadline: now + Duration::from_secs(12),
         tried: Vec::new(),
     }
@@ -369,7 +369,7 @@
     show_pause(&mut board, "slow", 100, now);
     let mut wish = wish_of(0, 12_000, now);
     wish.objective_at = now + millis(5_000);
-    wish.pause_objective = Some(millis(400));
+    wish.event_gap_objective = Some(millis(400));
 
     let names: Vec<String> = (0..12)
         .filter_map(|index| {
--- a/tests/request_limits.rs
+++ b/tests/request_limits.rs
@@ -70,7 +70,7 @@
         is_retry: false,
         prompt_tokens: 600,
         output_tokens: None,
-        pause_objective: None,
+        event_gap_objective: None,
         deadline: now + Duration::from_secs(12),
         tried: Vec::new(),
     }
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -136,7 +136,7 @@
                 is_retry: false,
                 prompt_tokens: 0,
                 output_tokens: None,
-                pause_objective: None,
+                event_gap_objective: None,
                 deadline: now + Duration::from_secs(12),
                 tried: Vec::new(),
             };
@@ -348,7 +348,7 @@
         is_retry,
         prompt_tokens: 0,
         output_tokens: None,
-        pause_objective: None,
+        event_gap_objective: None,
         deadline: now + Duration::from_secs(12),
         tried: Vec::new(),
     };
@@ -421,7 +421,7 @@
         is_retry: true,
         prompt_tokens: 0,
         output_tokens: None,
-        pause_objective: None,
+        event_gap_objective: None,
         deadline: now + Duration::from_secs(12),
         tried: Vec::new(),
     };
