--- a/src/catalog/route_catalog.rs
+++ b/src/catalog/route_catalog.rs
@@ -60,7 +60,7 @@
     /// Each key with the place of its account, sorted by key.
     keys: Vec<(String, usize)>,
     /// The parts as peers get them, once one has asked.
-    package: OnceLock<Bytes>,
+    encoded_parts: OnceLock<Bytes>,
 }
 
 impl RouteCatalog {
@@ -82,7 +82,7 @@
         Self {
             parts,
             keys,
-            package: OnceLock::new(),
+            encoded_parts: OnceLock::new(),
         }
     }
 
@@ -92,8 +92,8 @@
     }
 
     /// Returns the parts as a package for a peer that asks for them.
-    pub(crate) fn package(&self) -> &Bytes {
-        self.package.get_or_init(|| pack_value(&self.parts))
+    pub(crate) fn encoded_parts(&self) -> &Bytes {
+        self.encoded_parts.get_or_init(|| pack_value(&self.parts))
     }
 
     /// Returns the bounds of callers.
--- a/src/edge/gossip_service.rs
+++ b/src/edge/gossip_service.rs
@@ -56,7 +56,7 @@
     fn catalog_package(&self, known: CatalogVersion) -> Bytes {
         let catalog = self.state.view.catalog();
         let newer = catalog.filter(|catalog| catalog.version() > known);
-        newer.map_or_else(Bytes::new, |catalog| catalog.package().clone())
+        newer.map_or_else(Bytes::new, |catalog| catalog.encoded_parts().clone())
     }
 
     /// Returns all targets and evacuations packed.
--- a/src/edge/tests/gossip.rs
+++ b/src/edge/tests/gossip.rs
@@ -95,7 +95,7 @@
     let parts = large_catalog(2, 1400);
     let catalog = RouteCatalog::compile(parts);
 
-    let package = catalog.package();
+    let package = catalog.encoded_parts();
     let unpacked: CatalogParts = unpack_value(package).unwrap();
     let cut: Option<CatalogParts> = unpack_value(&package[..package.len() / 2]);
     let unpacked = RouteCatalog::compile(unpacked);
