--- a/src/edge/edge_state.rs
+++ b/src/edge/edge_state.rs
@@ -216,7 +216,7 @@
     /// Counts a request for a pool.
     pub(crate) fn note_request(&self, pool: &str) {
         let bounds = self.settings.load().bounds.retry_bounds();
-        lock(&self.retries).note_request(pool, bounds, boot_now());
+        lock(&self.retries).record_request(pool, bounds, boot_now());
     }
 
     /// Notes what a caller of a route has left; returns how long it has waited already.
--- a/src/quota/retry_budget.rs
+++ b/src/quota/retry_budget.rs
@@ -43,7 +43,7 @@
 
 impl RetryBudget {
     /// Counts a request for a pool.
-    pub fn note_request(&mut self, pool: &str, bounds: RetryBounds, now: Duration) {
+    pub fn record_request(&mut self, pool: &str, bounds: RetryBounds, now: Duration) {
         self.part(pool, bounds, now).requests += 1;
     }
 
