--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -135,7 +135,7 @@
             capacity: settings.capacity,
         };
         let mut members = self.members();
-        members.forget_dead(now);
+        members.remove_expired(now);
         let places = members.layout_hosts(now);
         drop(members);
         let known = places.len() + 1;
--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -318,7 +318,7 @@
         if let Some(age) = mark.evidence_age_ms {
             view.confirm_catalog(mark.catalog, shown(age), boot_now());
         }
-        view.note_catalog_revision(mark.catalog, mark.catalog_revision);
+        view.record_catalog_revision(mark.catalog, mark.catalog_revision);
         if let Some(age) = mark.view_age_ms {
             view.confirm_view(mark.revision, shown(age));
         }
--- a/src/edge/watch_controller.rs
+++ b/src/edge/watch_controller.rs
@@ -108,7 +108,7 @@
                     task::sleep(pause.clamp(LEAST_PAUSE, LONGEST_PAUSE)).await;
                 }
             }
-            Err(SourceError::HistoryGone) => needs_whole = true,
+            Err(SourceError::HistoryExpired) => needs_whole = true,
             Err(error) => {
                 if !std::mem::replace(&mut lost, true) {
                     let reason = error.to_string();
--- a/src/members/member_table.rs
+++ b/src/members/member_table.rs
@@ -180,7 +180,7 @@
     }
 
     /// Forgets hosts that have been dead for long.
-    pub fn forget_dead(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         let before = self.rows.len();
         self.rows
             .retain(|_, row| now.saturating_sub(row.heard) < DEAD_MEMORY);
--- a/src/view/fleet_source.rs
+++ b/src/view/fleet_source.rs
@@ -19,7 +19,7 @@
 pub enum SourceError {
     /// The changes after the revision are known no more; the whole must be read.
     #[display("the history is gone")]
-    HistoryGone,
+    HistoryExpired,
     /// The source refused the call and did nothing.
     #[display("refused with status {status}")]
     Refused {
--- a/src/view/platform_view.rs
+++ b/src/view/platform_view.rs
@@ -65,7 +65,7 @@
 
     /// Notes that a catalog of this version was the newest one at `revision`; it counts only
     /// if that one or a newer one is held.
-    pub fn note_catalog_revision(&mut self, version: CatalogVersion, revision: StoreRevision) {
+    pub fn record_catalog_revision(&mut self, version: CatalogVersion, revision: StoreRevision) {
         if self.catalog_version() >= version {
             self.catalog_revision = self.catalog_revision.max(revision);
         }
--- a/src/view/shared_view.rs
+++ b/src/view/shared_view.rs
@@ -55,7 +55,7 @@
         let all = revision > 0;
         let change = self.apply(&mut state, update, now);
         let version = state.view.catalog_version();
-        state.view.note_catalog_revision(version, revision);
+        state.view.record_catalog_revision(version, revision);
         drop(state);
         raise(&self.evidence_ms, begun);
         if all {
@@ -100,8 +100,8 @@
 
     /// Notes that the catalog of this version was the newest one at `revision`, by a peer; it
     /// counts only if this host holds that catalog or a newer one.
-    pub fn note_catalog_revision(&self, version: CatalogVersion, revision: StoreRevision) {
-        self.lock().view.note_catalog_revision(version, revision);
+    pub fn record_catalog_revision(&self, version: CatalogVersion, revision: StoreRevision) {
+        self.lock().view.record_catalog_revision(version, revision);
     }
 
     /// Takes a peer's word that its view, whose last change is `revision`, was the store's
