--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -75,7 +75,7 @@
     }
     let report = UsageReport {
         incarnation: message.own.incarnation,
-        age: Duration::from_millis(message.uptime_ms),
+        uptime: Duration::from_millis(message.uptime_ms),
         scope,
         hosts: match scope {
             UsageScope::Host => 1,
--- a/src/quota/peer_usage.rs
+++ b/src/quota/peer_usage.rs
@@ -56,7 +56,7 @@
     /// The reporting host's present life.
     pub incarnation: IncarnationId,
     /// For how long it has lasted.
-    pub age: Duration,
+    pub uptime: Duration,
     /// Whose usage it tells.
     pub scope: UsageScope,
     /// The hosts of a group by the hashes of their names.
@@ -97,10 +97,14 @@
 
 impl UsageReport {
     /// Makes a host's report of itself.
-    pub fn of_host(incarnation: IncarnationId, age: Duration, accounts: Vec<AccountUsage>) -> Self {
+    pub fn of_host(
+        incarnation: IncarnationId,
+        uptime: Duration,
+        accounts: Vec<AccountUsage>,
+    ) -> Self {
         Self {
             incarnation,
-            age,
+            uptime,
             scope: UsageScope::Host,
             covered: Vec::new(),
             hosts: 1,
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -273,17 +273,19 @@
         &mut self,
         host: HostName,
         incarnation: IncarnationId,
-        age: Duration,
+        uptime: Duration,
         usage: Vec<AccountUsage>,
         now: Duration,
     ) {
-        self.record_report(host, UsageReport::of_host(incarnation, age, usage), now);
+        self.record_report(host, UsageReport::of_host(incarnation, uptime, usage), now);
     }
 
     /// Takes a peer's report.
     pub fn record_report(&mut self, host: HostName, report: UsageReport, now: Duration) {
         let UsageReport {
-            incarnation, age, ..
+            incarnation,
+            uptime,
+            ..
         } = report;
         let known = self.peers.remove(&host);
         let same_life = known
@@ -292,7 +294,7 @@
         // Another report has told of it before.
         let is_known_otherwise = (self.grouped || self.has_just_regrouped(now))
             && same_life.is_none()
-            && age > SILENCE_BOUND
+            && uptime > SILENCE_BOUND
             && now.saturating_sub(self.born) > SILENCE_BOUND;
         let direct = report.scope == UsageScope::Host;
         self.drop_covered(report.scope);
@@ -305,7 +307,7 @@
             // silence, or at a host's first report, all of it can't have been spent just now.
             let since = match same_life {
                 Some(peer) if peer.is_silent(now) => peer.heard,
-                None if age > SILENCE_BOUND => now.saturating_sub(age),
+                None if uptime > SILENCE_BOUND => now.saturating_sub(uptime),
                 _ => now,
             };
             let window = self.tolerance.window;
--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -166,7 +166,7 @@
         };
         let report = UsageReport {
             incarnation: 1,
-            age: now.saturating_sub(start),
+            uptime: now.saturating_sub(start),
             scope,
             hosts: match scope {
                 UsageScope::Fleet => HOSTS - 1 - self.dead.len(),
