--- a/src/poison/poison_guard.rs
+++ b/src/poison/poison_guard.rs
@@ -77,7 +77,7 @@
                 self.note_change(entry.fingerprint);
             }
         }
-        table.forget(unix_now());
+        table.evict_expired(unix_now());
     }
 
     /// Notes that a target was lost while it ran the request.
--- a/src/poison/poison_table.rs
+++ b/src/poison/poison_table.rs
@@ -47,7 +47,7 @@
             target: target.clone(),
         });
         self.merge(&loss);
-        self.forget(now);
+        self.evict_expired(now);
     }
 
     /// Notes that a target ran the request to its end; returns whether that was news of
@@ -95,7 +95,7 @@
     }
 
     /// Lets go of what is too old, and of the oldest above the bound.
-    pub fn forget(&mut self, now: UnixMillis) {
+    pub fn evict_expired(&mut self, now: UnixMillis) {
         let oldest = now.saturating_sub(MEMORY_MS);
         self.entries.retain(|_, entry| {
             entry.losses.retain(|loss| loss.at >= oldest);
--- a/tests/poison_table.rs
+++ b/tests/poison_table.rs
@@ -80,7 +80,7 @@
     assert!(table.is_refused(killer()));
     assert!(table.entries().len() <= 64);
 
-    table.forget(20 * MINUTE);
+    table.evict_expired(20 * MINUTE);
 
     assert!(!table.is_suspect(killer()));
 }
