--- a/src/cli/edge_command.rs
+++ b/src/cli/edge_command.rs
@@ -8,8 +8,8 @@
 
 use async_std::task;
 
+use crate::edge::EdgeDependencies;
 use crate::edge::EdgeHost;
-use crate::edge::EdgeParts;
 use crate::edge::EdgeSignals;
 use crate::json::DocumentFault;
 use crate::platform;
@@ -41,7 +41,7 @@
 }
 
 /// Reads the settings, again for a while where they are faulty.
-fn open_parts() -> Result<EdgeParts, Vec<DocumentFault>> {
+fn open_parts() -> Result<EdgeDependencies, Vec<DocumentFault>> {
     let begun = Instant::now();
     loop {
         let opened = platform::open_parts(platform::settings_path());
--- a/src/edge/edge_host.rs
+++ b/src/edge/edge_host.rs
@@ -51,7 +51,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// What an adapter gives.
-pub(crate) struct EdgeParts {
+pub(crate) struct EdgeDependencies {
     /// The settings.
     pub(crate) settings: EdgeSettings,
     /// The names of headers.
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// An address can't be bound, or the log can't be opened.
-    pub(crate) async fn open(parts: EdgeParts) -> io::Result<Self> {
+    pub(crate) async fn open(parts: EdgeDependencies) -> io::Result<Self> {
         let log = DecisionLog::open().map_err(io::Error::other)?;
         Self::open_with_log(parts, log).await
     }
@@ -112,7 +112,10 @@
     /// # Errors
     ///
     /// An address can't be bound.
-    pub(crate) async fn open_with_log(parts: EdgeParts, log: DecisionLog) -> io::Result<Self> {
+    pub(crate) async fn open_with_log(
+        parts: EdgeDependencies,
+        log: DecisionLog,
+    ) -> io::Result<Self> {
         let settings = parts.settings;
         let requests = RequestMetrics::open().map_err(io::Error::other)?;
         let state = EdgeState::new(settings.clone(), parts.dialect, log, requests);
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -42,8 +42,8 @@
 mod view_logger;
 mod watch_controller;
 
+pub(crate) use edge_host::EdgeDependencies;
 pub(crate) use edge_host::EdgeHost;
-pub(crate) use edge_host::EdgeParts;
 pub(crate) use edge_host::EdgeSignals;
 pub(crate) use edge_settings::EdgeBounds;
 pub(crate) use edge_settings::EdgeSettings;
--- a/src/edge/tests/edge_fixture.rs
+++ b/src/edge/tests/edge_fixture.rs
@@ -26,7 +26,7 @@
 use crate::edge::EdgeSettings;
 use crate::edge::HeaderDialect;
 use crate::edge::SettingsLoader;
-use crate::edge::edge_host::EdgeParts;
+use crate::edge::edge_host::EdgeDependencies;
 use crate::edge::edge_state::EdgeState;
 use crate::json::DocumentFault;
 use crate::logs::DecisionLog;
@@ -153,7 +153,7 @@
 
     fn open_on(store: ManualStore, bounds: EdgeBounds) -> Self {
         let settings = settings_with(bounds);
-        let parts = EdgeParts {
+        let parts = EdgeDependencies {
             dialect: dialect(),
             source: Arc::new(store.clone()),
             loader: Arc::new(FixedLoader(settings.clone())),
