--- a/src/cli/edge_command.rs
+++ b/src/cli/edge_command.rs
@@ -44,7 +44,7 @@
 fn open_parts() -> Result<EdgeDependencies, Vec<DocumentFault>> {
     let begun = Instant::now();
     loop {
-        let opened = platform::open_parts(platform::settings_path());
+        let opened = platform::load_dependencies(platform::settings_path());
         if opened.is_ok() || begun.elapsed() >= SETTINGS_PATIENCE {
             return opened;
         }
