--- a/src/cli/edge_command.rs
+++ b/src/cli/edge_command.rs
@@ -25,7 +25,7 @@
 /// Serves with the platform's settings file until SIGTERM or SIGINT.
 pub(super) fn serve_edge() -> Result<CommandVerdict, CliError> {
     // Before anything that takes time: SIGHUP would end a host that still starts.
-    let signals = task::block_on(async { EdgeSignals::open() }).map_err(CliError::Serve)?;
+    let signals = task::block_on(async { EdgeSignals::register() }).map_err(CliError::Serve)?;
     let parts = match open_parts() {
         Ok(parts) => parts,
         Err(faults) => {
@@ -35,7 +35,7 @@
             return Ok(CommandVerdict::Faulty);
         }
     };
-    let host = task::block_on(EdgeHost::open(parts)).map_err(CliError::Serve)?;
+    let host = task::block_on(EdgeHost::start(parts)).map_err(CliError::Serve)?;
     task::block_on(host.run(signals));
     Ok(CommandVerdict::Clean)
 }
--- a/src/edge/edge_host.rs
+++ b/src/edge/edge_host.rs
@@ -82,7 +82,7 @@
     /// # Errors
     ///
     /// The signals can't be taken.
-    pub(crate) fn open() -> io::Result<Self> {
+    pub(crate) fn register() -> io::Result<Self> {
         Ok(Self(Signals::new([SIGHUP, SIGINT, SIGTERM])?))
     }
 }
@@ -102,17 +102,17 @@
     /// # Errors
     ///
     /// An address can't be bound, or the log can't be opened.
-    pub(crate) async fn open(parts: EdgeDependencies) -> io::Result<Self> {
+    pub(crate) async fn start(parts: EdgeDependencies) -> io::Result<Self> {
         let log = DecisionLog::open().map_err(io::Error::other)?;
-        Self::open_with_log(parts, log).await
+        Self::start_with_log(parts, log).await
     }
 
-    /// As [`EdgeHost::open`], with a log of the caller's.
+    /// As [`EdgeHost::start`], with a log of the caller's.
     ///
     /// # Errors
     ///
     /// An address can't be bound.
-    pub(crate) async fn open_with_log(
+    pub(crate) async fn start_with_log(
         parts: EdgeDependencies,
         log: DecisionLog,
     ) -> io::Result<Self> {
--- a/src/edge/tests/edge_fixture.rs
+++ b/src/edge/tests/edge_fixture.rs
@@ -160,7 +160,7 @@
             settings,
         };
         let log = DecisionLog::open_on(LineQueue::spawn(std::io::sink())).unwrap();
-        let host = task::block_on(EdgeHost::open_with_log(parts, log)).unwrap();
+        let host = task::block_on(EdgeHost::start_with_log(parts, log)).unwrap();
         let addresses = host.addresses;
         Self {
             store,
