--- a/tests/soak/soak_fleet.rs
+++ b/tests/soak/soak_fleet.rs
@@ -11,9 +11,9 @@
 use standins::LinkMode;
 use standins::LinkServer;
 
-use super::platform_standin::ConfigPlan;
+use super::platform_standin::ConfigSpec;
 use super::platform_standin::StoreServer;
-use super::platform_standin::TargetPlan;
+use super::platform_standin::TargetSpec;
 use super::soak_caller::FLEETING_KEY;
 use super::soak_caller::SPENDER_KEY;
 use super::soak_caller::STEADY_KEY;
@@ -35,7 +35,7 @@
 struct FleetTarget {
     target: SoakTarget,
     link: LinkServer,
-    plan: TargetPlan,
+    plan: TargetSpec,
     /// Which life it is in.
     life: u32,
     /// When it ends, while it leaves.
@@ -56,7 +56,7 @@
 /// The processes, stand-ins and links of one soak.
 pub(crate) struct SoakFleet {
     store: StoreServer,
-    config: ConfigPlan,
+    config: ConfigSpec,
     hosts: Vec<FleetHost>,
     targets: Vec<FleetTarget>,
     ledger: Arc<SoakLedger>,
@@ -75,7 +75,7 @@
         let store = StoreServer::spawn();
         let (hosts, targets) = sizes;
         let mut fleet = Self {
-            config: ConfigPlan {
+            config: ConfigSpec {
                 version: 1,
                 service_pool: SoakRoute::POOLS[0].into(),
                 engine_pool: SoakRoute::POOLS[1].into(),
@@ -298,7 +298,7 @@
             self.config.accounts.push(fleeting);
         }
         let document = self.config.document();
-        self.store.write(ConfigPlan::KEY, Some(&document));
+        self.store.write(ConfigSpec::KEY, Some(&document));
     }
 
     fn add_target(&mut self, number: usize) {
@@ -309,7 +309,7 @@
         let target = SoakTarget::spawn(identity.clone(), Arc::clone(&self.ledger));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let link = task::block_on(LinkServer::bind(any, target.address)).unwrap();
-        let plan = TargetPlan {
+        let plan = TargetSpec {
             name: identity.name,
             pool: identity.pool,
             address: link.address(),
--- a/tests/soak/soak_host.rs
+++ b/tests/soak/soak_host.rs
@@ -19,7 +19,7 @@
 use standins::LinkServer;
 
 use super::platform_standin::SETTINGS_VARIABLE;
-use super::platform_standin::SettingsPlan;
+use super::platform_standin::SettingsSpec;
 use super::raw_link::RawLink;
 
 /// The most memory that a host may ever take, in KB: the smallest machine has 160 MB,
@@ -39,7 +39,7 @@
 
 /// One host.
 pub(crate) struct SoakHost {
-    pub(crate) plan: SettingsPlan,
+    pub(crate) plan: SettingsSpec,
     /// What stands between the host and the store.
     pub(crate) store_link: LinkServer,
     directory: PathBuf,
@@ -57,7 +57,7 @@
     pub(crate) fn open(run: u8, number: usize, store: SocketAddr, directory: PathBuf) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let store_link = task::block_on(LinkServer::bind(any, store)).unwrap();
-        let plan = SettingsPlan {
+        let plan = SettingsSpec {
             host: format!("e{number}"),
             ip: host_ip(run, number),
             seeds: Vec::new(),
