--- a/tests/soak/soak_fleet.rs
+++ b/tests/soak/soak_fleet.rs
@@ -128,10 +128,10 @@
                 self.hosts[index].host.signal(Signal::HUP);
             }
             SoakStep::StoreDown(down) => {
-                self.store.set_down(down);
+                self.store.set_unavailable(down);
                 set_trouble(&self.ledger, &mut self.store_trouble, down);
             }
-            SoakStep::ForgetHistory => self.store.forget_history(),
+            SoakStep::ForgetHistory => self.store.compact_history(),
             SoakStep::StoreLink(index, mode) => {
                 let held = &mut self.hosts[index];
                 held.host.store_link.set_mode(mode);
