--- a/tests/soak/soak_caller.rs
+++ b/tests/soak/soak_caller.rs
@@ -93,8 +93,8 @@
             "POST {} HTTP/1.1\r\nHost: soak.example\r\n{}: {request}\r\n{}: {}\r\n\
              Authorization: {} {key}\r\nContent-Length: 5\r\n\r\nhello",
             route.path(),
-            headers::REQUEST,
-            headers::DEADLINE,
+            headers::REQUEST_ID,
+            headers::DEADLINE_MS,
             DEADLINE.as_millis(),
             headers::KEY_SCHEME,
         );
@@ -179,7 +179,7 @@
     key: &str,
 ) -> Vec<String> {
     let mut faults = Vec::new();
-    if head.header(headers::REQUEST) != Some(request) {
+    if head.header(headers::REQUEST_ID) != Some(request) {
         faults.push("another request's answer".to_owned());
     }
     match head.status() {
--- a/tests/soak/soak_target.rs
+++ b/tests/soak/soak_target.rs
@@ -125,7 +125,7 @@
 /// Returns the header line of a limit.
 fn limit_line(limit: Option<u32>) -> String {
     limit.map_or_else(String::new, |limit| {
-        format!("{}: {limit}.0\r\n", headers::LIMIT)
+        format!("{}: {limit}.0\r\n", headers::REQUEST_LIMIT)
     })
 }
 
@@ -166,7 +166,7 @@
         let identity = self.identity.lock().unwrap().clone();
         let mode = *self.mode.lock().unwrap();
         let limit = limit_line(*self.limit.lock().unwrap());
-        let request = head.header(headers::REQUEST).unwrap_or_default();
+        let request = head.header(headers::REQUEST_ID).unwrap_or_default();
         self.judge_request(head, &identity);
         let meant = head.header(headers::TARGET);
         if meant.is_some_and(|meant| meant != identity.name) {
@@ -224,7 +224,7 @@
         if head.header("authorization").is_some() {
             note("the key was passed on");
         }
-        if head.header(headers::DEADLINE).is_none() {
+        if head.header(headers::DEADLINE_MS).is_none() {
             note("no deadline");
         }
         if head.header(headers::TARGET).is_none() {
@@ -246,13 +246,13 @@
         pause: Duration,
         limit: &str,
     ) -> bool {
-        let request = head.header(headers::REQUEST).unwrap_or_default();
-        let after = head.header(headers::LAST_EVENT);
+        let request = head.header(headers::REQUEST_ID).unwrap_or_default();
+        let after = head.header(headers::LAST_EVENT_ID);
         let first = after.and_then(|id| id.parse().ok()).unwrap_or(0) + 1;
         let opening = format!(
             "HTTP/1.1 200 OK\r\n{}: {request}\r\n{}: {}\r\n{limit}\
              Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
-            headers::REQUEST,
+            headers::REQUEST_ID,
             headers::SIGNATURE,
             signature(target, request, b""),
         );
@@ -299,7 +299,7 @@
     format!(
         "HTTP/1.1 {status} Answer\r\n{}: {request}\r\n{}: {}\r\n{limit}Keep-Alive: timeout=4\r\n\
          Content-Length: {}\r\n\r\n{}",
-        headers::REQUEST,
+        headers::REQUEST_ID,
         headers::SIGNATURE,
         signature(target, request, body),
         body.len(),
@@ -311,7 +311,7 @@
 fn refuse(link: &mut RawLink, request: &str, status: u16, limit: &str) -> bool {
     let answer = format!(
         "HTTP/1.1 {status} Refused\r\n{}: {request}\r\n{}: 1\r\n{limit}Content-Length: 0\r\n\r\n",
-        headers::REQUEST,
+        headers::REQUEST_ID,
         headers::NOT_RUN,
     );
     link.write(&answer).is_ok()
