--- a/src/answers/answer_book.rs
+++ b/src/answers/answer_cache.rs
@@ -21,7 +21,7 @@
 
 /// What a request finds in the book.
 #[derive(Debug)]
-pub(crate) enum BookEntry {
+pub(crate) enum AnswerLookup {
     /// Nobody works on the id here: the request owns the new slot.
     Owned(Arc<AnswerSlot>),
     /// Another send of the id is at work or has ended: join it.
@@ -32,7 +32,7 @@
 
 /// The answers of one host.
 #[derive(Debug)]
-pub(crate) struct AnswerBook {
+pub(crate) struct AnswerCache {
     entries: Mutex<SortedMap<RequestId, KeptAnswer>>,
     max_kept_bytes: AtomicUsize,
 }
@@ -45,7 +45,7 @@
     finished: Option<Duration>,
 }
 
-impl AnswerBook {
+impl AnswerCache {
     /// Makes a book that keeps at most so many bytes of finished answers.
     pub(crate) fn new(max_kept_bytes: usize) -> Self {
         Self {
@@ -55,7 +55,7 @@
     }
 
     /// Sets how many bytes of finished answers are kept; the next trim goes by it.
-    pub(crate) fn keep_at_most(&self, max_kept_bytes: usize) {
+    pub(crate) fn set_max_kept_bytes(&self, max_kept_bytes: usize) {
         self.max_kept_bytes.store(max_kept_bytes, Ordering::Relaxed);
     }
 
@@ -70,14 +70,14 @@
         id: RequestId,
         account: &AccountName,
         attempt: AttemptNumber,
-    ) -> BookEntry {
+    ) -> AnswerLookup {
         let mut entries = self.lock();
         if let Some(kept) = entries.get(&id) {
             if kept.account != *account {
-                return BookEntry::Foreign;
+                return AnswerLookup::Foreign;
             }
             if kept.attempt >= attempt || kept.slot.outcome() == RequestOutcome::Done {
-                return BookEntry::Joined(kept.slot.clone());
+                return AnswerLookup::Joined(kept.slot.clone());
             }
         }
         let slot = Arc::new(AnswerSlot::default());
@@ -88,7 +88,7 @@
             finished: None,
         };
         entries.insert(id, kept);
-        BookEntry::Owned(slot)
+        AnswerLookup::Owned(slot)
     }
 
     /// Finds the answer of an id for a peer that asks on behalf of a caller.
@@ -121,7 +121,7 @@
     }
 
     /// Lets go of answers that are too old, and of the oldest above the bound.
-    pub(crate) fn trim(&self, now: Duration) {
+    pub(crate) fn evict(&self, now: Duration) {
         let mut entries = self.lock();
         entries.retain(|_, kept| {
             kept.finished
--- a/src/answers/tests.rs
+++ b/src/answers/tests.rs
@@ -6,12 +6,12 @@
 use bytes::Bytes;
 use futures_lite::AsyncReadExt;
 
-use super::AnswerBook;
+use super::AnswerCache;
 use super::AnswerEnd;
+use super::AnswerLookup;
 use super::AnswerPiece;
 use super::AnswerReader;
 use super::AnswerSlot;
-use super::BookEntry;
 use crate::errors::ErrorKind;
 use crate::ids::RequestId;
 
@@ -19,9 +19,9 @@
     RequestId::generate(time)
 }
 
-fn owned(book: &AnswerBook, id: RequestId, account: &str) -> Arc<AnswerSlot> {
+fn owned(book: &AnswerCache, id: RequestId, account: &str) -> Arc<AnswerSlot> {
     match book.enter(id, &account.to_string(), 1) {
-        BookEntry::Owned(slot) => slot,
+        AnswerLookup::Owned(slot) => slot,
         other => panic!("not owned: {other:?}"),
     }
 }
@@ -70,21 +70,21 @@
 
 #[test]
 fn second_send_joins_and_another_account_does_not() {
-    let book = AnswerBook::new(1 << 20);
+    let book = AnswerCache::new(1 << 20);
     let id = id(1_000);
     let slot = owned(&book, id, "harbour");
 
     let second = book.enter(id, &"harbour".to_string(), 1);
     let foreign = book.enter(id, &"station".to_string(), 1);
 
-    assert!(matches!(second, BookEntry::Joined(joined) if Arc::ptr_eq(&joined, &slot)));
-    assert!(matches!(foreign, BookEntry::Foreign));
+    assert!(matches!(second, AnswerLookup::Joined(joined) if Arc::ptr_eq(&joined, &slot)));
+    assert!(matches!(foreign, AnswerLookup::Foreign));
     assert!(book.find(id, &"station".to_string()).is_none());
 }
 
 #[test]
 fn finished_answers_are_let_go_by_age_and_by_size() {
-    let book = AnswerBook::new(100);
+    let book = AnswerCache::new(100);
     let (old, new) = (id(1_000), id(2_000));
     for id in [old, new] {
         let slot = owned(&book, id, "harbour");
@@ -92,25 +92,25 @@
         book.finish(id, &slot, Duration::from_secs(10));
     }
 
-    book.trim(Duration::from_secs(11));
+    book.evict(Duration::from_secs(11));
     assert!(book.find(old, &"harbour".to_string()).is_none());
     assert!(book.find(new, &"harbour".to_string()).is_some());
 
-    book.trim(Duration::from_secs(80));
+    book.evict(Duration::from_secs(80));
     assert_eq!(book.counts(), (0, 0));
 }
 
 /// A host keeps more answers than its document allows: it went by the default.
 #[test]
 fn bound_of_kept_bytes_may_change() {
-    let book = AnswerBook::new(1 << 20);
+    let book = AnswerCache::new(1 << 20);
     let id = id(1_000);
     let slot = owned(&book, id, "harbour");
     slot.put_bytes(Bytes::from(vec![0; 80]));
     book.finish(id, &slot, Duration::from_secs(10));
 
-    book.keep_at_most(50);
-    book.trim(Duration::from_secs(11));
+    book.set_max_kept_bytes(50);
+    book.evict(Duration::from_secs(11));
 
     assert_eq!(book.counts(), (0, 0));
 }
@@ -121,18 +121,18 @@
 /// `not-run` as well, while it still waits at the third host and runs there.
 #[test]
 fn later_attempt_does_not_join_an_earlier_one_that_did_not_run() {
-    let book = AnswerBook::new(1_000);
+    let book = AnswerCache::new(1_000);
     let id = id(1_000);
     let first = owned(&book, id, "harbour");
 
     let second = book.enter(id, &"harbour".to_string(), 2);
     let late = book.enter(id, &"harbour".to_string(), 1);
 
-    let BookEntry::Owned(second) = second else {
+    let AnswerLookup::Owned(second) = second else {
         panic!("joined the earlier attempt");
     };
     assert!(!Arc::ptr_eq(&first, &second));
-    assert!(matches!(late, BookEntry::Joined(slot) if Arc::ptr_eq(&slot, &second)));
+    assert!(matches!(late, AnswerLookup::Joined(slot) if Arc::ptr_eq(&slot, &second)));
 }
 
 /// Two sends of one id split the seats; each host joins the other. A reader from a
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -17,7 +17,7 @@
 use super::CallerService;
 use super::HostState;
 use super::PeerService;
-use crate::answers::AnswerBook;
+use crate::answers::AnswerCache;
 use crate::claim::RegisterSettings;
 use crate::claim::SeatRegister;
 use crate::clock::boot_now;
@@ -113,7 +113,7 @@
         let work = WorkController::spawn(settings.host.clone(), limits);
         let limiter = Arc::new(AccountLimiter::default());
         let kept_bytes = FleetLimits::default().kept_answer_bytes;
-        let answers = Arc::new(AnswerBook::new(kept_bytes as usize));
+        let answers = Arc::new(AnswerCache::new(kept_bytes as usize));
         // The targets follow the configuration and are made after it.
         let targets_cell = Arc::new(OnceLock::new());
         let config = ConfigController::spawn(ConfigParts {
@@ -291,7 +291,7 @@
 async fn trim_forever(state: Arc<HostState>) {
     loop {
         task::sleep(TRIM_PERIOD).await;
-        state.answers.trim(boot_now());
+        state.answers.evict(boot_now());
     }
 }
 
@@ -343,7 +343,7 @@
     host: HostName,
     work: Arc<WorkController>,
     limiter: Arc<AccountLimiter>,
-    answers: Arc<AnswerBook>,
+    answers: Arc<AnswerCache>,
     targets: Arc<OnceLock<Weak<TargetController>>>,
 ) -> Box<ViewListener> {
     Box::new(move |view| {
@@ -351,7 +351,7 @@
         limiter.apply(document);
         let limits = &document.limits;
         work.set_max_waiting(limits.max_waiting);
-        answers.keep_at_most(usize::try_from(limits.kept_answer_bytes).unwrap_or(usize::MAX));
+        answers.set_max_kept_bytes(usize::try_from(limits.kept_answer_bytes).unwrap_or(usize::MAX));
         let seats = &document.roster.seats;
         work.set_hosts(seats.iter().map(|seat| seat.host.clone()).collect());
         if !view.has_seat(&host) {
--- a/src/gateway/host_state.rs
+++ b/src/gateway/host_state.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::answers::AnswerBook;
+use crate::answers::AnswerCache;
 use crate::clock::boot_now;
 use crate::controllers::ClaimDesk;
 use crate::controllers::ConfigController;
@@ -45,7 +45,7 @@
     /// What the bodies of all requests here may take together.
     pub(crate) bodies: Arc<ByteBudget>,
     /// Answers in flight and kept.
-    pub(crate) answers: Arc<AnswerBook>,
+    pub(crate) answers: Arc<AnswerCache>,
     /// The connections to the peers.
     pub(crate) mesh: Arc<PeerMesh>,
     /// Where requests are recorded, if anywhere.
--- a/src/gateway/request_entry.rs
+++ b/src/gateway/request_entry.rs
@@ -5,8 +5,8 @@
 use async_std::task;
 use bytes::Bytes;
 
+use crate::answers::AnswerLookup;
 use crate::answers::AnswerReader;
-use crate::answers::BookEntry;
 use crate::errors::ErrorKind;
 use crate::limits::BytePermit;
 use crate::poison::fingerprint_request;
@@ -34,9 +34,9 @@
         .answers
         .enter(request.id, &request.account, request.attempt);
     match entry {
-        BookEntry::Foreign => Err(ErrorKind::BadRequestId),
-        BookEntry::Joined(slot) => Ok(AnswerReader::open(slot)),
-        BookEntry::Owned(slot) => {
+        AnswerLookup::Foreign => Err(ErrorKind::BadRequestId),
+        AnswerLookup::Joined(slot) => Ok(AnswerReader::open(slot)),
+        AnswerLookup::Owned(slot) => {
             // The reader stands before the run begins: a run without a reader
             // takes its caller for gone.
             let reader = AnswerReader::open(slot.clone());
