--- a/src/answers/answer_cache.rs
+++ b/src/answers/answer_cache.rs
@@ -27,7 +27,7 @@
     /// Another send of the id is at work or has ended: join it.
     Joined(Arc<AnswerSlot>),
     /// Another account used this id: its answer is not for this caller.
-    Foreign,
+    OtherAccount,
 }
 
 /// The answers of one host.
@@ -65,7 +65,7 @@
     /// `not-run` that is not its own: the earlier attempt may still wait here when a
     /// caller was told elsewhere that it did not run; it then ends barred, while the
     /// later attempt, sent to another host before, may yet run there.
-    pub(crate) fn enter(
+    pub(crate) fn get_or_insert(
         &self,
         id: RequestId,
         account: &AccountName,
@@ -74,7 +74,7 @@
         let mut entries = self.lock();
         if let Some(kept) = entries.get(&id) {
             if kept.account != *account {
-                return AnswerLookup::Foreign;
+                return AnswerLookup::OtherAccount;
             }
             if kept.attempt >= attempt || kept.slot.outcome() == RequestOutcome::Done {
                 return AnswerLookup::Joined(kept.slot.clone());
--- a/src/answers/tests.rs
+++ b/src/answers/tests.rs
@@ -20,7 +20,7 @@
 }
 
 fn owned(book: &AnswerCache, id: RequestId, account: &str) -> Arc<AnswerSlot> {
-    match book.enter(id, &account.to_string(), 1) {
+    match book.get_or_insert(id, &account.to_string(), 1) {
         AnswerLookup::Owned(slot) => slot,
         other => panic!("not owned: {other:?}"),
     }
@@ -74,11 +74,11 @@
     let id = id(1_000);
     let slot = owned(&book, id, "harbour");
 
-    let second = book.enter(id, &"harbour".to_string(), 1);
-    let foreign = book.enter(id, &"station".to_string(), 1);
+    let second = book.get_or_insert(id, &"harbour".to_string(), 1);
+    let foreign = book.get_or_insert(id, &"station".to_string(), 1);
 
     assert!(matches!(second, AnswerLookup::Joined(joined) if Arc::ptr_eq(&joined, &slot)));
-    assert!(matches!(foreign, AnswerLookup::Foreign));
+    assert!(matches!(foreign, AnswerLookup::OtherAccount));
     assert!(book.find(id, &"station".to_string()).is_none());
 }
 
@@ -125,8 +125,8 @@
     let id = id(1_000);
     let first = owned(&book, id, "harbour");
 
-    let second = book.enter(id, &"harbour".to_string(), 2);
-    let late = book.enter(id, &"harbour".to_string(), 1);
+    let second = book.get_or_insert(id, &"harbour".to_string(), 2);
+    let late = book.get_or_insert(id, &"harbour".to_string(), 1);
 
     let AnswerLookup::Owned(second) = second else {
         panic!("joined the earlier attempt");
--- a/src/gateway/request_entry.rs
+++ b/src/gateway/request_entry.rs
@@ -32,9 +32,9 @@
 ) -> Result<AnswerReader, ErrorKind> {
     let entry = host
         .answers
-        .enter(request.id, &request.account, request.attempt);
+        .get_or_insert(request.id, &request.account, request.attempt);
     match entry {
-        AnswerLookup::Foreign => Err(ErrorKind::BadRequestId),
+        AnswerLookup::OtherAccount => Err(ErrorKind::BadRequestId),
         AnswerLookup::Joined(slot) => Ok(AnswerReader::open(slot)),
         AnswerLookup::Owned(slot) => {
             // The reader stands before the run begins: a run without a reader
