--- a/src/answers/answer_slot.rs
+++ b/src/answers/answer_buffer.rs
@@ -43,13 +43,13 @@
 
 /// One request's answer.
 #[derive(Debug, Default)]
-pub(crate) struct AnswerSlot {
-    state: Mutex<SlotState>,
+pub(crate) struct AnswerBuffer {
+    state: Mutex<BufferState>,
     readers: AtomicUsize,
 }
 
 #[derive(Debug, Default)]
-struct SlotState {
+struct BufferState {
     head: Option<AnswerHead>,
     pieces: Vec<Bytes>,
     dropped: usize,
@@ -60,7 +60,7 @@
     wakers: Vec<Waker>,
 }
 
-impl AnswerSlot {
+impl AnswerBuffer {
     /// Gives the answer its head; later calls change nothing.
     pub(crate) fn put_head(&self, head: AnswerHead) {
         let mut state = self.lock();
@@ -208,12 +208,12 @@
         Poll::Pending
     }
 
-    fn lock(&self) -> MutexGuard<'_, SlotState> {
+    fn lock(&self) -> MutexGuard<'_, BufferState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl SlotState {
+impl BufferState {
     fn wake_all(&mut self) {
         for waker in self.wakers.drain(..) {
             waker.wake();
--- a/src/answers/answer_cache.rs
+++ b/src/answers/answer_cache.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use super::AnswerSlot;
+use super::AnswerBuffer;
 use crate::errors::RequestOutcome;
 use crate::ids::AccountName;
 use crate::ids::AttemptNumber;
@@ -23,9 +23,9 @@
 #[derive(Debug)]
 pub(crate) enum AnswerLookup {
     /// Nobody works on the id here: the request owns the new slot.
-    Owned(Arc<AnswerSlot>),
+    Owned(Arc<AnswerBuffer>),
     /// Another send of the id is at work or has ended: join it.
-    Joined(Arc<AnswerSlot>),
+    Joined(Arc<AnswerBuffer>),
     /// Another account used this id: its answer is not for this caller.
     OtherAccount,
 }
@@ -41,7 +41,7 @@
 struct KeptAnswer {
     account: AccountName,
     attempt: AttemptNumber,
-    slot: Arc<AnswerSlot>,
+    slot: Arc<AnswerBuffer>,
     finished: Option<Duration>,
 }
 
@@ -80,7 +80,7 @@
                 return AnswerLookup::Joined(kept.slot.clone());
             }
         }
-        let slot = Arc::new(AnswerSlot::default());
+        let slot = Arc::new(AnswerBuffer::default());
         let kept = KeptAnswer {
             account: account.clone(),
             attempt,
@@ -92,14 +92,14 @@
     }
 
     /// Finds the answer of an id for a peer that asks on behalf of a caller.
-    pub(crate) fn find(&self, id: RequestId, account: &AccountName) -> Option<Arc<AnswerSlot>> {
+    pub(crate) fn find(&self, id: RequestId, account: &AccountName) -> Option<Arc<AnswerBuffer>> {
         let entries = self.lock();
         let kept = entries.get(&id)?;
         (kept.account == *account).then(|| kept.slot.clone())
     }
 
     /// Marks an answer as finished, to be kept for a while.
-    pub(crate) fn finish(&self, id: RequestId, slot: &Arc<AnswerSlot>, now: Duration) {
+    pub(crate) fn finish(&self, id: RequestId, slot: &Arc<AnswerBuffer>, now: Duration) {
         let mut entries = self.lock();
         if let Some(kept) = entries.get_mut(&id)
             && Arc::ptr_eq(&kept.slot, slot)
@@ -110,7 +110,7 @@
 
     /// Forgets an id whose request ended without running, so that the next
     /// attempt owns it anew; another attempt's slot stays.
-    pub(crate) fn forget(&self, id: RequestId, slot: &Arc<AnswerSlot>) {
+    pub(crate) fn forget(&self, id: RequestId, slot: &Arc<AnswerBuffer>) {
         let mut entries = self.lock();
         let same = entries
             .get(&id)
--- a/src/answers/answer_reader.rs
+++ b/src/answers/answer_reader.rs
@@ -12,15 +12,15 @@
 use futures_lite::AsyncBufRead;
 use futures_lite::AsyncRead;
 
+use super::AnswerBuffer;
 use super::AnswerEnd;
 use super::AnswerPiece;
-use super::AnswerSlot;
 use crate::http::AnswerHead;
 
 /// One reader of an answer.
 #[derive(Debug)]
 pub(crate) struct AnswerReader {
-    slot: Arc<AnswerSlot>,
+    slot: Arc<AnswerBuffer>,
     next: usize,
     current: Bytes,
     consumed: usize,
@@ -28,7 +28,7 @@
 
 impl AnswerReader {
     /// Opens a reader at the answer's beginning.
-    pub(crate) fn open(slot: Arc<AnswerSlot>) -> Self {
+    pub(crate) fn open(slot: Arc<AnswerBuffer>) -> Self {
         slot.enter_reader();
         Self {
             slot,
--- a/src/answers/tests.rs
+++ b/src/answers/tests.rs
@@ -6,12 +6,12 @@
 use bytes::Bytes;
 use futures_lite::AsyncReadExt;
 
+use super::AnswerBuffer;
 use super::AnswerCache;
 use super::AnswerEnd;
 use super::AnswerLookup;
 use super::AnswerPiece;
 use super::AnswerReader;
-use super::AnswerSlot;
 use crate::errors::ErrorKind;
 use crate::ids::RequestId;
 
@@ -19,7 +19,7 @@
     RequestId::generate(time)
 }
 
-fn owned(book: &AnswerCache, id: RequestId, account: &str) -> Arc<AnswerSlot> {
+fn owned(book: &AnswerCache, id: RequestId, account: &str) -> Arc<AnswerBuffer> {
     match book.get_or_insert(id, &account.to_string(), 1) {
         AnswerLookup::Owned(slot) => slot,
         other => panic!("not owned: {other:?}"),
@@ -28,7 +28,7 @@
 
 #[async_std::test]
 async fn late_reader_gets_the_whole_answer() {
-    let slot = Arc::new(AnswerSlot::default());
+    let slot = Arc::new(AnswerBuffer::default());
     slot.put_bytes(Bytes::from_static(b"first "));
     let mut late = AnswerReader::open(slot.clone());
     slot.put_bytes(Bytes::from_static(b"second"));
@@ -42,7 +42,7 @@
 
 #[async_std::test]
 async fn cut_answer_ends_with_an_error() {
-    let slot = Arc::new(AnswerSlot::default());
+    let slot = Arc::new(AnswerBuffer::default());
     let mut reader = AnswerReader::open(slot.clone());
     slot.put_bytes(Bytes::from_static(b"half"));
     slot.put_end(AnswerEnd::Cut(ErrorKind::TargetLost));
@@ -57,7 +57,7 @@
 /// The answer outgrew what is held, and the resend joined after that.
 #[async_std::test]
 async fn reader_that_missed_the_beginning_gets_nothing() {
-    let slot = Arc::new(AnswerSlot::default());
+    let slot = Arc::new(AnswerBuffer::default());
     for _ in 0..80 {
         slot.put_bytes(Bytes::from(vec![b'x'; 8192]));
     }
@@ -139,7 +139,7 @@
 /// peer that waits for an answer which this host itself awaits would never end.
 #[async_std::test]
 async fn peer_does_not_wait_for_an_answer_that_another_host_gives() {
-    let slot = Arc::new(AnswerSlot::default());
+    let slot = Arc::new(AnswerBuffer::default());
     let early = AnswerReader::open(slot.clone());
     let waiting = async_std::task::spawn(async move { early.own_head().await });
     async_std::task::yield_now().await;
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use futures_lite::future::or;
 
+use crate::answers::AnswerBuffer;
 use crate::answers::AnswerEnd;
-use crate::answers::AnswerSlot;
 use crate::claim::HeldClaim;
 use crate::claim::UnsentStage;
 use crate::clock::boot_now;
@@ -74,7 +74,7 @@
     /// What the body takes of the host's budget.
     pub(crate) _permit: BytePermit,
     /// Where the answer goes.
-    pub(crate) slot: Arc<AnswerSlot>,
+    pub(crate) slot: Arc<AnswerBuffer>,
 }
 
 impl RequestRun {
--- a/src/gateway/request_refusal.rs
+++ b/src/gateway/request_refusal.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::answers::AnswerBuffer;
 use crate::answers::AnswerEnd;
-use crate::answers::AnswerSlot;
 use crate::clock::unix_now;
 use crate::errors::ErrorKind;
 use crate::errors::RequestOutcome;
@@ -95,7 +95,7 @@
     }
 
     /// Puts the answer into a slot, whole.
-    pub(crate) fn put_answer(&self, slot: &AnswerSlot, id: RequestId, outcome: RequestOutcome) {
+    pub(crate) fn put_answer(&self, slot: &AnswerBuffer, id: RequestId, outcome: RequestOutcome) {
         let (head, body) = self.answer(Some(id), outcome);
         slot.put_head(head);
         slot.put_bytes(body);
