--- a/src/answers/answer_buffer.rs
+++ b/src/answers/answer_buffer.rs
@@ -32,13 +32,13 @@
 
 /// The next thing a reader gets.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum AnswerPiece {
+pub(crate) enum AnswerChunk {
     /// Bytes of the body.
     Bytes(Bytes),
     /// The end.
     End(AnswerEnd),
     /// The reader came too late: the first bytes are held no more.
-    Gone,
+    Evicted,
 }
 
 /// One request's answer.
@@ -73,7 +73,7 @@
     /// Appends bytes to the body.
     ///
     /// Past the bound the oldest bytes are let go; a reader that had not read
-    /// them gets [`AnswerPiece::Gone`], never an answer with a hole.
+    /// them gets [`AnswerChunk::Evicted`], never an answer with a hole.
     pub(crate) fn put_bytes(&self, bytes: Bytes) {
         let mut state = self.lock();
         state.held_bytes += bytes.len();
@@ -193,16 +193,16 @@
     }
 
     /// Polls for the piece with a number, counted from the first.
-    pub(super) fn poll_piece(&self, number: usize, context: &mut Context<'_>) -> Poll<AnswerPiece> {
+    pub(super) fn poll_chunk(&self, number: usize, context: &mut Context<'_>) -> Poll<AnswerChunk> {
         let mut state = self.lock();
         let Some(index) = number.checked_sub(state.dropped) else {
-            return Poll::Ready(AnswerPiece::Gone);
+            return Poll::Ready(AnswerChunk::Evicted);
         };
         if let Some(bytes) = state.pieces.get(index) {
-            return Poll::Ready(AnswerPiece::Bytes(bytes.clone()));
+            return Poll::Ready(AnswerChunk::Bytes(bytes.clone()));
         }
         if let Some(end) = state.end {
-            return Poll::Ready(AnswerPiece::End(end));
+            return Poll::Ready(AnswerChunk::End(end));
         }
         state.wakers.push(context.waker().clone());
         Poll::Pending
--- a/src/answers/answer_reader.rs
+++ b/src/answers/answer_reader.rs
@@ -13,8 +13,8 @@
 use futures_lite::AsyncRead;
 
 use super::AnswerBuffer;
+use super::AnswerChunk;
 use super::AnswerEnd;
-use super::AnswerPiece;
 use crate::http::AnswerHead;
 
 /// One reader of an answer.
@@ -50,9 +50,9 @@
     }
 
     /// Waits for the next piece of the body.
-    pub(crate) async fn next_piece(&mut self) -> AnswerPiece {
-        let piece = poll_fn(|context| self.slot.poll_piece(self.next, context)).await;
-        if matches!(piece, AnswerPiece::Bytes(_)) {
+    pub(crate) async fn next_chunk(&mut self) -> AnswerChunk {
+        let piece = poll_fn(|context| self.slot.poll_chunk(self.next, context)).await;
+        if matches!(piece, AnswerChunk::Bytes(_)) {
             self.next += 1;
         }
         piece
@@ -69,19 +69,19 @@
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let reader = self.get_mut();
         while reader.consumed == reader.current.len() {
-            match ready!(reader.slot.poll_piece(reader.next, context)) {
-                AnswerPiece::Bytes(bytes) => {
+            match ready!(reader.slot.poll_chunk(reader.next, context)) {
+                AnswerChunk::Bytes(bytes) => {
                     reader.next += 1;
                     reader.current = bytes;
                     reader.consumed = 0;
                 }
-                AnswerPiece::End(AnswerEnd::Whole) => return Poll::Ready(Ok(&[])),
+                AnswerChunk::End(AnswerEnd::Whole) => return Poll::Ready(Ok(&[])),
                 // An error ends the connection without the last chunk, so the
                 // caller sees that the answer is not whole.
-                AnswerPiece::End(AnswerEnd::Cut(kind)) => {
+                AnswerChunk::End(AnswerEnd::Cut(kind)) => {
                     return Poll::Ready(Err(io::Error::other(kind)));
                 }
-                AnswerPiece::Gone => {
+                AnswerChunk::Evicted => {
                     return Poll::Ready(Err(io::Error::other("the reader was too slow")));
                 }
             }
--- a/src/answers/mod.rs
+++ b/src/answers/mod.rs
@@ -7,8 +7,8 @@
 mod tests;
 
 pub(crate) use answer_buffer::AnswerBuffer;
+pub(crate) use answer_buffer::AnswerChunk;
 pub(crate) use answer_buffer::AnswerEnd;
-pub(crate) use answer_buffer::AnswerPiece;
 pub(crate) use answer_cache::AnswerCache;
 pub(crate) use answer_cache::AnswerLookup;
 pub(crate) use answer_reader::AnswerReader;
--- a/src/answers/tests.rs
+++ b/src/answers/tests.rs
@@ -8,9 +8,9 @@
 
 use super::AnswerBuffer;
 use super::AnswerCache;
+use super::AnswerChunk;
 use super::AnswerEnd;
 use super::AnswerLookup;
-use super::AnswerPiece;
 use super::AnswerReader;
 use crate::errors::ErrorKind;
 use crate::ids::RequestId;
@@ -63,9 +63,9 @@
     }
     slot.put_end(AnswerEnd::Whole);
 
-    let piece = AnswerReader::open(slot.clone()).next_piece().await;
+    let piece = AnswerReader::open(slot.clone()).next_chunk().await;
 
-    assert_eq!(piece, AnswerPiece::Gone);
+    assert_eq!(piece, AnswerChunk::Evicted);
 }
 
 #[test]
--- a/src/gateway/peer_service.rs
+++ b/src/gateway/peer_service.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 
+use crate::answers::AnswerChunk;
 use crate::answers::AnswerEnd;
-use crate::answers::AnswerPiece;
 use crate::answers::AnswerReader;
 use crate::controllers::DigestController;
 use crate::errors::ErrorKind;
@@ -104,14 +104,14 @@
     };
     replies.send(PeerReply::AnswerHead(head)).await?;
     loop {
-        match reader.next_piece().await {
-            AnswerPiece::Bytes(bytes) => replies.send(PeerReply::AnswerBody(bytes)).await?,
-            AnswerPiece::End(AnswerEnd::Whole) => {
+        match reader.next_chunk().await {
+            AnswerChunk::Bytes(bytes) => replies.send(PeerReply::AnswerBody(bytes)).await?,
+            AnswerChunk::End(AnswerEnd::Whole) => {
                 let outcome = RequestOutcome::Done;
                 return replies.finish(PeerReply::AnswerEnd { outcome }).await;
             }
             // Dropping the sender unfinished cuts the stream, as it must.
-            AnswerPiece::End(AnswerEnd::Cut(_)) | AnswerPiece::Gone => return Ok(()),
+            AnswerChunk::End(AnswerEnd::Cut(_)) | AnswerChunk::Evicted => return Ok(()),
         }
     }
 }
