--- a/src/answers/answer_buffer.rs
+++ b/src/answers/answer_buffer.rs
@@ -25,9 +25,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum AnswerEnd {
     /// Every byte is there.
-    Whole,
+    Complete,
     /// The rest will never come; readers must see a cut message.
-    Cut(ErrorKind),
+    Truncated(ErrorKind),
 }
 
 /// The next thing a reader gets.
@@ -126,8 +126,8 @@
             .as_ref()
             .and_then(|head| head.headers.get("request-outcome"));
         match (state.end, told.map(String::as_str)) {
-            (Some(AnswerEnd::Whole), Some("done")) => RequestOutcome::Done,
-            (Some(AnswerEnd::Whole), Some("not-run")) => RequestOutcome::NotRun,
+            (Some(AnswerEnd::Complete), Some("done")) => RequestOutcome::Done,
+            (Some(AnswerEnd::Complete), Some("not-run")) => RequestOutcome::NotRun,
             _ => RequestOutcome::Unknown,
         }
     }
--- a/src/answers/answer_reader.rs
+++ b/src/answers/answer_reader.rs
@@ -75,10 +75,10 @@
                     reader.current = bytes;
                     reader.consumed = 0;
                 }
-                AnswerChunk::End(AnswerEnd::Whole) => return Poll::Ready(Ok(&[])),
+                AnswerChunk::End(AnswerEnd::Complete) => return Poll::Ready(Ok(&[])),
                 // An error ends the connection without the last chunk, so the
                 // caller sees that the answer is not whole.
-                AnswerChunk::End(AnswerEnd::Cut(kind)) => {
+                AnswerChunk::End(AnswerEnd::Truncated(kind)) => {
                     return Poll::Ready(Err(io::Error::other(kind)));
                 }
                 AnswerChunk::Evicted => {
--- a/src/answers/tests.rs
+++ b/src/answers/tests.rs
@@ -32,7 +32,7 @@
     slot.put_bytes(Bytes::from_static(b"first "));
     let mut late = AnswerReader::open(slot.clone());
     slot.put_bytes(Bytes::from_static(b"second"));
-    slot.put_end(AnswerEnd::Whole);
+    slot.put_end(AnswerEnd::Complete);
 
     let mut text = String::new();
     late.read_to_string(&mut text).await.unwrap();
@@ -45,7 +45,7 @@
     let slot = Arc::new(AnswerBuffer::default());
     let mut reader = AnswerReader::open(slot.clone());
     slot.put_bytes(Bytes::from_static(b"half"));
-    slot.put_end(AnswerEnd::Cut(ErrorKind::TargetLost));
+    slot.put_end(AnswerEnd::Truncated(ErrorKind::TargetLost));
 
     let mut bytes = Vec::new();
     let read = reader.read_to_end(&mut bytes).await;
@@ -61,7 +61,7 @@
     for _ in 0..80 {
         slot.put_bytes(Bytes::from(vec![b'x'; 8192]));
     }
-    slot.put_end(AnswerEnd::Whole);
+    slot.put_end(AnswerEnd::Complete);
 
     let piece = AnswerReader::open(slot.clone()).next_chunk().await;
 
--- a/src/gateway/join_filter.rs
+++ b/src/gateway/join_filter.rs
@@ -81,7 +81,8 @@
     match call_peer(run, host, serve_call(run), |_| true).await {
         PumpEnd::Whole => true,
         PumpEnd::Lost if run.slot.has_head() => {
-            run.slot.put_end(AnswerEnd::Cut(ErrorKind::HolderLost));
+            run.slot
+                .put_end(AnswerEnd::Truncated(ErrorKind::HolderLost));
             true
         }
         PumpEnd::Refused | PumpEnd::Lost => {
@@ -126,7 +127,7 @@
             PeerReply::AnswerHead(head) => run.slot.put_head(head),
             PeerReply::AnswerBody(bytes) => run.slot.put_bytes(bytes),
             PeerReply::AnswerEnd { .. } => {
-                run.slot.put_end(AnswerEnd::Whole);
+                run.slot.put_end(AnswerEnd::Complete);
                 return PumpEnd::Whole;
             }
             PeerReply::Refused { .. } => return PumpEnd::Refused,
@@ -139,7 +140,7 @@
 fn fail(run: &RequestRun, kind: ErrorKind) {
     run.count_error(kind);
     if run.slot.has_head() {
-        run.slot.put_end(AnswerEnd::Cut(kind));
+        run.slot.put_end(AnswerEnd::Truncated(kind));
     } else {
         // A resend asks again: the holder may only have been paused.
         run.host.answers.forget(run.request.id, &run.slot);
--- a/src/gateway/peer_service.rs
+++ b/src/gateway/peer_service.rs
@@ -106,12 +106,12 @@
     loop {
         match reader.next_chunk().await {
             AnswerChunk::Bytes(bytes) => replies.send(PeerReply::AnswerBody(bytes)).await?,
-            AnswerChunk::End(AnswerEnd::Whole) => {
+            AnswerChunk::End(AnswerEnd::Complete) => {
                 let outcome = RequestOutcome::Done;
                 return replies.finish(PeerReply::AnswerEnd { outcome }).await;
             }
             // Dropping the sender unfinished cuts the stream, as it must.
-            AnswerChunk::End(AnswerEnd::Cut(_)) | AnswerChunk::Evicted => return Ok(()),
+            AnswerChunk::End(AnswerEnd::Truncated(_)) | AnswerChunk::Evicted => return Ok(()),
         }
     }
 }
--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -127,7 +127,7 @@
 fn fail_slot(run: &RequestRun, kind: ErrorKind) {
     run.count_error(kind);
     if run.slot.has_head() {
-        run.slot.put_end(AnswerEnd::Cut(kind));
+        run.slot.put_end(AnswerEnd::Truncated(kind));
     } else {
         RequestRefusal::of(kind).put_answer(&run.slot, run.request.id, RequestOutcome::Unknown);
     }
@@ -209,7 +209,7 @@
     head.length = Some(body.len() as u64);
     run.slot.put_head(done_head(run, head));
     run.slot.put_bytes(Bytes::from(body));
-    run.slot.put_end(AnswerEnd::Whole);
+    run.slot.put_end(AnswerEnd::Complete);
     Ok(())
 }
 
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -252,7 +252,8 @@
     /// Nobody reads: there is nothing to tell, only a claim to give back.
     async fn abandon(&self, claim: Option<HeldClaim<UnsentStage>>) {
         self.host.answers.forget(self.request.id, &self.slot);
-        self.slot.put_end(AnswerEnd::Cut(ErrorKind::HolderLost));
+        self.slot
+            .put_end(AnswerEnd::Truncated(ErrorKind::HolderLost));
         if let Some(claim) = claim {
             self.host.claims.release(claim).await;
         }
--- a/src/gateway/request_refusal.rs
+++ b/src/gateway/request_refusal.rs
@@ -99,7 +99,7 @@
         let (head, body) = self.answer(Some(id), outcome);
         slot.put_head(head);
         slot.put_bytes(body);
-        slot.put_end(AnswerEnd::Whole);
+        slot.put_end(AnswerEnd::Complete);
     }
 
     fn retry_millis(&self, advice: RetryAdvice, id: Option<RequestId>) -> Option<u64> {
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -74,7 +74,7 @@
             match passed {
                 None => return self.cancel().await,
                 Some(Ok(())) => {
-                    run.slot.put_end(AnswerEnd::Whole);
+                    run.slot.put_end(AnswerEnd::Complete);
                     return Ok(());
                 }
                 Some(Err(ExchangeError::Broken)) => return Err(ErrorKind::TargetFault),
