--- a/src/answers/answer_buffer.rs
+++ b/src/answers/answer_buffer.rs
@@ -99,7 +99,7 @@
     ///
     /// Guards against hosts that wait for each other for good: two sends of one id
     /// split the seats, and each host takes the other one for the holder.
-    pub(crate) fn follow_peer(&self) {
+    pub(crate) fn mark_remote(&self) {
         let mut state = self.lock();
         state.follows = true;
         state.wake_all();
@@ -109,7 +109,7 @@
     ///
     /// Without it other hosts would not wait for the answer that is made here, and
     /// their callers would learn `unknown` of a request that runs.
-    pub(crate) fn lead_again(&self) {
+    pub(crate) fn mark_local(&self) {
         self.lock().follows = false;
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Waits until nobody reads the answer any more.
-    pub(crate) async fn wait_unread(&self) {
+    pub(crate) async fn wait_no_readers(&self) {
         poll_fn(|context| {
             if self.readers() == 0 {
                 return Poll::Ready(());
@@ -184,7 +184,7 @@
 
     /// Polls for the head on behalf of a peer; `None` also while the answer is to
     /// come from another host.
-    pub(super) fn poll_own_head(&self, context: &mut Context<'_>) -> Poll<Option<AnswerHead>> {
+    pub(super) fn poll_local_head(&self, context: &mut Context<'_>) -> Poll<Option<AnswerHead>> {
         let polled = self.poll_head(context);
         match polled.is_pending() && self.lock().follows {
             true => Poll::Ready(None),
--- a/src/answers/answer_reader.rs
+++ b/src/answers/answer_reader.rs
@@ -45,8 +45,8 @@
 
     /// Waits for the head on behalf of a peer; `None` when the answer ended without
     /// one, or is to come from another host.
-    pub(crate) async fn own_head(&self) -> Option<AnswerHead> {
-        poll_fn(|context| self.slot.poll_own_head(context)).await
+    pub(crate) async fn local_head(&self) -> Option<AnswerHead> {
+        poll_fn(|context| self.slot.poll_local_head(context)).await
     }
 
     /// Waits for the next piece of the body.
--- a/src/answers/tests.rs
+++ b/src/answers/tests.rs
@@ -141,11 +141,11 @@
 async fn peer_does_not_wait_for_an_answer_that_another_host_gives() {
     let slot = Arc::new(AnswerBuffer::default());
     let early = AnswerReader::open(slot.clone());
-    let waiting = async_std::task::spawn(async move { early.own_head().await });
+    let waiting = async_std::task::spawn(async move { early.local_head().await });
     async_std::task::yield_now().await;
 
-    slot.follow_peer();
+    slot.mark_remote();
 
     assert_eq!(waiting.await, None);
-    assert_eq!(AnswerReader::open(slot).own_head().await, None);
+    assert_eq!(AnswerReader::open(slot).local_head().await, None);
 }
--- a/src/gateway/join_filter.rs
+++ b/src/gateway/join_filter.rs
@@ -43,7 +43,7 @@
 /// its request may have run. Where the holder has nothing and a majority bars the
 /// attempt, nothing ran, and `refusal` says so.
 pub(crate) async fn join_holder(run: &RequestRun, holder: ClaimTicket, refusal: RequestRefusal) {
-    run.slot.follow_peer();
+    run.slot.mark_remote();
     let mut holder = holder;
     for _ in 0..MAX_JOINS {
         let ended = call_holder(run, &holder).await;
@@ -77,7 +77,7 @@
 /// Lets a peer serve a request that waits here; returns whether the slot has its
 /// answer. Where it has none the claims tell whether the peer took the request.
 pub(crate) async fn hand_over(run: &RequestRun, host: &HostName) -> bool {
-    run.slot.follow_peer();
+    run.slot.mark_remote();
     match call_peer(run, host, serve_call(run), |_| true).await {
         PumpEnd::Whole => true,
         PumpEnd::Lost if run.slot.has_head() => {
@@ -86,7 +86,7 @@
             true
         }
         PumpEnd::Refused | PumpEnd::Lost => {
-            run.slot.lead_again();
+            run.slot.mark_local();
             false
         }
     }
--- a/src/gateway/peer_service.rs
+++ b/src/gateway/peer_service.rs
@@ -99,7 +99,7 @@
 }
 
 async fn send_answer(mut reader: AnswerReader, mut replies: ReplySender) -> Result<(), PeerError> {
-    let Some(head) = reader.own_head().await else {
+    let Some(head) = reader.local_head().await else {
         return refuse(ErrorKind::HolderLost, replies).await;
     };
     replies.send(PeerReply::AnswerHead(head)).await?;
--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -227,7 +227,7 @@
 /// Waits until nobody has read the answer for a while.
 pub(super) async fn wait_abandoned(run: &RequestRun) {
     loop {
-        run.slot.wait_unread().await;
+        run.slot.wait_no_readers().await;
         async_std::task::sleep(UNREAD_LIMIT).await;
         if run.slot.readers() == 0 {
             return;
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -145,7 +145,7 @@
         let mut held = None;
         for _ in 0..MAX_PLACES {
             let place = or(async { Some(ticket.place().await) }, async {
-                self.slot.wait_unread().await;
+                self.slot.wait_no_readers().await;
                 None
             });
             let target = match place.await {
