--- a/src/controllers/claim_desk.rs
+++ b/src/controllers/claim_coordinator.rs
@@ -49,7 +49,7 @@
 
 /// How a claim ended.
 #[derive(Debug)]
-pub(crate) enum ClaimVerdict {
+pub(crate) enum ClaimOutcome {
     /// This process may dispatch the request.
     Granted(HeldClaim<UnsentStage>),
     /// Another process holds the claim.
@@ -64,7 +64,7 @@
 
 /// How a bar or release ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum BarVerdict {
+pub(crate) enum BarOutcome {
     /// A majority barred the attempt: `not-run` is proven.
     Proven,
     /// Another process holds the claim.
@@ -74,7 +74,7 @@
 }
 
 /// Claims, releases and bars of this host.
-pub(crate) struct ClaimDesk {
+pub(crate) struct ClaimCoordinator {
     host: HostName,
     incarnation: IncarnationId,
     register: Mutex<SeatRegister>,
@@ -90,7 +90,7 @@
     reply: Option<ClaimReply>,
 }
 
-impl ClaimDesk {
+impl ClaimCoordinator {
     /// Opens the desk of a host whose seat is `register`.
     pub(crate) fn open(
         host: HostName,
@@ -122,35 +122,35 @@
         self: &Arc<Self>,
         id: RequestId,
         attempt: AttemptNumber,
-    ) -> ClaimVerdict {
+    ) -> ClaimOutcome {
         let Some(view) = self.view() else {
-            return ClaimVerdict::NoMajority;
+            return ClaimOutcome::NoMajority;
         };
         let mut round = ClaimRound::begin(id, self.ticket(attempt), view);
         self.drive(&mut round).await;
         let status = round.status();
         match round.win() {
-            Ok(claim) => ClaimVerdict::Granted(claim),
+            Ok(claim) => ClaimOutcome::Granted(claim),
             Err(lost) => self.settle_lost(*lost, status).await,
         }
     }
 
     /// Bars an attempt, so that `not-run` may be said of it.
-    pub(crate) async fn bar(self: &Arc<Self>, id: RequestId, attempt: AttemptNumber) -> BarVerdict {
+    pub(crate) async fn bar(self: &Arc<Self>, id: RequestId, attempt: AttemptNumber) -> BarOutcome {
         match self.view() {
             Some(view) => {
                 self.finish_bar(BarRound::bar(id, self.ticket(attempt), view))
                     .await
             }
-            None => BarVerdict::Unproven,
+            None => BarOutcome::Unproven,
         }
     }
 
     /// Gives a claim back under which nothing was dispatched.
-    pub(crate) async fn release(self: &Arc<Self>, claim: HeldClaim<UnsentStage>) -> BarVerdict {
+    pub(crate) async fn release(self: &Arc<Self>, claim: HeldClaim<UnsentStage>) -> BarOutcome {
         match self.view() {
             Some(view) => self.finish_release(claim.release(view)).await,
-            None => BarVerdict::Unproven,
+            None => BarOutcome::Unproven,
         }
     }
 
@@ -158,29 +158,29 @@
     ///
     /// Grants that are left behind would block every resend until the window
     /// has passed, although nobody dispatches under them.
-    async fn settle_lost(self: &Arc<Self>, lost: ClaimRound, status: ClaimStatus) -> ClaimVerdict {
+    async fn settle_lost(self: &Arc<Self>, lost: ClaimRound, status: ClaimStatus) -> ClaimOutcome {
         let Some(view) = self.view() else {
-            return ClaimVerdict::NoMajority;
+            return ClaimOutcome::NoMajority;
         };
         let release = lost.abandon(view);
         if let ClaimStatus::HeldByAnother(holder) = status {
             // The answer is the holder's: the caller need not wait for the release.
             let desk = self.clone();
             task::spawn(async move { desk.finish_release(release).await });
-            return ClaimVerdict::Held(holder);
+            return ClaimOutcome::Held(holder);
         }
         let released = self.finish_release(release).await;
         match (status, released) {
-            (ClaimStatus::OutOfWindow { .. }, _) => ClaimVerdict::OutOfWindow,
-            (_, BarVerdict::Proven) => ClaimVerdict::Barred,
-            (_, BarVerdict::Held(holder)) => ClaimVerdict::Held(holder),
-            (_, BarVerdict::Unproven) => ClaimVerdict::NoMajority,
+            (ClaimStatus::OutOfWindow { .. }, _) => ClaimOutcome::OutOfWindow,
+            (_, BarOutcome::Proven) => ClaimOutcome::Barred,
+            (_, BarOutcome::Held(holder)) => ClaimOutcome::Held(holder),
+            (_, BarOutcome::Unproven) => ClaimOutcome::NoMajority,
         }
     }
 
-    async fn finish_bar(self: &Arc<Self>, mut round: BarRound) -> BarVerdict {
+    async fn finish_bar(self: &Arc<Self>, mut round: BarRound) -> BarOutcome {
         self.drive(&mut round).await;
-        bar_verdict(&round)
+        bar_outcome(&round)
     }
 
     /// Carries a release until it is decided, and goes on with it in the background.
@@ -188,9 +188,9 @@
     /// Guards against a release that is lost on its way to one seat: its grant would
     /// stand there until the window has passed, and with another seat gone, every
     /// resend would be told to ask a holder that has nothing.
-    async fn finish_release(self: &Arc<Self>, mut round: BarRound) -> BarVerdict {
+    async fn finish_release(self: &Arc<Self>, mut round: BarRound) -> BarOutcome {
         self.drive(&mut round).await;
-        let verdict = bar_verdict(&round);
+        let verdict = bar_outcome(&round);
         let desk = self.clone();
         task::spawn(async move { desk.repeat_release(round).await });
         verdict
@@ -337,10 +337,10 @@
     }
 }
 
-fn bar_verdict(round: &BarRound) -> BarVerdict {
+fn bar_outcome(round: &BarRound) -> BarOutcome {
     match round.status() {
-        BarStatus::Barred => BarVerdict::Proven,
-        BarStatus::HeldByAnother(holder) => BarVerdict::Held(holder),
-        _ => BarVerdict::Unproven,
+        BarStatus::Barred => BarOutcome::Proven,
+        BarStatus::HeldByAnother(holder) => BarOutcome::Held(holder),
+        _ => BarOutcome::Unproven,
     }
 }
--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::boot_now;
 use crate::clock::unix_now;
-use crate::controllers::ClaimDesk;
+use crate::controllers::ClaimCoordinator;
 use crate::controllers::ConfigController;
 use crate::controllers::WorkController;
 use crate::ids::HostName;
@@ -51,7 +51,7 @@
 pub(crate) struct DigestController {
     mesh: Arc<PeerMesh>,
     config: Arc<ConfigController>,
-    claims: Arc<ClaimDesk>,
+    claims: Arc<ClaimCoordinator>,
     work: Arc<WorkController>,
     suspects: Arc<PoisonGuard>,
     hurry: Sender<()>,
@@ -71,7 +71,7 @@
     pub(crate) fn spawn(
         mesh: Arc<PeerMesh>,
         config: Arc<ConfigController>,
-        claims: Arc<ClaimDesk>,
+        claims: Arc<ClaimCoordinator>,
         work: Arc<WorkController>,
         suspects: Arc<PoisonGuard>,
     ) -> Arc<Self> {
--- a/src/controllers/mod.rs
+++ b/src/controllers/mod.rs
@@ -1,6 +1,6 @@
 //! Controllers of state: each owns one thing and replaces it whole.
 
-mod claim_desk;
+mod claim_coordinator;
 mod config_controller;
 mod config_entry;
 mod config_ledger;
@@ -17,9 +17,9 @@
 mod view_freshness;
 mod work_controller;
 
-pub(crate) use claim_desk::BarVerdict;
-pub(crate) use claim_desk::ClaimDesk;
-pub(crate) use claim_desk::ClaimVerdict;
+pub(crate) use claim_coordinator::BarOutcome;
+pub(crate) use claim_coordinator::ClaimCoordinator;
+pub(crate) use claim_coordinator::ClaimOutcome;
 pub use config_controller::ConfigController;
 pub use config_controller::ConfigParts;
 pub use config_controller::ExchangeHook;
--- a/src/controllers/tests.rs
+++ b/src/controllers/tests.rs
@@ -9,8 +9,8 @@
 
 use async_std::task;
 
-use super::ClaimDesk;
-use super::ClaimVerdict;
+use super::ClaimCoordinator;
+use super::ClaimOutcome;
 use crate::claim::ClaimAsk;
 use crate::claim::ClaimCall;
 use crate::claim::ClaimReply;
@@ -162,11 +162,11 @@
         assert!(began.elapsed() < LIMIT, "the peers did not connect");
         task::sleep(Duration::from_millis(5)).await;
     }
-    let desk = ClaimDesk::open("a".into(), 1, own, mesh);
+    let desk = ClaimCoordinator::open("a".into(), 1, own, mesh);
 
     let verdict = desk.claim(id, 1).await;
 
-    assert!(matches!(verdict, ClaimVerdict::Held(holder) if holder.host == "c"));
+    assert!(matches!(verdict, ClaimOutcome::Held(holder) if holder.host == "c"));
     let began = Instant::now();
     loop {
         let answer = b.ask(call(id, ClaimAsk::Bar, 2, roster)).answer;
--- a/src/gateway/claim_filter.rs
+++ b/src/gateway/claim_filter.rs
@@ -7,7 +7,7 @@
 use crate::claim::HeldClaim;
 use crate::claim::UnsentStage;
 use crate::clock::boot_now;
-use crate::controllers::ClaimVerdict;
+use crate::controllers::ClaimOutcome;
 use crate::fleet::FleetView;
 use crate::fleet::TargetState;
 use crate::http::ExchangeError;
@@ -27,7 +27,7 @@
     /// The claim is held, but this target can't be reached or is not to be used.
     NoConnection(HeldClaim<UnsentStage>),
     /// The claim was not won.
-    NoClaim(ClaimVerdict),
+    NoClaim(ClaimOutcome),
 }
 
 /// Claims the id and connects to the target, both at once.
@@ -39,7 +39,7 @@
     let began = boot_now();
     let (connection, verdict) = zip(open_target(run, target), claim_or_keep(run, held)).await;
     let claim = match verdict {
-        ClaimVerdict::Granted(claim) => claim,
+        ClaimOutcome::Granted(claim) => claim,
         lost => return ClaimedPlace::NoClaim(lost),
     };
     let connection = match connection {
@@ -61,9 +61,9 @@
     }
 }
 
-async fn claim_or_keep(run: &RequestRun, held: Option<HeldClaim<UnsentStage>>) -> ClaimVerdict {
+async fn claim_or_keep(run: &RequestRun, held: Option<HeldClaim<UnsentStage>>) -> ClaimOutcome {
     match held {
-        Some(claim) => ClaimVerdict::Granted(claim),
+        Some(claim) => ClaimOutcome::Granted(claim),
         None => {
             // A process that was paused holds connections that its peers gave
             // up. Claims sent on them fail, and the attempt would be given up
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -22,7 +22,7 @@
 use crate::claim::SeatRegister;
 use crate::clock::boot_now;
 use crate::clock::unix_now;
-use crate::controllers::ClaimDesk;
+use crate::controllers::ClaimCoordinator;
 use crate::controllers::ConfigController;
 use crate::controllers::ConfigParts;
 use crate::controllers::DigestController;
@@ -273,7 +273,7 @@
     settings: &HostSettings,
     incarnation: IncarnationId,
     mesh: &Arc<PeerMesh>,
-) -> Arc<ClaimDesk> {
+) -> Arc<ClaimCoordinator> {
     let life = SeatLife {
         started: unix_now(),
         incarnation,
@@ -285,7 +285,7 @@
         ..RegisterSettings::default()
     };
     let seat = SeatRegister::open(settings.host.clone(), life, register);
-    ClaimDesk::open(settings.host.clone(), incarnation, seat, mesh.clone())
+    ClaimCoordinator::open(settings.host.clone(), incarnation, seat, mesh.clone())
 }
 
 async fn trim_forever(state: Arc<HostState>) {
@@ -311,7 +311,7 @@
 }
 
 /// Lets the seat judge the roster of each document.
-fn admit_rosters(claims: Arc<ClaimDesk>) -> Box<RosterJudge> {
+fn admit_rosters(claims: Arc<ClaimCoordinator>) -> Box<RosterJudge> {
     Box::new(move |document| {
         let plan = RosterPlan::of_document(document);
         let mut register = claims.register();
--- a/src/gateway/host_state.rs
+++ b/src/gateway/host_state.rs
@@ -4,7 +4,7 @@
 
 use crate::answers::AnswerCache;
 use crate::clock::boot_now;
-use crate::controllers::ClaimDesk;
+use crate::controllers::ClaimCoordinator;
 use crate::controllers::ConfigController;
 use crate::controllers::DigestController;
 use crate::controllers::DrainState;
@@ -35,7 +35,7 @@
     /// The queue and the places.
     pub(crate) work: Arc<WorkController>,
     /// Claims on request ids.
-    pub(crate) claims: Arc<ClaimDesk>,
+    pub(crate) claims: Arc<ClaimCoordinator>,
     /// What is known of the targets.
     pub(crate) targets: Arc<TargetController>,
     /// Requests that crash targets.
--- a/src/gateway/join_filter.rs
+++ b/src/gateway/join_filter.rs
@@ -7,7 +7,7 @@
 use crate::answers::AnswerEnd;
 use crate::claim::ClaimTicket;
 use crate::clock::boot_now;
-use crate::controllers::BarVerdict;
+use crate::controllers::BarOutcome;
 use crate::errors::ErrorKind;
 use crate::errors::RequestOutcome;
 use crate::http::AnswerHead;
@@ -55,12 +55,12 @@
         }
         let (id, attempt) = (run.request.id, run.request.attempt);
         match run.host.claims.bar(id, attempt).await {
-            BarVerdict::Proven => return run.refuse_proven(refusal),
-            BarVerdict::Held(other) if other != holder => holder = other,
-            BarVerdict::Held(_) if matches!(ended, PumpEnd::Refused) => {
+            BarOutcome::Proven => return run.refuse_proven(refusal),
+            BarOutcome::Held(other) if other != holder => holder = other,
+            BarOutcome::Held(_) if matches!(ended, PumpEnd::Refused) => {
                 task::sleep(JOIN_PAUSE).await;
             }
-            BarVerdict::Held(_) | BarVerdict::Unproven => break,
+            BarOutcome::Held(_) | BarOutcome::Unproven => break,
         }
     }
     fail(run, ErrorKind::HolderLost);
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -11,8 +11,8 @@
 use crate::claim::HeldClaim;
 use crate::claim::UnsentStage;
 use crate::clock::boot_now;
-use crate::controllers::BarVerdict;
-use crate::controllers::ClaimVerdict;
+use crate::controllers::BarOutcome;
+use crate::controllers::ClaimOutcome;
 use crate::controllers::WorkPlace;
 use crate::controllers::WorkSource;
 use crate::controllers::WorkTicket;
@@ -207,18 +207,18 @@
         enqueue_request(&self.host, &view, &self.request, &self.body, source)
     }
 
-    async fn run_unclaimed(&self, verdict: ClaimVerdict) -> ChainEnd {
+    async fn run_unclaimed(&self, verdict: ClaimOutcome) -> ChainEnd {
         match verdict {
-            ClaimVerdict::Held(holder) => {
+            ClaimOutcome::Held(holder) => {
                 join_holder(self, holder, ErrorKind::AttemptBarred.into()).await;
             }
-            ClaimVerdict::Barred => self.refuse_proven(ErrorKind::AttemptBarred.into()),
-            ClaimVerdict::OutOfWindow => {
+            ClaimOutcome::Barred => self.refuse_proven(ErrorKind::AttemptBarred.into()),
+            ClaimOutcome::OutOfWindow => {
                 self.refuse_unknown(ErrorKind::RequestIdOutOfWindow.into());
             }
-            ClaimVerdict::NoMajority => self.refuse_unknown(ErrorKind::NoMajority.into()),
+            ClaimOutcome::NoMajority => self.refuse_unknown(ErrorKind::NoMajority.into()),
             // A granted claim is a ready place or one without a connection.
-            ClaimVerdict::Granted(claim) => {
+            ClaimOutcome::Granted(claim) => {
                 return ChainEnd::RefusedHolding(ErrorKind::Internal.into(), claim);
             }
         }
@@ -235,17 +235,17 @@
         }
         let (id, attempt) = (self.request.id, self.request.attempt);
         match self.host.claims.bar(id, attempt).await {
-            BarVerdict::Proven => self.refuse_proven(refusal),
-            BarVerdict::Held(holder) => join_holder(self, holder, refusal).await,
-            BarVerdict::Unproven => self.refuse_unknown(refusal),
+            BarOutcome::Proven => self.refuse_proven(refusal),
+            BarOutcome::Held(holder) => join_holder(self, holder, refusal).await,
+            BarOutcome::Unproven => self.refuse_unknown(refusal),
         }
     }
 
     async fn settle_holding(&self, refusal: RequestRefusal, claim: HeldClaim<UnsentStage>) {
         match self.host.claims.release(claim).await {
-            BarVerdict::Proven => self.refuse_proven(refusal),
-            BarVerdict::Held(holder) => join_holder(self, holder, refusal).await,
-            BarVerdict::Unproven => self.refuse_unknown(refusal),
+            BarOutcome::Proven => self.refuse_proven(refusal),
+            BarOutcome::Held(holder) => join_holder(self, holder, refusal).await,
+            BarOutcome::Unproven => self.refuse_unknown(refusal),
         }
     }
 
