--- a/benches/guard_cost/claim_bytes.rs
+++ b/benches/guard_cost/claim_bytes.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use async_std::task;
-use cardamomgw::claim::ClaimAsk;
 use cardamomgw::claim::ClaimCall;
+use cardamomgw::claim::ClaimOperation;
 use cardamomgw::claim::ClaimReply;
 use cardamomgw::claim::ClaimTicket;
 use cardamomgw::claim::SeatAnswer;
@@ -86,7 +86,7 @@
     PeerCall::Claim(ClaimCall {
         id: RequestId::generate(1_700_000_000_000 + round),
         roster: TAG,
-        ask: ClaimAsk::Claim,
+        ask: ClaimOperation::Claim,
         ticket: ClaimTicket {
             host: "entry-1".to_owned(),
             incarnation: u64::MAX / 3,
--- a/examples/claim_cost.rs
+++ b/examples/claim_cost.rs
@@ -7,8 +7,8 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use cardamomgw::claim::ClaimAsk;
 use cardamomgw::claim::ClaimCall;
+use cardamomgw::claim::ClaimOperation;
 use cardamomgw::claim::ClaimTicket;
 use cardamomgw::claim::RegisterSettings;
 use cardamomgw::claim::SeatRegister;
@@ -50,7 +50,7 @@
     let now = step(size);
     let before = resident_bytes()?;
     for id in &ids {
-        black_box(seat.handle(call(&seat, *id, ClaimAsk::Claim)?, now));
+        black_box(seat.handle(call(&seat, *id, ClaimOperation::Claim)?, now));
     }
     let held = resident_bytes()?.saturating_sub(before);
     let fresh: Vec<RequestId> = (0..CALLS)
@@ -62,9 +62,9 @@
                 .copied()
         })
         .collect();
-    let claim = time_calls(&mut seat, &fresh, ClaimAsk::Claim, now)?;
-    let resend = time_calls(&mut seat, &older, ClaimAsk::Claim, now)?;
-    let release = time_calls(&mut seat, &fresh, ClaimAsk::Release, now)?;
+    let claim = time_calls(&mut seat, &fresh, ClaimOperation::Claim, now)?;
+    let resend = time_calls(&mut seat, &older, ClaimOperation::Claim, now)?;
+    let release = time_calls(&mut seat, &fresh, ClaimOperation::Release, now)?;
     let bytes = held / size;
     println!("{size:6}  {claim:8.2}  {resend:9.2}  {release:10.2}  {bytes:20}");
     Ok(())
@@ -73,7 +73,7 @@
 fn time_calls(
     seat: &mut SeatRegister,
     ids: &[RequestId],
-    ask: ClaimAsk,
+    ask: ClaimOperation,
     now: UnixMillis,
 ) -> Result<f64, Box<dyn Error>> {
     let calls: Result<Vec<ClaimCall>, _> = ids.iter().map(|id| call(seat, *id, ask)).collect();
@@ -87,7 +87,11 @@
     Ok(start.elapsed().as_secs_f64() * 1e6 / count as f64)
 }
 
-fn call(seat: &SeatRegister, id: RequestId, ask: ClaimAsk) -> Result<ClaimCall, Box<dyn Error>> {
+fn call(
+    seat: &SeatRegister,
+    id: RequestId,
+    ask: ClaimOperation,
+) -> Result<ClaimCall, Box<dyn Error>> {
     let roster = seat.roster().active_tag().ok_or("no active roster")?;
     let ticket = ClaimTicket {
         host: "entry-host-01".into(),
@@ -131,7 +135,7 @@
     let config = bincode::config::standard();
     let mut seat = open_alone()?;
     let id = RequestId::generate(FOUNDED_MS + SETTLED_MS);
-    let call = call(&seat, id, ClaimAsk::Claim)?;
+    let call = call(&seat, id, ClaimOperation::Claim)?;
     let call_bytes = bincode::serde::encode_to_vec(&call, config)?.len();
     let reply = seat.handle(call, FOUNDED_MS + SETTLED_MS);
     let reply_bytes = bincode::serde::encode_to_vec(&reply, config)?.len();
--- a/examples/claim_round.rs
+++ b/examples/claim_round.rs
@@ -15,8 +15,8 @@
 use std::time::Instant;
 
 use async_std::task;
-use cardamomgw::claim::ClaimAsk;
 use cardamomgw::claim::ClaimCall;
+use cardamomgw::claim::ClaimOperation;
 use cardamomgw::claim::ClaimTicket;
 use cardamomgw::claim::RegisterSettings;
 use cardamomgw::claim::SeatRegister;
@@ -117,7 +117,7 @@
     ClaimCall {
         id: RequestId::generate(unix_now()),
         roster,
-        ask: ClaimAsk::Claim,
+        ask: ClaimOperation::Claim,
         ticket: ClaimTicket {
             host: "entry-host-01".to_owned(),
             incarnation: u64::MAX / 3,
--- a/src/claim/bar_round.rs
+++ b/src/claim/bar_round.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::ClaimAsk;
+use super::ClaimOperation;
 use super::ClaimTicket;
 use super::SeatRound;
 use super::quorum_tally::TallyState;
@@ -64,11 +64,11 @@
 impl SeatRound<BarringKind> {
     /// Begins to bar the ticket's attempt; the ticket's round must be fresh.
     pub fn bar(id: RequestId, ticket: ClaimTicket, view: Arc<RosterView>) -> Self {
-        Self::open(id, ClaimAsk::Bar, ticket, view)
+        Self::open(id, ClaimOperation::Bar, ticket, view)
     }
 
     pub(super) fn release(id: RequestId, ticket: ClaimTicket, view: Arc<RosterView>) -> Self {
-        Self::open(id, ClaimAsk::Release, ticket, view)
+        Self::open(id, ClaimOperation::Release, ticket, view)
     }
 
     /// Tells how the round stands.
--- a/src/claim/claim_message.rs
+++ b/src/claim/claim_message.rs
@@ -31,7 +31,7 @@
 
 /// What a call asks of a seat.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum ClaimAsk {
+pub enum ClaimOperation {
     /// Grant the id to the ticket.
     Claim,
     /// Clear the ticket's grant and bar its attempt: the ticket will not dispatch.
@@ -48,7 +48,7 @@
     /// The roster that the caller knows to be active.
     pub roster: RosterTag,
     /// What is asked.
-    pub ask: ClaimAsk,
+    pub ask: ClaimOperation,
     /// Who asks.
     pub ticket: ClaimTicket,
 }
@@ -61,7 +61,7 @@
     /// The call's roster.
     pub roster: RosterTag,
     /// What was asked.
-    pub ask: ClaimAsk,
+    pub ask: ClaimOperation,
     /// The asking process's life.
     pub incarnation: IncarnationId,
     /// The asking round.
--- a/src/claim/claim_round.rs
+++ b/src/claim/claim_round.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::BarRound;
-use super::ClaimAsk;
+use super::ClaimOperation;
 use super::ClaimTicket;
 use super::HeldClaim;
 use super::SeatRound;
@@ -58,7 +58,7 @@
 impl SeatRound<ClaimingKind> {
     /// Begins a round; the ticket must be of this process and its round fresh.
     pub fn begin(id: RequestId, ticket: ClaimTicket, view: Arc<RosterView>) -> Self {
-        Self::open(id, ClaimAsk::Claim, ticket, view)
+        Self::open(id, ClaimOperation::Claim, ticket, view)
     }
 
     /// Tells how the round stands.
--- a/src/claim/quorum_tally.rs
+++ b/src/claim/quorum_tally.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use super::ClaimAsk;
 use super::ClaimCall;
+use super::ClaimOperation;
 use super::ClaimReply;
 use super::ClaimTicket;
 use super::SeatAnswer;
@@ -43,7 +43,7 @@
 pub(super) struct QuorumTally {
     pub(super) id: RequestId,
     pub(super) ticket: ClaimTicket,
-    ask: ClaimAsk,
+    ask: ClaimOperation,
     view: Arc<RosterView>,
     former_too: bool,
     seats: SortedMap<HostName, SeatState>,
@@ -53,7 +53,7 @@
 impl QuorumTally {
     pub(super) fn new(
         id: RequestId,
-        ask: ClaimAsk,
+        ask: ClaimOperation,
         ticket: ClaimTicket,
         view: Arc<RosterView>,
     ) -> Self {
@@ -245,10 +245,10 @@
 
     fn says_yes(&self, state: &SeatState) -> bool {
         match (state, self.ask) {
-            (SeatState::Answered(SeatAnswer::Granted { .. }), ClaimAsk::Claim) => true,
+            (SeatState::Answered(SeatAnswer::Granted { .. }), ClaimOperation::Claim) => true,
             (
                 SeatState::Answered(SeatAnswer::Barred { through, .. }),
-                ClaimAsk::Release | ClaimAsk::Bar,
+                ClaimOperation::Release | ClaimOperation::Bar,
             ) => *through >= self.ticket.attempt,
             _ => false,
         }
--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -1,7 +1,7 @@
 //! A seat's register of claims.
 
-use super::ClaimAsk;
 use super::ClaimCall;
+use super::ClaimOperation;
 use super::ClaimReply;
 use super::ClaimRules;
 use super::ClaimTicket;
@@ -174,9 +174,9 @@
             .entries
             .get_or_insert_with(call.id, RegisterEntry::default);
         match call.ask {
-            ClaimAsk::Claim => entry.claim(ticket),
-            ClaimAsk::Release => entry.release(ticket),
-            ClaimAsk::Bar => entry.bar(ticket.attempt),
+            ClaimOperation::Claim => entry.claim(ticket),
+            ClaimOperation::Release => entry.release(ticket),
+            ClaimOperation::Bar => entry.bar(ticket.attempt),
         }
         let entry = *entry;
         if entry.is_held_by(ticket) {
@@ -189,9 +189,9 @@
         let old = call.id.time() <= span.former_until;
         let former_too = old && self.settings.rules.two_rosters;
         let through = entry.barred_through();
-        let ignored = call.ask == ClaimAsk::Bar && !self.settings.rules.bar_respects_grant;
+        let ignored = call.ask == ClaimOperation::Bar && !self.settings.rules.bar_respects_grant;
         match entry.holder() {
-            Some(_) if call.ask == ClaimAsk::Claim && entry.is_held_by(&call.ticket) => {
+            Some(_) if call.ask == ClaimOperation::Claim && entry.is_held_by(&call.ticket) => {
                 SeatAnswer::Granted { former_too }
             }
             Some(holder) if !ignored => SeatAnswer::Held {
--- a/src/claim/seat_round.rs
+++ b/src/claim/seat_round.rs
@@ -3,8 +3,8 @@
 use std::marker::PhantomData;
 use std::sync::Arc;
 
-use super::ClaimAsk;
 use super::ClaimCall;
+use super::ClaimOperation;
 use super::ClaimReply;
 use super::ClaimTicket;
 use super::quorum_tally::QuorumTally;
@@ -29,7 +29,7 @@
 impl<A> SeatRound<A> {
     pub(super) fn open(
         id: RequestId,
-        ask: ClaimAsk,
+        ask: ClaimOperation,
         ticket: ClaimTicket,
         view: Arc<RosterView>,
     ) -> Self {
--- a/src/controllers/tests.rs
+++ b/src/controllers/tests.rs
@@ -11,8 +11,8 @@
 
 use super::ClaimCoordinator;
 use super::ClaimOutcome;
-use crate::claim::ClaimAsk;
 use crate::claim::ClaimCall;
+use crate::claim::ClaimOperation;
 use crate::claim::ClaimReply;
 use crate::claim::ClaimTicket;
 use crate::claim::RegisterSettings;
@@ -56,7 +56,7 @@
                 return;
             };
             let lost = |left: usize| left.checked_sub(1);
-            let is_release = call.ask == ClaimAsk::Release;
+            let is_release = call.ask == ClaimOperation::Release;
             if is_release
                 && self
                     .losses
@@ -124,7 +124,12 @@
     (listener, seat)
 }
 
-fn call(id: RequestId, ask: ClaimAsk, round: u64, roster: crate::roster::RosterTag) -> ClaimCall {
+fn call(
+    id: RequestId,
+    ask: ClaimOperation,
+    round: u64,
+    roster: crate::roster::RosterTag,
+) -> ClaimCall {
     let ticket = ClaimTicket {
         host: "c".into(),
         incarnation: 3,
@@ -148,10 +153,10 @@
     let [mut own, seat_b, seat_c] = seats;
     let roster = own.roster().active_tag().unwrap();
     let id = RequestId::generate(unix_now());
-    own.handle(call(id, ClaimAsk::Claim, 1, roster), unix_now());
+    own.handle(call(id, ClaimOperation::Claim, 1, roster), unix_now());
     let (listener_b, b) = bind("b", seat_b, 1).await;
     let (listener_c, c) = bind("c", seat_c, 0).await;
-    c.ask(call(id, ClaimAsk::Claim, 1, roster));
+    c.ask(call(id, ClaimOperation::Claim, 1, roster));
     let mesh = PeerMesh::spawn(identity("a"), Vec::new());
     mesh.set_peers(&[
         ("b".into(), listener_b.address()),
@@ -169,7 +174,7 @@
     assert!(matches!(verdict, ClaimOutcome::Held(holder) if holder.host == "c"));
     let began = Instant::now();
     loop {
-        let answer = b.ask(call(id, ClaimAsk::Bar, 2, roster)).answer;
+        let answer = b.ask(call(id, ClaimOperation::Bar, 2, roster)).answer;
         if b.losses.load(Ordering::SeqCst) == 0 && matches!(answer, SeatAnswer::Barred { .. }) {
             break;
         }
--- a/tests/claim_rules/register.rs
+++ b/tests/claim_rules/register.rs
@@ -13,8 +13,8 @@
 use crate::fixture::ticket;
 use cardamomgw::claim::BarRound;
 use cardamomgw::claim::BarStatus;
-use cardamomgw::claim::ClaimAsk;
 use cardamomgw::claim::ClaimCall;
+use cardamomgw::claim::ClaimOperation;
 use cardamomgw::claim::ClaimReply;
 use cardamomgw::claim::ClaimRound;
 use cardamomgw::claim::ClaimRules;
@@ -40,7 +40,7 @@
     round
 }
 
-fn call(seat: &mut TestSeat, time: u64, ask: ClaimAsk, now: u64) -> ClaimReply {
+fn call(seat: &mut TestSeat, time: u64, ask: ClaimOperation, now: u64) -> ClaimReply {
     let call = ClaimCall {
         id: id(time, 0),
         roster: seat.view().tag,
@@ -156,7 +156,7 @@
     let reply = |answer| ClaimReply {
         id: id(NOW_MS, 0),
         roster: calls[0].1.roster,
-        ask: ClaimAsk::Claim,
+        ask: ClaimOperation::Claim,
         incarnation: ticket("a", 1, 1).incarnation,
         round: 1,
         answer,
@@ -184,17 +184,21 @@
 fn a_restarted_seat_speaks_only_for_newer_ids() {
     let [mut a, mut b, mut c] = <[TestSeat; 3]>::try_from(fleet(3)).ok().expect("three");
     assert!(matches!(
-        call(&mut b, NOW_MS, ClaimAsk::Claim, NOW_MS).answer,
+        call(&mut b, NOW_MS, ClaimOperation::Claim, NOW_MS).answer,
         SeatAnswer::Granted { .. }
     ));
     b = open("b", NOW_MS + 5, ClaimRules::default());
     b.offer(&plan(1, &HOSTS[..3], None), NOW_MS + 5);
     exchange(&mut [&mut a, &mut b, &mut c], NOW_MS + 5);
     let bound = NOW_MS + 5 + 2 * SKEW_MS;
-    for ask in [ClaimAsk::Claim, ClaimAsk::Bar, ClaimAsk::Release] {
+    for ask in [
+        ClaimOperation::Claim,
+        ClaimOperation::Bar,
+        ClaimOperation::Release,
+    ] {
         assert_eq!(call(&mut b, bound, ask, bound).answer, SeatAnswer::NoVoice);
     }
-    let newer = call(&mut b, bound + 1, ClaimAsk::Claim, bound).answer;
+    let newer = call(&mut b, bound + 1, ClaimOperation::Claim, bound).answer;
     assert_eq!(newer, SeatAnswer::Granted { former_too: false });
 }
 
@@ -202,16 +206,19 @@
 fn ids_outside_the_window_are_refused_and_forgotten() {
     let mut seats = fleet(1);
     let seat = &mut seats[0];
-    let future = call(seat, NOW_MS + SKEW_MS + 1, ClaimAsk::Claim, NOW_MS);
+    let future = call(seat, NOW_MS + SKEW_MS + 1, ClaimOperation::Claim, NOW_MS);
     assert_eq!(future.answer, SeatAnswer::OutOfWindow { now: NOW_MS });
     let granted = SeatAnswer::Granted { former_too: false };
-    assert_eq!(call(seat, NOW_MS, ClaimAsk::Claim, NOW_MS).answer, granted);
+    assert_eq!(
+        call(seat, NOW_MS, ClaimOperation::Claim, NOW_MS).answer,
+        granted
+    );
     assert_eq!(seat.seat.remembered(), 1);
     let later = NOW_MS + WINDOW_MS + WINDOW_MS / 32;
-    let old = call(seat, NOW_MS, ClaimAsk::Claim, later);
+    let old = call(seat, NOW_MS, ClaimOperation::Claim, later);
     assert_eq!(old.answer, SeatAnswer::OutOfWindow { now: later });
     assert_eq!(seat.seat.remembered(), 0);
     // A clock that is set back does not bring the id back.
-    let again = call(seat, NOW_MS, ClaimAsk::Claim, NOW_MS + 1);
+    let again = call(seat, NOW_MS, ClaimOperation::Claim, NOW_MS + 1);
     assert_eq!(again.answer, SeatAnswer::OutOfWindow { now: later });
 }
--- a/tests/claim_walks/model/model_callers.rs
+++ b/tests/claim_walks/model/model_callers.rs
@@ -15,8 +15,8 @@
 use super::walk_profile::WalkProfile;
 use cardamomgw::claim::BarRound;
 use cardamomgw::claim::BarStatus;
-use cardamomgw::claim::ClaimAsk;
 use cardamomgw::claim::ClaimCall;
+use cardamomgw::claim::ClaimOperation;
 use cardamomgw::claim::ClaimRound;
 use cardamomgw::claim::ClaimStatus;
 use cardamomgw::ids::HostName;
@@ -139,7 +139,7 @@
                     let call = ClaimCall {
                         id: claim.id(),
                         roster: view.tag,
-                        ask: ClaimAsk::Release,
+                        ask: ClaimOperation::Release,
                         ticket: claim.ticket().clone(),
                     };
                     (seat.clone(), ModelMessage::Call(call))
