--- a/benches/guard_cost/claim_bytes.rs
+++ b/benches/guard_cost/claim_bytes.rs
@@ -39,7 +39,7 @@
                 let reply = ClaimReply {
                     id: call.id,
                     roster: call.roster,
-                    ask: call.ask,
+                    operation: call.operation,
                     incarnation: call.ticket.incarnation,
                     round: call.ticket.round,
                     answer: granted,
@@ -86,7 +86,7 @@
     PeerCall::Claim(ClaimCall {
         id: RequestId::generate(1_700_000_000_000 + round),
         roster: TAG,
-        ask: ClaimOperation::Claim,
+        operation: ClaimOperation::Claim,
         ticket: ClaimTicket {
             host: "entry-1".to_owned(),
             incarnation: u64::MAX / 3,
--- a/examples/claim_cost.rs
+++ b/examples/claim_cost.rs
@@ -73,10 +73,11 @@
 fn time_calls(
     seat: &mut SeatRegister,
     ids: &[RequestId],
-    ask: ClaimOperation,
+    operation: ClaimOperation,
     now: UnixMillis,
 ) -> Result<f64, Box<dyn Error>> {
-    let calls: Result<Vec<ClaimCall>, _> = ids.iter().map(|id| call(seat, *id, ask)).collect();
+    let calls: Result<Vec<ClaimCall>, _> =
+        ids.iter().map(|id| call(seat, *id, operation)).collect();
     let calls = calls?;
     let count = calls.len();
     let start = Instant::now();
@@ -90,7 +91,7 @@
 fn call(
     seat: &SeatRegister,
     id: RequestId,
-    ask: ClaimOperation,
+    operation: ClaimOperation,
 ) -> Result<ClaimCall, Box<dyn Error>> {
     let roster = seat.roster().active_tag().ok_or("no active roster")?;
     let ticket = ClaimTicket {
@@ -102,7 +103,7 @@
     Ok(ClaimCall {
         id,
         roster,
-        ask,
+        operation,
         ticket,
     })
 }
--- a/examples/claim_round.rs
+++ b/examples/claim_round.rs
@@ -117,7 +117,7 @@
     ClaimCall {
         id: RequestId::generate(unix_now()),
         roster,
-        ask: ClaimOperation::Claim,
+        operation: ClaimOperation::Claim,
         ticket: ClaimTicket {
             host: "entry-host-01".to_owned(),
             incarnation: u64::MAX / 3,
--- a/src/claim/claim_message.rs
+++ b/src/claim/claim_message.rs
@@ -48,7 +48,7 @@
     /// The roster that the caller knows to be active.
     pub roster: RosterTag,
     /// What is asked.
-    pub ask: ClaimOperation,
+    pub operation: ClaimOperation,
     /// Who asks.
     pub ticket: ClaimTicket,
 }
@@ -61,7 +61,7 @@
     /// The call's roster.
     pub roster: RosterTag,
     /// What was asked.
-    pub ask: ClaimOperation,
+    pub operation: ClaimOperation,
     /// The asking process's life.
     pub incarnation: IncarnationId,
     /// The asking round.
--- a/src/claim/quorum_tally.rs
+++ b/src/claim/quorum_tally.rs
@@ -43,7 +43,7 @@
 pub(super) struct QuorumTally {
     pub(super) id: RequestId,
     pub(super) ticket: ClaimTicket,
-    ask: ClaimOperation,
+    operation: ClaimOperation,
     view: Arc<RosterView>,
     former_too: bool,
     seats: SortedMap<HostName, SeatState>,
@@ -53,14 +53,14 @@
 impl QuorumTally {
     pub(super) fn new(
         id: RequestId,
-        ask: ClaimOperation,
+        operation: ClaimOperation,
         ticket: ClaimTicket,
         view: Arc<RosterView>,
     ) -> Self {
         let mut tally = Self {
             id,
             ticket,
-            ask,
+            operation,
             view: view.clone(),
             former_too: false,
             seats: SortedMap::new(),
@@ -193,7 +193,7 @@
         ClaimCall {
             id: self.id,
             roster: self.view.tag,
-            ask: self.ask,
+            operation: self.operation,
             ticket: self.ticket.clone(),
         }
     }
@@ -201,7 +201,7 @@
     fn is_mine(&self, reply: &ClaimReply) -> bool {
         reply.id == self.id
             && reply.roster == self.view.tag
-            && reply.ask == self.ask
+            && reply.operation == self.operation
             && reply.incarnation == self.ticket.incarnation
             && reply.round == self.ticket.round
     }
@@ -244,7 +244,7 @@
     }
 
     fn says_yes(&self, state: &SeatState) -> bool {
-        match (state, self.ask) {
+        match (state, self.operation) {
             (SeatState::Answered(SeatAnswer::Granted { .. }), ClaimOperation::Claim) => true,
             (
                 SeatState::Answered(SeatAnswer::Barred { through, .. }),
--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -120,7 +120,7 @@
         ClaimReply {
             id: call.id,
             roster: call.roster,
-            ask: call.ask,
+            operation: call.operation,
             incarnation: call.ticket.incarnation,
             round: call.ticket.round,
             answer,
@@ -173,7 +173,7 @@
         let entry = self
             .entries
             .get_or_insert_with(call.id, RegisterEntry::default);
-        match call.ask {
+        match call.operation {
             ClaimOperation::Claim => entry.claim(ticket),
             ClaimOperation::Release => entry.release(ticket),
             ClaimOperation::Bar => entry.bar(ticket.attempt),
@@ -189,9 +189,12 @@
         let old = call.id.time() <= span.former_until;
         let former_too = old && self.settings.rules.two_rosters;
         let through = entry.barred_through();
-        let ignored = call.ask == ClaimOperation::Bar && !self.settings.rules.bar_respects_grant;
+        let ignored =
+            call.operation == ClaimOperation::Bar && !self.settings.rules.bar_respects_grant;
         match entry.holder() {
-            Some(_) if call.ask == ClaimOperation::Claim && entry.is_held_by(&call.ticket) => {
+            Some(_)
+                if call.operation == ClaimOperation::Claim && entry.is_held_by(&call.ticket) =>
+            {
                 SeatAnswer::Granted { former_too }
             }
             Some(holder) if !ignored => SeatAnswer::Held {
--- a/src/claim/seat_round.rs
+++ b/src/claim/seat_round.rs
@@ -29,12 +29,12 @@
 impl<A> SeatRound<A> {
     pub(super) fn open(
         id: RequestId,
-        ask: ClaimOperation,
+        operation: ClaimOperation,
         ticket: ClaimTicket,
         view: Arc<RosterView>,
     ) -> Self {
         Self {
-            tally: QuorumTally::new(id, ask, ticket, view),
+            tally: QuorumTally::new(id, operation, ticket, view),
             asked: PhantomData,
         }
     }
--- a/src/controllers/tests.rs
+++ b/src/controllers/tests.rs
@@ -56,7 +56,7 @@
                 return;
             };
             let lost = |left: usize| left.checked_sub(1);
-            let is_release = call.ask == ClaimOperation::Release;
+            let is_release = call.operation == ClaimOperation::Release;
             if is_release
                 && self
                     .losses
@@ -126,7 +126,7 @@
 
 fn call(
     id: RequestId,
-    ask: ClaimOperation,
+    operation: ClaimOperation,
     round: u64,
     roster: crate::roster::RosterTag,
 ) -> ClaimCall {
@@ -139,7 +139,7 @@
     ClaimCall {
         id,
         roster,
-        ask,
+        operation,
         ticket,
     }
 }
--- a/tests/claim_rules/register.rs
+++ b/tests/claim_rules/register.rs
@@ -40,11 +40,11 @@
     round
 }
 
-fn call(seat: &mut TestSeat, time: u64, ask: ClaimOperation, now: u64) -> ClaimReply {
+fn call(seat: &mut TestSeat, time: u64, operation: ClaimOperation, now: u64) -> ClaimReply {
     let call = ClaimCall {
         id: id(time, 0),
         roster: seat.view().tag,
-        ask,
+        operation,
         ticket: ticket("a", 1, 1),
     };
     seat.seat.handle(call, now)
@@ -156,7 +156,7 @@
     let reply = |answer| ClaimReply {
         id: id(NOW_MS, 0),
         roster: calls[0].1.roster,
-        ask: ClaimOperation::Claim,
+        operation: ClaimOperation::Claim,
         incarnation: ticket("a", 1, 1).incarnation,
         round: 1,
         answer,
@@ -191,12 +191,15 @@
     b.offer(&plan(1, &HOSTS[..3], None), NOW_MS + 5);
     exchange(&mut [&mut a, &mut b, &mut c], NOW_MS + 5);
     let bound = NOW_MS + 5 + 2 * SKEW_MS;
-    for ask in [
+    for operation in [
         ClaimOperation::Claim,
         ClaimOperation::Bar,
         ClaimOperation::Release,
     ] {
-        assert_eq!(call(&mut b, bound, ask, bound).answer, SeatAnswer::NoVoice);
+        assert_eq!(
+            call(&mut b, bound, operation, bound).answer,
+            SeatAnswer::NoVoice
+        );
     }
     let newer = call(&mut b, bound + 1, ClaimOperation::Claim, bound).answer;
     assert_eq!(newer, SeatAnswer::Granted { former_too: false });
--- a/tests/claim_walks/model/model_callers.rs
+++ b/tests/claim_walks/model/model_callers.rs
@@ -139,7 +139,7 @@
                     let call = ClaimCall {
                         id: claim.id(),
                         roster: view.tag,
-                        ask: ClaimOperation::Release,
+                        operation: ClaimOperation::Release,
                         ticket: claim.ticket().clone(),
                     };
                     (seat.clone(), ModelMessage::Call(call))
