--- a/benches/guard_cost/claim_bytes.rs
+++ b/benches/guard_cost/claim_bytes.rs
@@ -35,7 +35,9 @@
     fn handle(&self, _: HostName, call: PeerCall, replies: ReplySender) -> HandleFuture<'_> {
         Box::pin(async move {
             if let PeerCall::Claim(call) = call {
-                let granted = SeatAnswer::Granted { former_too: false };
+                let granted = SeatAnswer::Granted {
+                    needs_former: false,
+                };
                 let reply = ClaimReply {
                     id: call.id,
                     roster: call.roster,
--- a/src/claim/claim_message.rs
+++ b/src/claim/claim_message.rs
@@ -76,14 +76,14 @@
     /// The id is granted to the ticket.
     Granted {
         /// Whether a majority of the former roster is needed as well.
-        former_too: bool,
+        needs_former: bool,
     },
     /// Nothing is granted, and attempts up to `through` never will be.
     Barred {
         /// The highest barred attempt.
         through: AttemptNumber,
         /// Whether a majority of the former roster is needed as well.
-        former_too: bool,
+        needs_former: bool,
     },
     /// The id is granted to another ticket.
     Held {
--- a/src/claim/quorum_tally.rs
+++ b/src/claim/quorum_tally.rs
@@ -45,7 +45,7 @@
     pub(super) ticket: ClaimTicket,
     operation: ClaimOperation,
     view: Arc<RosterView>,
-    former_too: bool,
+    needs_former: bool,
     seats: SortedMap<HostName, SeatState>,
     unsent: Vec<HostName>,
 }
@@ -62,7 +62,7 @@
             ticket,
             operation,
             view: view.clone(),
-            former_too: false,
+            needs_former: false,
             seats: SortedMap::new(),
             unsent: Vec::new(),
         };
@@ -72,12 +72,12 @@
 
     /// Starts again under another roster; answers under the old one count no more.
     pub(super) fn renew(&mut self, view: Arc<RosterView>) {
-        self.former_too = !view.former.is_empty() && self.id.time() <= view.former_until;
+        self.needs_former = !view.former.is_empty() && self.id.time() <= view.former_until;
         self.view = view;
         self.seats = SortedMap::new();
         self.unsent = Vec::new();
         self.add_seats(self.view.clone().seats.as_slice());
-        if self.former_too {
+        if self.needs_former {
             self.add_seats(self.view.clone().former.as_slice());
         }
     }
@@ -131,7 +131,7 @@
 
     pub(super) fn state(&self) -> TallyState {
         let current = self.reach(&self.view.seats);
-        if !self.former_too {
+        if !self.needs_former {
             return current;
         }
         match (current, self.reach(&self.view.former)) {
@@ -214,15 +214,15 @@
         let asked = matches!(
             answer,
             SeatAnswer::Granted {
-                former_too: true,
+                needs_former: true,
                 ..
             } | SeatAnswer::Barred {
-                former_too: true,
+                needs_former: true,
                 ..
             }
         );
-        if asked && !self.former_too {
-            self.former_too = true;
+        if asked && !self.needs_former {
+            self.needs_former = true;
             self.add_seats(self.view.clone().former.as_slice());
         }
     }
--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -187,7 +187,7 @@
 
     fn answer(&self, call: &ClaimCall, entry: RegisterEntry, span: VoiceSpan) -> SeatAnswer {
         let old = call.id.time() <= span.former_until;
-        let former_too = old && self.settings.rules.two_rosters;
+        let needs_former = old && self.settings.rules.two_rosters;
         let through = entry.barred_through();
         let ignored =
             call.operation == ClaimOperation::Bar && !self.settings.rules.bar_respects_grant;
@@ -195,7 +195,7 @@
             Some(_)
                 if call.operation == ClaimOperation::Claim && entry.is_held_by(&call.ticket) =>
             {
-                SeatAnswer::Granted { former_too }
+                SeatAnswer::Granted { needs_former }
             }
             Some(holder) if !ignored => SeatAnswer::Held {
                 holder: ClaimTicket {
@@ -207,7 +207,7 @@
             },
             _ => SeatAnswer::Barred {
                 through,
-                former_too,
+                needs_former,
             },
         }
     }
--- a/tests/claim_rules/register.rs
+++ b/tests/claim_rules/register.rs
@@ -161,7 +161,9 @@
         round: 1,
         answer,
     };
-    let granted = reply(SeatAnswer::Granted { former_too: false });
+    let granted = reply(SeatAnswer::Granted {
+        needs_former: false,
+    });
     let held = reply(SeatAnswer::Held {
         holder: ticket("b", 1, 1),
     });
@@ -202,7 +204,12 @@
         );
     }
     let newer = call(&mut b, bound + 1, ClaimOperation::Claim, bound).answer;
-    assert_eq!(newer, SeatAnswer::Granted { former_too: false });
+    assert_eq!(
+        newer,
+        SeatAnswer::Granted {
+            needs_former: false
+        }
+    );
 }
 
 #[test]
@@ -211,7 +218,9 @@
     let seat = &mut seats[0];
     let future = call(seat, NOW_MS + SKEW_MS + 1, ClaimOperation::Claim, NOW_MS);
     assert_eq!(future.answer, SeatAnswer::OutOfWindow { now: NOW_MS });
-    let granted = SeatAnswer::Granted { former_too: false };
+    let granted = SeatAnswer::Granted {
+        needs_former: false,
+    };
     assert_eq!(
         call(seat, NOW_MS, ClaimOperation::Claim, NOW_MS).answer,
         granted
