--- a/src/controllers/config_controller.rs
+++ b/src/controllers/config_controller.rs
@@ -19,9 +19,9 @@
 
 use super::CompiledCopy;
 use super::ConfigEntry;
-use super::ConfigLedger;
 use super::ConfigRefusal;
 use super::ConfigSource;
+use super::ConfigTracker;
 use super::OfferOutcome;
 use super::UnreadyReason;
 use super::ViewFreshness;
@@ -94,7 +94,7 @@
 pub struct ConfigController {
     parts: ConfigParts,
     current: ArcSwapOption<ConfigEntry<FleetView>>,
-    ledger: Mutex<ConfigLedger<FleetView>>,
+    ledger: Mutex<ConfigTracker<FleetView>>,
     freshness: Mutex<ViewFreshness>,
     /// Until when the view is fresh, in milliseconds of the boot clock; what
     /// the path of a request reads.
@@ -295,7 +295,7 @@
     /// stored and told: two offers at once must not be stored in the wrong order.
     fn settle(
         &self,
-        ledger: MutexGuard<'_, ConfigLedger<FleetView>>,
+        ledger: MutexGuard<'_, ConfigTracker<FleetView>>,
         refusals_before: u64,
         outcome: &OfferOutcome<FleetView>,
     ) {
@@ -386,7 +386,7 @@
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, ConfigLedger<FleetView>> {
+    fn ledger(&self) -> MutexGuard<'_, ConfigTracker<FleetView>> {
         lock(&self.ledger)
     }
 
--- a/src/controllers/config_ledger.rs
+++ b/src/controllers/config_tracker.rs
@@ -23,7 +23,7 @@
     /// The document is the one in force.
     InForce,
     /// The document is sound, but its roster can't be judged before peers told
-    /// more; see [`ConfigLedger::retry_waiting`].
+    /// more; see [`ConfigTracker::retry_waiting`].
     Waiting,
     /// The document is refused and the one before stays.
     Refused(ConfigRefusal),
@@ -39,7 +39,7 @@
 /// use std::sync::Arc;
 ///
 /// use cardamomgw::CompiledCopy;
-/// use cardamomgw::ConfigLedger;
+/// use cardamomgw::ConfigTracker;
 /// use cardamomgw::ConfigSource;
 /// use cardamomgw::OfferOutcome;
 /// use cardamomgw::RosterAnswer;
@@ -50,7 +50,7 @@
 ///     Ok(CompiledCopy { version, digest: [0; 32], view: Arc::new(text.to_owned()) })
 /// };
 /// let copy = |version, body: &'static str| FleetCopy { version, body: body.into() };
-/// let mut ledger = ConfigLedger::<String>::new();
+/// let mut ledger = ConfigTracker::<String>::new();
 ///
 /// let platform = ConfigSource::Platform;
 /// let admit = |_: &String| RosterAnswer::Admitted;
@@ -62,7 +62,7 @@
 /// assert_eq!(ledger.version(), 2);
 /// ```
 #[derive(Debug)]
-pub struct ConfigLedger<V> {
+pub struct ConfigTracker<V> {
     in_force: Option<Arc<ConfigEntry<V>>>,
     waiting: Option<Arc<ConfigEntry<V>>>,
     /// The last document that was refused for its content: it is offered again
@@ -73,7 +73,7 @@
     conflict: Option<(FleetVersion, ConfigDigest)>,
 }
 
-impl<V> ConfigLedger<V> {
+impl<V> ConfigTracker<V> {
     /// Makes a ledger with nothing in force.
     pub const fn new() -> Self {
         Self {
@@ -280,7 +280,7 @@
     }
 }
 
-impl<V> Default for ConfigLedger<V> {
+impl<V> Default for ConfigTracker<V> {
     fn default() -> Self {
         Self::new()
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! - [`claim`]: at most one dispatch an id, and the proof that an id did not run.
 //! - [`roster`]: which hosts hold seats, and how one list of seats follows another.
-//! - [`ConfigLedger`]: which version of a document is in force; versions only rise.
+//! - [`ConfigTracker`]: which version of a document is in force; versions only rise.
 //! - [`peers`]: the protocol between hosts, and the digests that they exchange.
 //! - [`policy`]: the decisions under load, one object a host.
 //! - [`suspects`]: which requests crash the targets that run them.
@@ -66,9 +66,9 @@
 
 pub use controllers::CompiledCopy;
 pub use controllers::ConfigEntry;
-pub use controllers::ConfigLedger;
 pub use controllers::ConfigRefusal;
 pub use controllers::ConfigSource;
+pub use controllers::ConfigTracker;
 pub use controllers::OfferOutcome;
 pub use controllers::RosterAnswer;
 pub use gateway::HostServer;
--- a/tests/config_gossip_ledger.rs
+++ b/tests/config_gossip_tracker.rs
@@ -6,9 +6,9 @@
 use arbtest::arbtest;
 use bytes::Bytes;
 use cardamomgw::controllers::CompiledCopy;
-use cardamomgw::controllers::ConfigLedger;
 use cardamomgw::controllers::ConfigRefusal;
 use cardamomgw::controllers::ConfigSource;
+use cardamomgw::controllers::ConfigTracker;
 use cardamomgw::controllers::OfferOutcome;
 use cardamomgw::controllers::RosterAnswer;
 use cardamomgw::peers::FleetCopy;
@@ -43,12 +43,12 @@
     RosterAnswer::Admitted
 }
 
-fn offer(ledger: &mut ConfigLedger<TextView>, copy: FleetCopy) -> OfferOutcome<TextView> {
+fn offer(ledger: &mut ConfigTracker<TextView>, copy: FleetCopy) -> OfferOutcome<TextView> {
     ledger.offer(copy, ConfigSource::Platform, compile, admit)
 }
 
-fn ledger_at(version: u64, content: &str) -> ConfigLedger<TextView> {
-    let mut ledger = ConfigLedger::new();
+fn ledger_at(version: u64, content: &str) -> ConfigTracker<TextView> {
+    let mut ledger = ConfigTracker::new();
     offer(&mut ledger, copy(version, content));
     ledger
 }
@@ -217,7 +217,7 @@
 #[test]
 fn version_never_falls_and_never_changes_its_content() {
     arbtest(|u| {
-        let mut ledger = ConfigLedger::new();
+        let mut ledger = ConfigTracker::new();
         let mut seen: Vec<(u64, [u8; 32])> = Vec::new();
         while !u.is_empty() {
             let before = ledger.version();
