--- a/src/controllers/host_list_watch.rs
+++ b/src/controllers/host_list_watch.rs
@@ -26,7 +26,7 @@
 
 impl HostListWatch {
     /// Reads the list each second from now on and hands each one to `listener`.
-    /// The list lags and may come in the wrong order; see [`super::LeavingLedger`].
+    /// The list lags and may come in the wrong order; see [`super::LeavingTracker`].
     pub fn spawn(
         platform: Arc<DocumentClient>,
         listener: impl Fn(HostList) + Send + 'static,
--- a/src/controllers/leaving_ledger.rs
+++ b/src/controllers/leaving_tracker.rs
@@ -30,13 +30,13 @@
 /// that says leaving is enough; it has to take its word back itself, by a
 /// newer one. The configuration's own state is held beside it by the caller.
 #[derive(Debug, Default)]
-pub struct LeavingLedger {
+pub struct LeavingTracker {
     claims: SortedMap<String, [Option<StateClaim>; 2]>,
     /// The newest list.
     list: Option<HostList>,
 }
 
-impl LeavingLedger {
+impl LeavingTracker {
     /// Takes the platform's list.
     pub fn take_list(&mut self, list: HostList) {
         for listed in &list.hosts {
--- a/src/controllers/target_controller.rs
+++ b/src/controllers/target_controller.rs
@@ -16,7 +16,7 @@
 use crate::clock::unix_now;
 use crate::controllers::ConfigController;
 use crate::controllers::HostListWatch;
-use crate::controllers::LeavingLedger;
+use crate::controllers::LeavingTracker;
 use crate::controllers::WorkController;
 use crate::documents::DocumentClient;
 use crate::documents::HostList;
@@ -75,7 +75,7 @@
 
 #[derive(Debug, Default)]
 struct TargetKnowledge {
-    leaving: LeavingLedger,
+    leaving: LeavingTracker,
     /// Targets that could not be connected to since their last report.
     unreachable: SortedMap<TargetName, ()>,
     reports: SortedMap<TargetName, bool>,
--- a/tests/config_gossip_leaving.rs
+++ b/tests/config_gossip_leaving.rs
@@ -1,7 +1,7 @@
 //! Targets that leave, while sources lag and disagree.
 
 use arbtest::arbtest;
-use cardamomgw::controllers::LeavingLedger;
+use cardamomgw::controllers::LeavingTracker;
 use cardamomgw::documents::HostList;
 use cardamomgw::documents::ListedHost;
 use cardamomgw::fleet::TargetState::Leaving;
@@ -9,7 +9,7 @@
 
 #[test]
 fn name_that_nobody_mentioned_is_not_leaving() {
-    let ledger = LeavingLedger::default();
+    let ledger = LeavingTracker::default();
 
     assert!(!ledger.is_leaving("e1"));
 }
@@ -18,7 +18,7 @@
 /// saying live, with a newer time. New work there would be cut at the engine's end.
 #[test]
 fn list_does_not_bring_back_a_target_that_says_itself_it_leaves() {
-    let mut ledger = LeavingLedger::default();
+    let mut ledger = LeavingTracker::default();
 
     let news = ledger.target_says("e1", Leaving, 100);
     let back = ledger.list_says("e1", Live, 200);
@@ -31,7 +31,7 @@
 /// The list says that a target leaves; the target, which was not told yet, says live.
 #[test]
 fn target_does_not_take_back_what_the_list_says() {
-    let mut ledger = LeavingLedger::default();
+    let mut ledger = LeavingTracker::default();
 
     ledger.list_says("e1", Leaving, 100);
     ledger.target_says("e1", Live, 200);
@@ -42,7 +42,7 @@
 /// Two reads of the list overtake each other, or a stale replica answers.
 #[test]
 fn older_word_of_the_same_voice_changes_nothing() {
-    let mut ledger = LeavingLedger::default();
+    let mut ledger = LeavingTracker::default();
 
     ledger.list_says("e1", Leaving, 200);
     let older = ledger.list_says("e1", Live, 100);
@@ -55,7 +55,7 @@
 
 #[test]
 fn voice_takes_its_own_word_back_by_a_newer_one() {
-    let mut ledger = LeavingLedger::default();
+    let mut ledger = LeavingTracker::default();
     ledger.list_says("e1", Leaving, 100);
     ledger.target_says("e1", Leaving, 100);
 
@@ -69,7 +69,7 @@
 
 #[test]
 fn target_that_is_put_in_again_starts_afresh() {
-    let mut ledger = LeavingLedger::default();
+    let mut ledger = LeavingTracker::default();
     ledger.target_says("e1", Leaving, 100);
     ledger.target_says("e2", Leaving, 100);
 
@@ -88,8 +88,8 @@
         for word in &mut words {
             word.2 %= 8;
         }
-        let mut forward = LeavingLedger::default();
-        let mut backward = LeavingLedger::default();
+        let mut forward = LeavingTracker::default();
+        let mut backward = LeavingTracker::default();
 
         for (index, word) in words.iter().enumerate() {
             tell(&mut forward, *word);
@@ -101,7 +101,7 @@
     });
 }
 
-fn tell(ledger: &mut LeavingLedger, (by_list, leaves, taken): (bool, bool, u64)) {
+fn tell(ledger: &mut LeavingTracker, (by_list, leaves, taken): (bool, bool, u64)) {
     let state = if leaves { Leaving } else { Live };
     if by_list {
         ledger.list_says("e1", state, taken);
@@ -115,7 +115,7 @@
 /// engine. Forgotten in between, it would get work that its end cuts.
 #[test]
 fn listed_as_leaving_before_a_document_names_it_is_not_forgotten() {
-    let mut ledger = LeavingLedger::default();
+    let mut ledger = LeavingTracker::default();
     ledger.take_list(HostList {
         taken_ms: 100,
         hosts: vec![ListedHost {
@@ -133,7 +133,7 @@
 /// Operators take a leaving engine out, replace it, and put it in again by its name.
 #[test]
 fn target_that_was_taken_out_starts_afresh() {
-    let mut ledger = LeavingLedger::default();
+    let mut ledger = LeavingTracker::default();
     ledger.target_says("e1", Leaving, 100);
 
     ledger.follow(&[]);
