--- a/src/controllers/host_roll.rs
+++ b/src/controllers/host_tracker.rs
@@ -5,7 +5,7 @@
 
 /// How a host stands at one moment.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct HostLook {
+pub struct HostSnapshot {
     /// Why the host takes no requests; nothing when it does.
     pub unready: Option<String>,
     /// Whether a majority of seats with a voice is connected.
@@ -16,14 +16,14 @@
 
 /// How a host stood at the last look.
 #[derive(Debug, Default)]
-pub struct HostRoll {
-    last: Option<HostLook>,
+pub struct HostTracker {
+    last: Option<HostSnapshot>,
 }
 
-impl HostRoll {
+impl HostTracker {
     /// Takes how the host stands now and returns what changed. A host that starts
     /// has lost no majority yet: until it first has one, only its readiness is told.
-    pub fn update(&mut self, now: HostLook) -> Vec<StateChange> {
+    pub fn update(&mut self, now: HostSnapshot) -> Vec<StateChange> {
         let last = self.last.as_ref();
         let mut changes = Vec::new();
         let majority = last.map(|last| last.majority);
--- a/src/controllers/peer_roll.rs
+++ b/src/controllers/peer_tracker.rs
@@ -6,11 +6,11 @@
 
 /// The peers that were connected at the last look.
 #[derive(Debug, Default)]
-pub struct PeerRoll {
+pub struct PeerTracker {
     connected: Vec<HostName>,
 }
 
-impl PeerRoll {
+impl PeerTracker {
     /// Takes how the links stand now and returns what changed. A peer that the
     /// roster no longer names has left and is not told as lost.
     pub fn update(&mut self, links: &[LinkStatus]) -> Vec<StateChange> {
--- a/src/controllers/peer_watch.rs
+++ b/src/controllers/peer_watch.rs
@@ -10,7 +10,7 @@
 use async_std::task;
 use futures_lite::future::or;
 
-use super::PeerRoll;
+use super::PeerTracker;
 use crate::logs::StateLog;
 use crate::metrics::RefusedPeer;
 use crate::metrics::RequestMetrics;
@@ -57,7 +57,7 @@
     log: Arc<StateLog>,
     metrics: Arc<RequestMetrics>,
 ) {
-    let mut roll = PeerRoll::default();
+    let mut roll = PeerTracker::default();
     let mut shown = [0; 3];
     while let Some(mesh) = mesh.upgrade() {
         for change in roll.update(&mesh.links()) {
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -27,7 +27,7 @@
 use crate::controllers::ConfigParts;
 use crate::controllers::DigestController;
 use crate::controllers::DrainState;
-use crate::controllers::HostRoll;
+use crate::controllers::HostTracker;
 use crate::controllers::PeerWatch;
 use crate::controllers::RosterAnswer;
 use crate::controllers::RosterJudge;
@@ -297,7 +297,7 @@
 
 /// Writes a line for each change of the host's own state.
 async fn tell_changes_forever(state: Arc<HostState>) {
-    let mut roll = HostRoll::default();
+    let mut roll = HostTracker::default();
     loop {
         for change in roll.update(state.look()) {
             state.log.write(&change);
--- a/src/gateway/host_state.rs
+++ b/src/gateway/host_state.rs
@@ -8,7 +8,7 @@
 use crate::controllers::ConfigController;
 use crate::controllers::DigestController;
 use crate::controllers::DrainState;
-use crate::controllers::HostLook;
+use crate::controllers::HostSnapshot;
 use crate::controllers::TargetController;
 use crate::controllers::WorkController;
 use crate::fleet::FleetView;
@@ -87,9 +87,9 @@
     }
 
     /// Returns how the host stands now.
-    pub(crate) fn look(&self) -> HostLook {
+    pub(crate) fn look(&self) -> HostSnapshot {
         let roster = self.claims.register().roster().active_tag();
-        HostLook {
+        HostSnapshot {
             unready: self.unready_reason(),
             majority: self.claims.has_majority(),
             roster: roster.map(|tag| tag.number),
--- a/tests/host_roll.rs
+++ b/tests/host_tracker.rs
@@ -1,35 +1,35 @@
 //! What operators are told when a host's own state changes.
 
-use cardamomgw::controllers::HostLook;
-use cardamomgw::controllers::HostRoll;
+use cardamomgw::controllers::HostSnapshot;
+use cardamomgw::controllers::HostTracker;
 
-fn serving() -> HostLook {
-    HostLook {
+fn serving() -> HostSnapshot {
+    HostSnapshot {
         unready: None,
         majority: true,
         roster: Some(1),
     }
 }
 
-fn alone() -> HostLook {
-    HostLook {
+fn alone() -> HostSnapshot {
+    HostSnapshot {
         unready: Some("no majority".to_owned()),
         majority: false,
         ..serving()
     }
 }
 
-fn lines(roll: &mut HostRoll, look: HostLook) -> Vec<String> {
+fn lines(roll: &mut HostTracker, look: HostSnapshot) -> Vec<String> {
     let changes = roll.update(look);
     changes.iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn start_tells_readiness_and_no_loss() {
-    let mut roll = HostRoll::default();
-    let starting = HostLook {
+    let mut roll = HostTracker::default();
+    let starting = HostSnapshot {
         unready: Some("no configuration yet".to_owned()),
-        ..HostLook::default()
+        ..HostSnapshot::default()
     };
 
     let first = lines(&mut roll, starting);
@@ -39,7 +39,7 @@
 
 #[test]
 fn nothing_is_told_twice() {
-    let mut roll = HostRoll::default();
+    let mut roll = HostTracker::default();
 
     let first = lines(&mut roll, serving());
     let second = lines(&mut roll, serving());
@@ -50,7 +50,7 @@
 
 #[test]
 fn majority_that_goes_and_comes_back_is_told() {
-    let mut roll = HostRoll::default();
+    let mut roll = HostTracker::default();
     lines(&mut roll, serving());
 
     let lost = lines(&mut roll, alone());
@@ -65,9 +65,9 @@
 
 #[test]
 fn another_roster_and_another_reason_are_told() {
-    let mut roll = HostRoll::default();
+    let mut roll = HostTracker::default();
     lines(&mut roll, serving());
-    let leaving = HostLook {
+    let leaving = HostSnapshot {
         unready: Some("the host is leaving".to_owned()),
         roster: Some(2),
         ..serving()
--- a/tests/peers_watch.rs
+++ b/tests/peers_watch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use cardamomgw::controllers::PeerRoll;
+use cardamomgw::controllers::PeerTracker;
 use cardamomgw::controllers::PeerWatch;
 use cardamomgw::logs::StateLog;
 use cardamomgw::metrics::RequestMetrics;
@@ -45,14 +45,14 @@
     }
 }
 
-fn update(roll: &mut PeerRoll, links: &[LinkStatus]) -> Vec<String> {
+fn update(roll: &mut PeerTracker, links: &[LinkStatus]) -> Vec<String> {
     let changes = roll.update(links);
     changes.iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn each_coming_and_going_is_told_once() {
-    let mut roll = PeerRoll::default();
+    let mut roll = PeerTracker::default();
 
     let first = update(&mut roll, &[link("b", true), link("c", false)]);
     let same = update(&mut roll, &[link("b", true), link("c", false)]);
@@ -71,7 +71,7 @@
 
 #[test]
 fn peer_that_the_roster_dropped_is_not_told_as_lost() {
-    let mut roll = PeerRoll::default();
+    let mut roll = PeerTracker::default();
     update(&mut roll, &[link("b", true), link("c", true)]);
 
     assert!(update(&mut roll, &[link("c", true)]).is_empty());
