--- a/src/controllers/config_controller.rs
+++ b/src/controllers/config_controller.rs
@@ -52,7 +52,7 @@
 
 /// What the roster rules say to a document's roster.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum RosterAnswer {
+pub enum RosterAdmission {
     /// The roster was taken up, or is the one that is known already.
     Admitted,
     /// It can't be judged before peers told more.
@@ -65,7 +65,7 @@
 }
 
 /// Judges the roster of a document that is sound otherwise.
-pub type RosterJudge = dyn Fn(&FleetDocument) -> RosterAnswer + Send + Sync;
+pub type RosterValidator = dyn Fn(&FleetDocument) -> RosterAdmission + Send + Sync;
 /// Is told of each view that is put in force.
 pub type ViewListener = dyn Fn(&Arc<FleetView>) + Send + Sync;
 /// Makes the host exchange digests with its peers at once.
@@ -84,7 +84,7 @@
     /// Takes the counters.
     pub metrics: Arc<RequestMetrics>,
     /// Judges rosters; called while a document is judged, so it must not wait.
-    pub admit_roster: Box<RosterJudge>,
+    pub admit_roster: Box<RosterValidator>,
     /// Is told of each view put in force, in order; must not wait, and of the
     /// controller it may only read the view.
     pub accepted: Box<ViewListener>,
@@ -287,7 +287,7 @@
         }
     }
 
-    fn admit(&self, view: &FleetView) -> RosterAnswer {
+    fn admit(&self, view: &FleetView) -> RosterAdmission {
         (self.parts.admit_roster)(view.document())
     }
 
--- a/src/controllers/config_tracker.rs
+++ b/src/controllers/config_tracker.rs
@@ -10,7 +10,7 @@
 use super::ConfigEntry;
 use super::ConfigRefusal;
 use super::ConfigSource;
-use super::RosterAnswer;
+use super::RosterAdmission;
 use crate::ids::FleetVersion;
 use crate::peers::ConfigDigest;
 use crate::peers::FleetCopy;
@@ -42,7 +42,7 @@
 /// use cardamomgw::ConfigTracker;
 /// use cardamomgw::ConfigSource;
 /// use cardamomgw::OfferOutcome;
-/// use cardamomgw::RosterAnswer;
+/// use cardamomgw::RosterAdmission;
 /// use cardamomgw::peers::FleetCopy;
 ///
 /// let compile = |version| move |body: &[u8]| {
@@ -53,7 +53,7 @@
 /// let mut ledger = ConfigTracker::<String>::new();
 ///
 /// let platform = ConfigSource::Platform;
-/// let admit = |_: &String| RosterAnswer::Admitted;
+/// let admit = |_: &String| RosterAdmission::Admitted;
 /// let newer = ledger.offer(copy(2, "two"), platform.clone(), compile(2), admit);
 /// let stale = ledger.offer(copy(1, "one"), platform, compile(1), admit);
 ///
@@ -114,7 +114,7 @@
         copy: FleetCopy,
         source: ConfigSource,
         compile: impl FnOnce(&[u8]) -> Result<CompiledCopy<V>, Vec<String>>,
-        admit: impl FnOnce(&V) -> RosterAnswer,
+        admit: impl FnOnce(&V) -> RosterAdmission,
     ) -> OfferOutcome<V> {
         if let Some(outcome) = self.judge_unread(&copy) {
             return outcome;
@@ -186,21 +186,21 @@
     fn admit_entry(
         &mut self,
         entry: Arc<ConfigEntry<V>>,
-        admit: impl FnOnce(&V) -> RosterAnswer,
+        admit: impl FnOnce(&V) -> RosterAdmission,
     ) -> OfferOutcome<V> {
         match admit(&entry.view) {
-            RosterAnswer::Admitted => {
+            RosterAdmission::Admitted => {
                 self.waiting = None;
                 self.judged = None;
                 self.last_refusal = None;
                 self.in_force = Some(Arc::clone(&entry));
                 OfferOutcome::Accepted(entry)
             }
-            RosterAnswer::Waiting => {
+            RosterAdmission::Waiting => {
                 self.keep_waiting(entry);
                 OfferOutcome::Waiting
             }
-            RosterAnswer::Refused { reason } => {
+            RosterAdmission::Refused { reason } => {
                 // Not remembered as judged: what the roster rules say may change
                 // as peers tell more.
                 let version = entry.copy.version;
@@ -223,7 +223,7 @@
     /// Asks again for the document that waits, after peers told something.
     pub fn retry_waiting(
         &mut self,
-        admit: impl FnOnce(&V) -> RosterAnswer,
+        admit: impl FnOnce(&V) -> RosterAdmission,
     ) -> Option<OfferOutcome<V>> {
         let entry = self.waiting.take()?;
         if entry.copy.version <= self.version() {
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -29,8 +29,8 @@
 use crate::controllers::DrainState;
 use crate::controllers::HostTracker;
 use crate::controllers::PeerWatch;
-use crate::controllers::RosterAnswer;
-use crate::controllers::RosterJudge;
+use crate::controllers::RosterAdmission;
+use crate::controllers::RosterValidator;
 use crate::controllers::TargetController;
 use crate::controllers::ViewListener;
 use crate::controllers::WorkController;
@@ -51,7 +51,7 @@
 use crate::poison::PoisonGuard;
 use crate::policy::PolicySettings;
 use crate::recorder::TraceRecorder;
-use crate::roster::OfferVerdict;
+use crate::roster::RosterDecision;
 use crate::roster::RosterPlan;
 use crate::roster::SeatLife;
 use crate::settings::HostSettings;
@@ -311,7 +311,7 @@
 }
 
 /// Lets the seat judge the roster of each document.
-fn admit_rosters(claims: Arc<ClaimCoordinator>) -> Box<RosterJudge> {
+fn admit_rosters(claims: Arc<ClaimCoordinator>) -> Box<RosterValidator> {
     Box::new(move |document| {
         let plan = RosterPlan::of_document(document);
         let mut register = claims.register();
@@ -320,16 +320,16 @@
         let verdict = register.roster_mut().offer(plan, unix_now());
         if !matches!(
             verdict,
-            Ok(OfferVerdict::Accepted | OfferVerdict::Unchanged)
+            Ok(RosterDecision::Accepted | RosterDecision::Unchanged)
         ) {
             // A document is refused whole: its limits go with it.
             let (window_ms, skew_ms) = former;
             register.adopt_limits(window_ms, skew_ms);
         }
         match verdict {
-            Ok(OfferVerdict::Accepted | OfferVerdict::Unchanged) => RosterAnswer::Admitted,
-            Ok(OfferVerdict::Waiting) => RosterAnswer::Waiting,
-            Err(refusal) => RosterAnswer::Refused {
+            Ok(RosterDecision::Accepted | RosterDecision::Unchanged) => RosterAdmission::Admitted,
+            Ok(RosterDecision::Waiting) => RosterAdmission::Waiting,
+            Err(refusal) => RosterAdmission::Refused {
                 reason: refusal.to_string(),
             },
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -70,6 +70,6 @@
 pub use controllers::ConfigSource;
 pub use controllers::ConfigTracker;
 pub use controllers::OfferOutcome;
-pub use controllers::RosterAnswer;
+pub use controllers::RosterAdmission;
 pub use gateway::HostServer;
 pub use gateway::serve_host;
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -49,7 +49,7 @@
 pub use roster_digest::RosterDigest;
 pub use roster_plan::RosterPlan;
 pub use roster_plan::RosterTag;
-pub use roster_refusal::OfferVerdict;
+pub use roster_refusal::RosterDecision;
 pub use roster_refusal::RosterRefusal;
 pub use roster_tracker::RosterTracker;
 pub use roster_view::RosterView;
--- a/src/roster/offer_judgement.rs
+++ b/src/roster/offer_judgement.rs
@@ -1,6 +1,6 @@
 //! Whether a document's roster may follow those that a process knows.
 
-use super::OfferVerdict;
+use super::RosterDecision;
 use super::RosterPlan;
 use super::RosterRefusal;
 use super::known_rosters::KnownRosters;
@@ -15,14 +15,14 @@
     rosters: &KnownRosters,
     plan: &RosterPlan,
     voiced: bool,
-) -> Result<OfferVerdict, RosterRefusal> {
+) -> Result<RosterDecision, RosterRefusal> {
     let seats = plan.seats.len();
     if seats == 0 {
         return Err(RosterRefusal::NoSeats);
     }
     let tag = Some(plan.tag);
     if rosters.active_tag() == tag || rosters.taken_up_tag() == tag {
-        return Ok(OfferVerdict::Unchanged);
+        return Ok(RosterDecision::Unchanged);
     }
     let continuing = plan.continuing();
     if plan.former.is_some() && continuing < majority(seats) {
@@ -34,10 +34,10 @@
     }
 }
 
-fn judge_first(rosters: &KnownRosters, plan: &RosterPlan) -> Result<OfferVerdict, RosterRefusal> {
+fn judge_first(rosters: &KnownRosters, plan: &RosterPlan) -> Result<RosterDecision, RosterRefusal> {
     let lowest = rosters.offered.as_ref().map_or(0, |known| known.tag.number);
     check_number(plan, lowest)?;
-    Ok(OfferVerdict::Accepted)
+    Ok(RosterDecision::Accepted)
 }
 
 fn judge_after(
@@ -45,7 +45,7 @@
     active: RosterNumber,
     plan: &RosterPlan,
     voiced: bool,
-) -> Result<OfferVerdict, RosterRefusal> {
+) -> Result<RosterDecision, RosterRefusal> {
     let binding = rosters.binding_tag().map_or(0, |tag| tag.number);
     check_number(plan, binding + 1)?;
     let Some(former) = plan.former_tag() else {
@@ -53,15 +53,15 @@
         // the roster is founded only if none of its seats has a voice.
         return match voiced {
             true => Err(RosterRefusal::AlreadyFounded { active }),
-            false => Ok(OfferVerdict::Accepted),
+            false => Ok(RosterDecision::Accepted),
         };
     };
     if Some(former) == rosters.taken_up_tag() {
-        return Ok(OfferVerdict::Accepted);
+        return Ok(RosterDecision::Accepted);
     }
     if Some(former) == rosters.active_tag() {
         return match rosters.taken_up_tag() {
-            None => Ok(OfferVerdict::Accepted),
+            None => Ok(RosterDecision::Accepted),
             Some(tag) => Err(RosterRefusal::OtherSuccessor {
                 taken_up: tag.number,
             }),
@@ -69,7 +69,7 @@
     }
     let former = former.number;
     match former > active {
-        true => Ok(OfferVerdict::Waiting),
+        true => Ok(RosterDecision::Waiting),
         false => Err(RosterRefusal::NotSuccessor { former, active }),
     }
 }
--- a/src/roster/roster_refusal.rs
+++ b/src/roster/roster_refusal.rs
@@ -7,7 +7,7 @@
 
 /// What becomes of a roster that was not refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OfferVerdict {
+pub enum RosterDecision {
     /// The roster is the one that the process already has.
     Unchanged,
     /// The roster replaces the active one or one on the way; it takes its course.
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -2,7 +2,7 @@
 
 use super::FoundingBlock;
 use super::FoundingRecord;
-use super::OfferVerdict;
+use super::RosterDecision;
 use super::RosterDigest;
 use super::RosterPlan;
 use super::RosterRefusal;
@@ -61,11 +61,11 @@
         &mut self,
         plan: RosterPlan,
         now: UnixMillis,
-    ) -> Result<OfferVerdict, RosterRefusal> {
+    ) -> Result<RosterDecision, RosterRefusal> {
         let verdict = judge_offer(&self.rosters, &plan, self.voice.is_some())?;
         match verdict {
-            OfferVerdict::Unchanged => self.rosters.fill_former(&plan),
-            OfferVerdict::Accepted | OfferVerdict::Waiting => self.rosters.offered = Some(plan),
+            RosterDecision::Unchanged => self.rosters.fill_former(&plan),
+            RosterDecision::Accepted | RosterDecision::Waiting => self.rosters.offered = Some(plan),
         }
         self.step(now);
         Ok(verdict)
--- a/tests/claim_rules/rosters.rs
+++ b/tests/claim_rules/rosters.rs
@@ -11,7 +11,7 @@
 use crate::fixture::tell;
 use crate::fixture::wins;
 use cardamomgw::claim::ClaimRules;
-use cardamomgw::roster::OfferVerdict;
+use cardamomgw::roster::RosterDecision;
 use cardamomgw::roster::RosterPlan;
 use cardamomgw::roster::RosterRefusal;
 
@@ -45,7 +45,7 @@
     assert_eq!(offer(lost), refused);
     assert_eq!(
         offer(plan(1, &["a", "b", "c"], None)),
-        Ok(OfferVerdict::Unchanged)
+        Ok(RosterDecision::Unchanged)
     );
     assert!(matches!(
         offer(plan(1, &["x"], None)),
@@ -62,9 +62,9 @@
         Err(RosterRefusal::NotSuccessor { .. })
     ));
     let skipping = plan(4, &["a", "b"], Some(&["a", "b"]));
-    assert_eq!(offer(skipping), Ok(OfferVerdict::Waiting));
+    assert_eq!(offer(skipping), Ok(RosterDecision::Waiting));
     let next = plan(2, &["a", "b", "d"], Some(&["a", "b", "c"]));
-    assert_eq!(offer(next), Ok(OfferVerdict::Accepted));
+    assert_eq!(offer(next), Ok(RosterDecision::Accepted));
     let other = RosterPlan::new(
         &roster(3, &["a", "c"]),
         Some(&roster(1, &["a", "b", "c"])),
@@ -75,7 +75,7 @@
         Err(RosterRefusal::OtherSuccessor { taken_up: 2 })
     );
     let on_the_way = plan(3, &["a", "d"], Some(&["a", "b", "d"]));
-    assert_eq!(offer(on_the_way), Ok(OfferVerdict::Accepted));
+    assert_eq!(offer(on_the_way), Ok(RosterDecision::Accepted));
 }
 
 /// An operator replaces every host, one at a time, while callers keep sending.
--- a/tests/config_gossip_tracker.rs
+++ b/tests/config_gossip_tracker.rs
@@ -10,7 +10,7 @@
 use cardamomgw::controllers::ConfigSource;
 use cardamomgw::controllers::ConfigTracker;
 use cardamomgw::controllers::OfferOutcome;
-use cardamomgw::controllers::RosterAnswer;
+use cardamomgw::controllers::RosterAdmission;
 use cardamomgw::peers::FleetCopy;
 
 /// A view that is only its content.
@@ -39,8 +39,8 @@
     })
 }
 
-fn admit(_view: &TextView) -> RosterAnswer {
-    RosterAnswer::Admitted
+fn admit(_view: &TextView) -> RosterAdmission {
+    RosterAdmission::Admitted
 }
 
 fn offer(ledger: &mut ConfigTracker<TextView>, copy: FleetCopy) -> OfferOutcome<TextView> {
@@ -158,7 +158,7 @@
 #[test]
 fn document_whose_roster_waits_is_taken_when_peers_told_more() {
     let mut ledger = ledger_at(7, "old");
-    let waits = |_: &TextView| RosterAnswer::Waiting;
+    let waits = |_: &TextView| RosterAdmission::Waiting;
 
     let first = ledger.offer(copy(8, "new"), ConfigSource::Platform, compile, waits);
     let before = ledger.version();
@@ -176,7 +176,7 @@
 #[test]
 fn refused_roster_may_be_offered_again() {
     let mut ledger = ledger_at(7, "old");
-    let refuses = |_: &TextView| RosterAnswer::Refused {
+    let refuses = |_: &TextView| RosterAdmission::Refused {
         reason: "no".to_owned(),
     };
 
@@ -222,11 +222,11 @@
         while !u.is_empty() {
             let before = ledger.version();
             let answer = match u.int_in_range(0..=3)? {
-                0 => RosterAnswer::Waiting,
-                1 => RosterAnswer::Refused {
+                0 => RosterAdmission::Waiting,
+                1 => RosterAdmission::Refused {
                     reason: String::new(),
                 },
-                _ => RosterAnswer::Admitted,
+                _ => RosterAdmission::Admitted,
             };
             let judge = |_: &TextView| answer.clone();
             let outcome = if u.ratio(1, 4)? {
--- a/tests/config_support/mod.rs
+++ b/tests/config_support/mod.rs
@@ -13,7 +13,7 @@
 use cardamomgw::clock::boot_now;
 use cardamomgw::controllers::ConfigController;
 use cardamomgw::controllers::ConfigParts;
-use cardamomgw::controllers::RosterAnswer;
+use cardamomgw::controllers::RosterAdmission;
 use cardamomgw::documents::DocumentClient;
 use cardamomgw::fleet::FleetDocument;
 use cardamomgw::fleet::SeatAddress;
@@ -104,7 +104,7 @@
             platform: Arc::new(platform),
             log: Arc::new(log),
             metrics,
-            admit_roster: Box::new(|_| RosterAnswer::Admitted),
+            admit_roster: Box::new(|_| RosterAdmission::Admitted),
             accepted: Box::new(|_| {}),
         });
         let (hurry, hurried) = async_channel::bounded(1);
