--- a/src/controllers/mod.rs
+++ b/src/controllers/mod.rs
@@ -48,7 +48,7 @@
 pub use view_freshness::VIEW_AGE_BOUND;
 pub use view_freshness::ViewFreshness;
 pub(crate) use work_controller::WorkController;
-pub(crate) use work_controller::WorkPlace;
+pub(crate) use work_controller::WorkPlacement;
 pub(crate) use work_controller::WorkSource;
 pub(crate) use work_controller::WorkTicket;
 
--- a/src/controllers/work_controller.rs
+++ b/src/controllers/work_controller.rs
@@ -42,7 +42,7 @@
 
 /// Where a piece of work goes.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum WorkPlace {
+pub(crate) enum WorkPlacement {
     /// To this target, whose slot is taken.
     Target(TargetName),
     /// To this peer.
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub(crate) struct WorkController {
     policy: Mutex<DispatchPolicy>,
-    waiters: Mutex<SortedMap<WorkId, Sender<WorkPlace>>>,
+    waiters: Mutex<SortedMap<WorkId, Sender<WorkPlacement>>>,
     next_work: AtomicU64,
 }
 
@@ -72,7 +72,7 @@
 pub(crate) struct WorkTicket {
     controller: Arc<WorkController>,
     work: WorkId,
-    places: Receiver<WorkPlace>,
+    places: Receiver<WorkPlacement>,
     stage: TicketStage,
 }
 
@@ -198,14 +198,14 @@
 
 impl WorkTicket {
     /// Waits for the work's place.
-    pub(crate) async fn place(&mut self) -> WorkPlace {
-        let place = self.places.recv().await.unwrap_or(WorkPlace::Refused {
+    pub(crate) async fn placement(&mut self) -> WorkPlacement {
+        let place = self.places.recv().await.unwrap_or(WorkPlacement::Refused {
             kind: ErrorKind::Internal,
             retry_after: Duration::ZERO,
         });
         self.stage = match place {
-            WorkPlace::Target(_) => TicketStage::Placed,
-            WorkPlace::Peer(_) | WorkPlace::Refused { .. } => TicketStage::Ended,
+            WorkPlacement::Target(_) => TicketStage::Placed,
+            WorkPlacement::Peer(_) | WorkPlacement::Refused { .. } => TicketStage::Ended,
         };
         place
     }
@@ -252,7 +252,7 @@
     /// A place may have been given just before the work was withdrawn; nobody
     /// else would ever give its slot back.
     fn give_back_unread_place(&self, end: WorkOutcome) {
-        if let Ok(WorkPlace::Target(_)) = self.places.try_recv() {
+        if let Ok(WorkPlacement::Target(_)) = self.places.try_recv() {
             self.controller
                 .decide(|policy| policy.ended(boot_now(), self.work, end));
         }
@@ -266,15 +266,15 @@
     }
 }
 
-fn place_of(action: PolicyAction) -> (WorkId, WorkPlace) {
+fn place_of(action: PolicyAction) -> (WorkId, WorkPlacement) {
     match action {
-        PolicyAction::Dispatch { work, target } => (work, WorkPlace::Target(target)),
-        PolicyAction::HandOver { work, host } => (work, WorkPlace::Peer(host)),
+        PolicyAction::Dispatch { work, target } => (work, WorkPlacement::Target(target)),
+        PolicyAction::HandOver { work, host } => (work, WorkPlacement::Peer(host)),
         PolicyAction::Refuse {
             work,
             kind,
             retry_after,
-        } => (work, WorkPlace::Refused { kind, retry_after }),
+        } => (work, WorkPlacement::Refused { kind, retry_after }),
     }
 }
 
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -13,7 +13,7 @@
 use crate::clock::boot_now;
 use crate::controllers::BarOutcome;
 use crate::controllers::ClaimOutcome;
-use crate::controllers::WorkPlace;
+use crate::controllers::WorkPlacement;
 use crate::controllers::WorkSource;
 use crate::controllers::WorkTicket;
 use crate::errors::ErrorKind;
@@ -144,13 +144,13 @@
     async fn run_admitted(&self, mut ticket: WorkTicket) -> ChainEnd {
         let mut held = None;
         for _ in 0..MAX_PLACES {
-            let place = or(async { Some(ticket.place().await) }, async {
+            let place = or(async { Some(ticket.placement().await) }, async {
                 self.slot.wait_no_readers().await;
                 None
             });
             let target = match place.await {
                 None => return ChainEnd::Abandoned(held),
-                Some(WorkPlace::Peer(host)) => {
+                Some(WorkPlacement::Peer(host)) => {
                     if held.is_none() && self.run_peer(&host).await {
                         return ChainEnd::Answered;
                     }
@@ -162,14 +162,14 @@
                     };
                     continue;
                 }
-                Some(WorkPlace::Refused { kind, retry_after }) => {
+                Some(WorkPlacement::Refused { kind, retry_after }) => {
                     let refusal = RequestRefusal {
                         kind,
                         retry_after: Some(retry_after),
                     };
                     return refuse(refusal, held);
                 }
-                Some(WorkPlace::Target(target)) => target,
+                Some(WorkPlacement::Target(target)) => target,
             };
             self.meter.placed();
             let _alone = self
