--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -169,7 +169,7 @@
 
     /// Tells all peers and waits until they know, for a bounded time: a caller
     /// that gets its answer after this finds the same knowledge on every host.
-    pub(crate) async fn tell_now(self: &Arc<Self>) {
+    pub(crate) async fn broadcast_now(self: &Arc<Self>) {
         let told = self.tell_all();
         let all = async {
             for peer in told {
--- a/src/controllers/target_controller.rs
+++ b/src/controllers/target_controller.rs
@@ -116,14 +116,14 @@
     ///
     /// Until its next report it gets no work: each request that tries it first
     /// loses time, and a few dead targets in a row would use up its tries.
-    pub(crate) fn note_unreachable(&self, target: &TargetName) {
+    pub(crate) fn mark_unreachable(&self, target: &TargetName) {
         if self.lock().unreachable.insert(target.clone(), ()).is_none() {
             self.apply();
         }
     }
 
     /// Notes that a target itself said that it leaves.
-    pub(crate) fn note_leaving(&self, target: &TargetName) {
+    pub(crate) fn mark_leaving(&self, target: &TargetName) {
         let news = self
             .lock()
             .leaving
@@ -207,7 +207,7 @@
         self.note_report(&target.name, report.is_ok());
         let report = match report {
             Ok(report) => report,
-            Err(ExchangeError::Unreachable) => return self.note_unreachable(&target.name),
+            Err(ExchangeError::Unreachable) => return self.mark_unreachable(&target.name),
             Err(_) => return,
         };
         let age = Duration::from_millis(unix_now().saturating_sub(report.taken_ms));
@@ -218,7 +218,7 @@
         };
         self.work.report(&target.name, load);
         if report.state == TargetState::Leaving {
-            self.note_leaving(&target.name);
+            self.mark_leaving(&target.name);
         } else {
             let mut state = self.lock();
             state
--- a/src/gateway/claim_filter.rs
+++ b/src/gateway/claim_filter.rs
@@ -45,7 +45,7 @@
     let connection = match connection {
         Ok(connection) => connection,
         Err(_) => {
-            run.host.targets.note_unreachable(target);
+            run.host.targets.mark_unreachable(target);
             return ClaimedPlace::NoConnection(claim);
         }
     };
--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -79,7 +79,7 @@
                 note_loss(run, &target);
                 // Guards against a resend that is faster than the next exchange:
                 // a third host would run it and lose a third target.
-                run.host.digests.tell_now().await;
+                run.host.digests.broadcast_now().await;
             }
             count_waste(run, &target, kind);
             fail_slot(run, kind);
@@ -188,7 +188,7 @@
         return Err(ErrorKind::TargetFault);
     }
     if head.headers.contains_key(TARGET_STATE) {
-        run.host.targets.note_leaving(target);
+        run.host.targets.mark_leaving(target);
         return Err(ErrorKind::TargetLeaving);
     }
     Ok(())
