--- a/examples/claim_cost.rs
+++ b/examples/claim_cost.rs
@@ -17,7 +17,7 @@
 use cardamomgw::ids::UnixMillis;
 use cardamomgw::roster::RosterDigest;
 use cardamomgw::roster::RosterPlan;
-use cardamomgw::roster::SeatLife;
+use cardamomgw::roster::SeatIncarnation;
 
 const FOUNDED_MS: UnixMillis = 1_700_000_000_000;
 /// Time for ids to lie after the founding by more than the skew.
@@ -109,9 +109,9 @@
 }
 
 fn open_alone() -> Result<SeatRegister, Box<dyn Error>> {
-    let life = SeatLife {
+    let life = SeatIncarnation {
         started: FOUNDED_MS,
-        incarnation: 7,
+        id: 7,
     };
     let settings = RegisterSettings::default();
     let mut seat = SeatRegister::open("entry-host-00".into(), life, settings);
@@ -144,9 +144,9 @@
     digest.founding = None;
     digest.plan = None;
     for seat in roster(seats)?.seats {
-        let life = SeatLife {
+        let life = SeatIncarnation {
             started: FOUNDED_MS,
-            incarnation: u64::MAX / 3,
+            id: u64::MAX / 3,
         };
         digest.lives.insert(seat.host, life);
     }
--- a/examples/claim_round.rs
+++ b/examples/claim_round.rs
@@ -33,7 +33,7 @@
 use cardamomgw::peers::ReplySender;
 use cardamomgw::roster::RosterPlan;
 use cardamomgw::roster::RosterTag;
-use cardamomgw::roster::SeatLife;
+use cardamomgw::roster::SeatIncarnation;
 use meters::processor_micros;
 use meters::wire_bytes;
 
@@ -128,9 +128,9 @@
 }
 
 fn open_alone() -> Result<SeatRegister, Box<dyn Error>> {
-    let life = SeatLife {
+    let life = SeatIncarnation {
         started: unix_now(),
-        incarnation: 7,
+        id: 7,
     };
     let settings = RegisterSettings::default();
     let mut seat = SeatRegister::open("entry-host-00".into(), life, settings);
--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -35,7 +35,7 @@
 use cardamomgw::policy::TargetDemand;
 use cardamomgw::roster::RosterDigest;
 use cardamomgw::roster::RosterTag;
-use cardamomgw::roster::SeatLife;
+use cardamomgw::roster::SeatIncarnation;
 use meters::processor_micros;
 use meters::wire_bytes;
 
@@ -210,9 +210,9 @@
 /// A host's digest; on a busy one the load and pace of each target change each time.
 fn cell_digest(targets: usize, sequence: u64, busy: bool) -> PeerDigest {
     let turn = if busy { sequence as u32 } else { 0 };
-    let life = SeatLife {
+    let life = SeatIncarnation {
         started: 1_764_000_000_000,
-        incarnation: u64::MAX / 3,
+        id: u64::MAX / 3,
     };
     let tag = Some(RosterTag {
         number: 1,
--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -21,11 +21,11 @@
 //! use cardamomgw::fleet::SeatRoster;
 //! use cardamomgw::ids::RequestId;
 //! use cardamomgw::roster::RosterPlan;
-//! use cardamomgw::roster::SeatLife;
+//! use cardamomgw::roster::SeatIncarnation;
 //!
 //! let seat = serde_json::json!({"host": "e1", "address": "127.0.0.1:1", "availability_zone": "z1"});
 //! let roster: SeatRoster = serde_json::from_value(serde_json::json!({"number": 1, "seats": [seat]}))?;
-//! let life = SeatLife { started: 1_000, incarnation: 7 };
+//! let life = SeatIncarnation { started: 1_000, id: 7 };
 //! let mut register = SeatRegister::open("e1".into(), life, RegisterSettings::default());
 //! register.roster_mut().offer(RosterPlan::new(&roster, None, false), 1_000)?;
 //! let view = Arc::new(register.roster().view().expect("a fleet of one founds itself"));
--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -12,7 +12,7 @@
 use crate::ids::RequestId;
 use crate::ids::UnixMillis;
 use crate::roster::RosterTracker;
-use crate::roster::SeatLife;
+use crate::roster::SeatIncarnation;
 use crate::roster::TrackerSettings;
 use crate::roster::VoiceSpan;
 use crate::sorted::SortedMap;
@@ -67,7 +67,7 @@
 
 impl SeatRegister {
     /// Opens a seat with empty memory and without a voice.
-    pub fn open(host: HostName, life: SeatLife, settings: RegisterSettings) -> Self {
+    pub fn open(host: HostName, life: SeatIncarnation, settings: RegisterSettings) -> Self {
         let tracker = TrackerSettings {
             skew_ms: settings.skew_ms,
             rules: settings.rules,
--- a/src/controllers/tests.rs
+++ b/src/controllers/tests.rs
@@ -30,7 +30,7 @@
 use crate::peers::PeerReply;
 use crate::peers::ReplySender;
 use crate::roster::RosterPlan;
-use crate::roster::SeatLife;
+use crate::roster::SeatIncarnation;
 
 const HOSTS: [&str; 3] = ["a", "b", "c"];
 const LIMIT: Duration = Duration::from_secs(30);
@@ -88,9 +88,9 @@
     let mut registers: Vec<SeatRegister> = (1..)
         .zip(HOSTS)
         .map(|(incarnation, host)| {
-            let life = SeatLife {
+            let life = SeatIncarnation {
                 started: founded,
-                incarnation,
+                id: incarnation,
             };
             SeatRegister::open(host.into(), life, RegisterSettings::default())
         })
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -53,7 +53,7 @@
 use crate::recorder::TraceRecorder;
 use crate::roster::RosterDecision;
 use crate::roster::RosterPlan;
-use crate::roster::SeatLife;
+use crate::roster::SeatIncarnation;
 use crate::settings::HostSettings;
 
 /// What the bodies of all waiting and running requests may take together: 32 MiB,
@@ -274,9 +274,9 @@
     incarnation: IncarnationId,
     mesh: &Arc<PeerMesh>,
 ) -> Arc<ClaimCoordinator> {
-    let life = SeatLife {
+    let life = SeatIncarnation {
         started: unix_now(),
-        incarnation,
+        id: incarnation,
     };
     let limits = FleetLimits::default();
     let register = RegisterSettings {
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -17,13 +17,13 @@
 //! use cardamomgw::fleet::SeatRoster;
 //! use cardamomgw::roster::RosterPlan;
 //! use cardamomgw::roster::RosterTracker;
-//! use cardamomgw::roster::SeatLife;
+//! use cardamomgw::roster::SeatIncarnation;
 //! use cardamomgw::roster::TrackerSettings;
 //!
 //! let seat = serde_json::json!({"host": "e1", "address": "127.0.0.1:1", "availability_zone": "z1"});
 //! let roster: SeatRoster = serde_json::from_value(serde_json::json!({"number": 1, "seats": [seat]}))?;
 //! let plan = RosterPlan::new(&roster, None, false);
-//! let life = SeatLife { started: 1_000, incarnation: 7 };
+//! let life = SeatIncarnation { started: 1_000, id: 7 };
 //! let mut tracker = RosterTracker::new("e1".into(), life, TrackerSettings::default());
 //! tracker.offer(plan, 1_000)?;
 //! assert!(tracker.voice().is_some(), "a fleet of one founds itself");
@@ -40,7 +40,7 @@
 mod roster_refusal;
 mod roster_tracker;
 mod roster_view;
-mod seat_life;
+mod seat_incarnation;
 mod tracker_settings;
 
 pub use founding_block::FoundingBlock;
@@ -54,5 +54,5 @@
 pub use roster_tracker::RosterTracker;
 pub use roster_view::RosterView;
 pub use roster_view::VoiceSpan;
-pub use seat_life::SeatLife;
+pub use seat_incarnation::SeatIncarnation;
 pub use tracker_settings::TrackerSettings;
--- a/src/roster/peer_table.rs
+++ b/src/roster/peer_table.rs
@@ -1,7 +1,7 @@
 //! What the peers told last, and the newest life of each host.
 
 use super::RosterDigest;
-use super::SeatLife;
+use super::SeatIncarnation;
 use crate::ids::HostName;
 use crate::sorted::SortedMap;
 
@@ -9,15 +9,15 @@
 #[derive(Clone, Debug)]
 pub(super) struct PeerTable {
     pub(super) host: HostName,
-    pub(super) life: SeatLife,
-    lives: SortedMap<HostName, SeatLife>,
+    pub(super) life: SeatIncarnation,
+    lives: SortedMap<HostName, SeatIncarnation>,
     digests: SortedMap<HostName, RosterDigest>,
     /// Whether digests of lives known to be over are dropped.
     drops_dead: bool,
 }
 
 impl PeerTable {
-    pub(super) fn new(host: HostName, life: SeatLife, drops_dead: bool) -> Self {
+    pub(super) fn new(host: HostName, life: SeatIncarnation, drops_dead: bool) -> Self {
         let mut lives = SortedMap::new();
         lives.insert(host.clone(), life);
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    pub(super) const fn lives(&self) -> &SortedMap<HostName, SeatLife> {
+    pub(super) const fn lives(&self) -> &SortedMap<HostName, SeatIncarnation> {
         &self.lives
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Takes over all lives that a peer told.
-    pub(super) fn raise_lives(&mut self, told: &SortedMap<HostName, SeatLife>) {
+    pub(super) fn raise_lives(&mut self, told: &SortedMap<HostName, SeatIncarnation>) {
         for (host, life) in told.iter() {
             raise_life(&mut self.lives, host, *life);
         }
@@ -82,7 +82,11 @@
     }
 }
 
-fn raise_life(lives: &mut SortedMap<HostName, SeatLife>, host: &HostName, life: SeatLife) {
+fn raise_life(
+    lives: &mut SortedMap<HostName, SeatIncarnation>,
+    host: &HostName,
+    life: SeatIncarnation,
+) {
     let known = lives.get_or_insert_with(host.clone(), || life);
     *known = life.max(*known);
 }
--- a/src/roster/quorum_check.rs
+++ b/src/roster/quorum_check.rs
@@ -2,7 +2,7 @@
 
 use super::RosterDigest;
 use super::RosterPlan;
-use super::SeatLife;
+use super::SeatIncarnation;
 use super::peer_table::PeerTable;
 use crate::claim::ClaimRules;
 use crate::ids::HostName;
@@ -54,7 +54,7 @@
     plan: &RosterPlan,
     peers: &PeerTable,
     rules: ClaimRules,
-) -> Option<Vec<SortedMap<HostName, SeatLife>>> {
+) -> Option<Vec<SortedMap<HostName, SeatIncarnation>>> {
     let others = plan.seats.iter().filter(|seat| **seat != peers.host);
     let told: Vec<SentDigest> = others
         .filter_map(|seat| Some((seat, peers.get(seat)?)))
@@ -75,7 +75,7 @@
     let silent: Vec<SentDigest> = digests_of(&plan.seats, peers, own)
         .filter(|(_, digest)| !digest.voiced && digest.taken_up == Some(plan.tag))
         .collect();
-    let knows_all = |lives: &SortedMap<HostName, SeatLife>| {
+    let knows_all = |lives: &SortedMap<HostName, SeatIncarnation>| {
         silent
             .iter()
             .all(|(host, digest)| lives.get(*host) == Some(&digest.life))
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -8,7 +8,7 @@
 use super::RosterRefusal;
 use super::RosterTag;
 use super::RosterView;
-use super::SeatLife;
+use super::SeatIncarnation;
 use super::TrackerSettings;
 use super::VoiceSpan;
 use super::known_rosters::KnownRosters;
@@ -36,7 +36,7 @@
 
 impl RosterTracker {
     /// Makes the tracker of a process that just started and knows nothing.
-    pub fn new(host: HostName, life: SeatLife, settings: TrackerSettings) -> Self {
+    pub fn new(host: HostName, life: SeatIncarnation, settings: TrackerSettings) -> Self {
         Self {
             settings,
             rosters: KnownRosters::default(),
--- a/src/roster/seat_life.rs
+++ b/src/roster/seat_incarnation.rs
@@ -11,9 +11,9 @@
 /// A process that starts with its clock set back compares lower than the life
 /// before. Its peers then ignore it and it stays without a voice, which is safe.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct SeatLife {
+pub struct SeatIncarnation {
     /// When the process started, by its own clock.
     pub started: UnixMillis,
     /// Random, drawn once at the start.
-    pub incarnation: IncarnationId,
+    pub id: IncarnationId,
 }
--- a/tests/claim_rules/fixture.rs
+++ b/tests/claim_rules/fixture.rs
@@ -14,7 +14,7 @@
 use cardamomgw::ids::UnixMillis;
 use cardamomgw::roster::RosterPlan;
 use cardamomgw::roster::RosterView;
-use cardamomgw::roster::SeatLife;
+use cardamomgw::roster::SeatIncarnation;
 
 pub(crate) const SKEW_MS: UnixMillis = 10;
 pub(crate) const WINDOW_MS: UnixMillis = 6_400;
@@ -37,9 +37,9 @@
         rules,
     };
     let incarnation = started + u64::from(host.as_bytes()[0]);
-    let life = SeatLife {
+    let life = SeatIncarnation {
         started,
-        incarnation,
+        id: incarnation,
     };
     SeatRegister::open(host.into(), life, settings)
 }
--- a/tests/claim_walks/model/model_host.rs
+++ b/tests/claim_walks/model/model_host.rs
@@ -17,7 +17,7 @@
 use cardamomgw::ids::UnixMillis;
 use cardamomgw::roster::RosterDigest;
 use cardamomgw::roster::RosterView;
-use cardamomgw::roster::SeatLife;
+use cardamomgw::roster::SeatIncarnation;
 
 /// A message between two hosts.
 #[derive(Clone)]
@@ -38,7 +38,7 @@
 pub(crate) struct ModelHost {
     pub(crate) name: HostName,
     pub(crate) seat: SeatRegister,
-    pub(crate) life: SeatLife,
+    pub(crate) life: SeatIncarnation,
     /// How far the host's clock is ahead.
     pub(crate) offset: UnixMillis,
     pub(crate) paused: bool,
@@ -55,9 +55,9 @@
         now: UnixMillis,
     ) -> Self {
         let started = now + offset;
-        let life = SeatLife {
+        let life = SeatIncarnation {
             started,
-            incarnation,
+            id: incarnation,
         };
         Self {
             seat: SeatRegister::open(name.clone(), life, settings),
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -19,7 +19,7 @@
 use cardamomgw::policy::TargetDemand;
 use cardamomgw::policy::TierWait;
 use cardamomgw::roster::RosterDigest;
-use cardamomgw::roster::SeatLife;
+use cardamomgw::roster::SeatIncarnation;
 
 const FIRST_LIFE: u64 = 7;
 
@@ -56,9 +56,9 @@
 }
 
 fn roster(voiced: bool) -> RosterDigest {
-    let life = SeatLife {
+    let life = SeatIncarnation {
         started: 1_764_000_000_000,
-        incarnation: 7,
+        id: 7,
     };
     RosterDigest {
         life,
