--- a/examples/claim_cost.rs
+++ b/examples/claim_cost.rs
@@ -109,12 +109,12 @@
 }
 
 fn open_alone() -> Result<SeatRegister, Box<dyn Error>> {
-    let life = SeatIncarnation {
+    let incarnation = SeatIncarnation {
         started: FOUNDED_MS,
         id: 7,
     };
     let settings = RegisterSettings::default();
-    let mut seat = SeatRegister::open("entry-host-00".into(), life, settings);
+    let mut seat = SeatRegister::open("entry-host-00".into(), incarnation, settings);
     let plan = RosterPlan::new(&roster(1)?, None, false);
     seat.roster_mut().offer(plan, FOUNDED_MS)?;
     Ok(seat)
@@ -144,11 +144,11 @@
     digest.founding = None;
     digest.plan = None;
     for seat in roster(seats)?.seats {
-        let life = SeatIncarnation {
+        let incarnation = SeatIncarnation {
             started: FOUNDED_MS,
             id: u64::MAX / 3,
         };
-        digest.lives.insert(seat.host, life);
+        digest.incarnations.insert(seat.host, incarnation);
     }
     let digest_bytes = bincode::serde::encode_to_vec(&digest, config)?.len();
     println!("{seats} seats: call {call_bytes} B, reply {reply_bytes} B, digest {digest_bytes} B");
--- a/examples/claim_round.rs
+++ b/examples/claim_round.rs
@@ -128,12 +128,12 @@
 }
 
 fn open_alone() -> Result<SeatRegister, Box<dyn Error>> {
-    let life = SeatIncarnation {
+    let incarnation = SeatIncarnation {
         started: unix_now(),
         id: 7,
     };
     let settings = RegisterSettings::default();
-    let mut seat = SeatRegister::open("entry-host-00".into(), life, settings);
+    let mut seat = SeatRegister::open("entry-host-00".into(), incarnation, settings);
     let only = serde_json::json!({
         "host": "entry-host-00",
         "address": "127.0.0.1:1",
--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -210,7 +210,7 @@
 /// A host's digest; on a busy one the load and pace of each target change each time.
 fn cell_digest(targets: usize, sequence: u64, busy: bool) -> PeerDigest {
     let turn = if busy { sequence as u32 } else { 0 };
-    let life = SeatIncarnation {
+    let incarnation = SeatIncarnation {
         started: 1_764_000_000_000,
         id: u64::MAX / 3,
     };
@@ -232,11 +232,13 @@
         version: 17_000,
         digest: [7; 32],
         roster: Some(RosterDigest {
-            life,
+            incarnation,
             voiced: true,
             active: tag,
             taken_up: tag,
-            lives: (0..8).map(|seat| (format!("entry-{seat}"), life)).collect(),
+            incarnations: (0..8)
+                .map(|seat| (format!("entry-{seat}"), incarnation))
+                .collect(),
             founding: None,
             plan: None,
         }),
--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -67,14 +67,14 @@
 
 impl SeatRegister {
     /// Opens a seat with empty memory and without a voice.
-    pub fn open(host: HostName, life: SeatIncarnation, settings: RegisterSettings) -> Self {
+    pub fn open(host: HostName, incarnation: SeatIncarnation, settings: RegisterSettings) -> Self {
         let tracker = TrackerSettings {
             skew_ms: settings.skew_ms,
             rules: settings.rules,
         };
         Self {
             settings,
-            roster: RosterTracker::new(host, life, tracker),
+            roster: RosterTracker::new(host, incarnation, tracker),
             entries: SortedMap::new(),
             holders: SortedMap::new(),
             latest: 0,
--- a/src/controllers/tests.rs
+++ b/src/controllers/tests.rs
@@ -88,11 +88,11 @@
     let mut registers: Vec<SeatRegister> = (1..)
         .zip(HOSTS)
         .map(|(incarnation, host)| {
-            let life = SeatIncarnation {
+            let incarnation = SeatIncarnation {
                 started: founded,
                 id: incarnation,
             };
-            SeatRegister::open(host.into(), life, RegisterSettings::default())
+            SeatRegister::open(host.into(), incarnation, RegisterSettings::default())
         })
         .collect();
     for register in &mut registers {
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -274,7 +274,7 @@
     incarnation: IncarnationId,
     mesh: &Arc<PeerMesh>,
 ) -> Arc<ClaimCoordinator> {
-    let life = SeatIncarnation {
+    let seat_incarnation = SeatIncarnation {
         started: unix_now(),
         id: incarnation,
     };
@@ -284,7 +284,7 @@
         skew_ms: limits.clock_skew_ms,
         ..RegisterSettings::default()
     };
-    let seat = SeatRegister::open(settings.host.clone(), life, register);
+    let seat = SeatRegister::open(settings.host.clone(), seat_incarnation, register);
     ClaimCoordinator::open(settings.host.clone(), incarnation, seat, mesh.clone())
 }
 
--- a/src/roster/peer_table.rs
+++ b/src/roster/peer_table.rs
@@ -9,28 +9,28 @@
 #[derive(Clone, Debug)]
 pub(super) struct PeerTable {
     pub(super) host: HostName,
-    pub(super) life: SeatIncarnation,
-    lives: SortedMap<HostName, SeatIncarnation>,
+    pub(super) incarnation: SeatIncarnation,
+    incarnations: SortedMap<HostName, SeatIncarnation>,
     digests: SortedMap<HostName, RosterDigest>,
     /// Whether digests of lives known to be over are dropped.
     drops_dead: bool,
 }
 
 impl PeerTable {
-    pub(super) fn new(host: HostName, life: SeatIncarnation, drops_dead: bool) -> Self {
-        let mut lives = SortedMap::new();
-        lives.insert(host.clone(), life);
+    pub(super) fn new(host: HostName, incarnation: SeatIncarnation, drops_dead: bool) -> Self {
+        let mut incarnations = SortedMap::new();
+        incarnations.insert(host.clone(), incarnation);
         Self {
             host,
-            life,
-            lives,
+            incarnation,
+            incarnations,
             digests: SortedMap::new(),
             drops_dead,
         }
     }
 
-    pub(super) const fn lives(&self) -> &SortedMap<HostName, SeatIncarnation> {
-        &self.lives
+    pub(super) const fn incarnations(&self) -> &SortedMap<HostName, SeatIncarnation> {
+        &self.incarnations
     }
 
     pub(super) fn get(&self, host: &HostName) -> Option<&RosterDigest> {
@@ -43,24 +43,27 @@
 
     /// Takes a digest, unless a later life of its sender is known.
     pub(super) fn note(&mut self, from: &HostName, digest: RosterDigest) {
-        let known = self.lives.get(from);
-        if self.drops_dead && known.is_some_and(|life| *life > digest.life) {
+        let known = self.incarnations.get(from);
+        if self.drops_dead && known.is_some_and(|incarnation| *incarnation > digest.incarnation) {
             return;
         }
-        raise_life(&mut self.lives, from, digest.life);
-        self.raise_lives(&digest.lives);
+        raise_incarnation(&mut self.incarnations, from, digest.incarnation);
+        self.raise_incarnations(&digest.incarnations);
         self.digests.insert(from.clone(), digest);
         if self.drops_dead {
-            let lives = &self.lives;
-            self.digests
-                .retain(|host, digest| lives.get(host).is_none_or(|life| *life <= digest.life));
+            let incarnations = &self.incarnations;
+            self.digests.retain(|host, digest| {
+                incarnations
+                    .get(host)
+                    .is_none_or(|incarnation| *incarnation <= digest.incarnation)
+            });
         }
     }
 
     /// Takes over all lives that a peer told.
-    pub(super) fn raise_lives(&mut self, told: &SortedMap<HostName, SeatIncarnation>) {
-        for (host, life) in told.iter() {
-            raise_life(&mut self.lives, host, *life);
+    pub(super) fn raise_incarnations(&mut self, told: &SortedMap<HostName, SeatIncarnation>) {
+        for (host, incarnation) in told.iter() {
+            raise_incarnation(&mut self.incarnations, host, *incarnation);
         }
     }
 
@@ -71,22 +74,22 @@
         }
         let own = &self.host;
         let is_kept = |host: &HostName| host == own || hosts.binary_search(host).is_ok();
-        self.lives.retain(|host, _| is_kept(host));
+        self.incarnations.retain(|host, _| is_kept(host));
         self.digests.retain(|host, _| is_kept(host));
     }
 
     /// Tells whether a later process runs under this host's name.
     pub(super) fn is_superseded(&self) -> bool {
-        let newest = self.lives.get(&self.host);
-        newest.is_some_and(|life| *life > self.life)
+        let newest = self.incarnations.get(&self.host);
+        newest.is_some_and(|incarnation| *incarnation > self.incarnation)
     }
 }
 
-fn raise_life(
-    lives: &mut SortedMap<HostName, SeatIncarnation>,
+fn raise_incarnation(
+    incarnations: &mut SortedMap<HostName, SeatIncarnation>,
     host: &HostName,
-    life: SeatIncarnation,
+    incarnation: SeatIncarnation,
 ) {
-    let known = lives.get_or_insert_with(host.clone(), || life);
-    *known = life.max(*known);
+    let known = incarnations.get_or_insert_with(host.clone(), || incarnation);
+    *known = incarnation.max(*known);
 }
--- a/src/roster/quorum_check.rs
+++ b/src/roster/quorum_check.rs
@@ -50,7 +50,7 @@
 /// Guards against a restarted seat that a stale document sends back to an old
 /// roster, while its earlier life voted for a newer one. Where any seat already
 /// took up a newer roster, the process waits and joins that one.
-pub(super) fn lives_to_join(
+pub(super) fn incarnations_to_join(
     plan: &RosterPlan,
     peers: &PeerTable,
     rules: ClaimRules,
@@ -59,12 +59,16 @@
     let told: Vec<SentDigest> = others
         .filter_map(|seat| Some((seat, peers.get(seat)?)))
         .filter(|(_, digest)| digest.voiced && digest.active == Some(plan.tag))
-        .filter(|(_, digest)| digest.lives.get(&peers.host) == Some(&peers.life))
+        .filter(|(_, digest)| digest.incarnations.get(&peers.host) == Some(&peers.incarnation))
         .collect();
     let needed = majority(plan.seats.len()).min(plan.seats.len() - 1);
     let is_clean = !rules.join_waits || told.iter().all(|(_, digest)| digest.taken_up.is_none());
     let joins = needed > 0 && is_clean && agreeing(&told) >= needed;
-    joins.then(|| told.iter().map(|(_, told)| told.lives.clone()).collect())
+    joins.then(|| {
+        told.iter()
+            .map(|(_, told)| told.incarnations.clone())
+            .collect()
+    })
 }
 
 /// Tells whether all seats of `plan` are voiceless at once and know nothing newer.
@@ -75,12 +79,15 @@
     let silent: Vec<SentDigest> = digests_of(&plan.seats, peers, own)
         .filter(|(_, digest)| !digest.voiced && digest.taken_up == Some(plan.tag))
         .collect();
-    let knows_all = |lives: &SortedMap<HostName, SeatIncarnation>| {
+    let knows_all = |incarnations: &SortedMap<HostName, SeatIncarnation>| {
         silent
             .iter()
-            .all(|(host, digest)| lives.get(*host) == Some(&digest.life))
+            .all(|(host, digest)| incarnations.get(*host) == Some(&digest.incarnation))
     };
-    silent.len() == plan.seats.len() && silent.iter().all(|(_, digest)| knows_all(&digest.lives))
+    silent.len() == plan.seats.len()
+        && silent
+            .iter()
+            .all(|(_, digest)| knows_all(&digest.incarnations))
 }
 
 fn digests_of<'a>(
@@ -105,8 +112,8 @@
 fn agreeing(digests: &[SentDigest]) -> usize {
     let is_over = |host: &HostName, digest: &RosterDigest| {
         digests.iter().any(|(_, other)| {
-            let known = other.lives.get(host);
-            known.is_some_and(|life| *life > digest.life)
+            let known = other.incarnations.get(host);
+            known.is_some_and(|incarnation| *incarnation > digest.incarnation)
         })
     };
     digests
--- a/src/roster/roster_digest.rs
+++ b/src/roster/roster_digest.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RosterDigest {
     /// The sender's life.
-    pub life: SeatIncarnation,
+    pub incarnation: SeatIncarnation,
     /// Whether the sender has a voice.
     pub voiced: bool,
     /// The newest roster that the sender knows to be active.
@@ -23,7 +23,7 @@
     /// voice, the newest roster that it knows.
     pub taken_up: Option<RosterTag>,
     /// The newest life of each host that the sender heard of (a crash vector).
-    pub lives: SortedMap<HostName, SeatIncarnation>,
+    pub incarnations: SortedMap<HostName, SeatIncarnation>,
     /// How the active roster was founded; told while one of its seats is voiceless.
     pub founding: Option<FoundingRecord>,
     /// The active roster itself, told while a peer is known to be behind it: the peer
@@ -40,5 +40,5 @@
     /// The founded roster.
     pub roster: RosterTag,
     /// The lives of its seats, in the order of their names.
-    pub lives: Vec<SeatIncarnation>,
+    pub incarnations: Vec<SeatIncarnation>,
 }
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -14,9 +14,9 @@
 use super::known_rosters::KnownRosters;
 use super::offer_judgement::judge_offer;
 use super::peer_table::PeerTable;
+use super::quorum_check::incarnations_to_join;
 use super::quorum_check::is_deserted;
 use super::quorum_check::is_elected;
-use super::quorum_check::lives_to_join;
 use crate::ids::HostName;
 use crate::ids::UnixMillis;
 
@@ -36,14 +36,14 @@
 
 impl RosterTracker {
     /// Makes the tracker of a process that just started and knows nothing.
-    pub fn new(host: HostName, life: SeatIncarnation, settings: TrackerSettings) -> Self {
+    pub fn new(host: HostName, incarnation: SeatIncarnation, settings: TrackerSettings) -> Self {
         Self {
             settings,
             rosters: KnownRosters::default(),
             voice: None,
             former_until: 0,
             founding: None,
-            peers: PeerTable::new(host, life, settings.rules.crash_vector),
+            peers: PeerTable::new(host, incarnation, settings.rules.crash_vector),
         }
     }
 
@@ -92,11 +92,11 @@
             None => self.rosters.newest().map(|plan| plan.tag),
         };
         RosterDigest {
-            life: self.peers.life,
+            incarnation: self.peers.incarnation,
             voiced: self.voice.is_some(),
             active: self.active_tag(),
             taken_up,
-            lives: self.peers.lives().clone(),
+            incarnations: self.peers.incarnations().clone(),
             founding: self.founding_told(),
             plan: self.plan_told(),
         }
@@ -263,12 +263,12 @@
         if !self.settings.rules.restarted_silence {
             return self.gain_voice(now);
         }
-        let Some(told) = lives_to_join(active, &self.peers, self.settings.rules) else {
+        let Some(told) = incarnations_to_join(active, &self.peers, self.settings.rules) else {
             return false;
         };
         // A digest may have come before the roster was known, with its lives unkept.
-        for lives in told {
-            self.peers.raise_lives(&lives);
+        for incarnations in told {
+            self.peers.raise_incarnations(&incarnations);
         }
         self.gain_voice(now)
     }
@@ -289,13 +289,13 @@
         if !is_deserted(&plan, &self.peers, &self.digest()) {
             return false;
         }
-        let lives = plan
+        let incarnations = plan
             .seats
             .iter()
-            .filter_map(|seat| self.peers.lives().get(seat));
+            .filter_map(|seat| self.peers.incarnations().get(seat));
         self.founding = Some(FoundingRecord {
             roster: plan.tag,
-            lives: lives.copied().collect(),
+            incarnations: incarnations.copied().collect(),
         });
         self.rosters.active = Some(plan);
         self.gain_voice(now)
@@ -319,7 +319,7 @@
             .filter_map(|told| told.founding.as_ref());
         let record = told
             .filter(|record| record.roster == newest.tag)
-            .find(|record| record.lives.get(index) == Some(&self.peers.life))
+            .find(|record| record.incarnations.get(index) == Some(&self.peers.incarnation))
             .cloned();
         if record.is_none() {
             return false;
--- a/tests/claim_rules/fixture.rs
+++ b/tests/claim_rules/fixture.rs
@@ -37,11 +37,11 @@
         rules,
     };
     let incarnation = started + u64::from(host.as_bytes()[0]);
-    let life = SeatIncarnation {
+    let incarnation = SeatIncarnation {
         started,
         id: incarnation,
     };
-    SeatRegister::open(host.into(), life, settings)
+    SeatRegister::open(host.into(), incarnation, settings)
 }
 
 /// A seat of a test, with its name.
--- a/tests/claim_walks/model/model_host.rs
+++ b/tests/claim_walks/model/model_host.rs
@@ -38,7 +38,7 @@
 pub(crate) struct ModelHost {
     pub(crate) name: HostName,
     pub(crate) seat: SeatRegister,
-    pub(crate) life: SeatIncarnation,
+    pub(crate) incarnation: SeatIncarnation,
     /// How far the host's clock is ahead.
     pub(crate) offset: UnixMillis,
     pub(crate) paused: bool,
@@ -55,14 +55,14 @@
         now: UnixMillis,
     ) -> Self {
         let started = now + offset;
-        let life = SeatIncarnation {
+        let incarnation = SeatIncarnation {
             started,
             id: incarnation,
         };
         Self {
-            seat: SeatRegister::open(name.clone(), life, settings),
+            seat: SeatRegister::open(name.clone(), incarnation, settings),
             name,
-            life,
+            incarnation,
             offset,
             paused: false,
             rounds: Vec::new(),
@@ -78,7 +78,7 @@
         self.next_round += 1;
         ClaimTicket {
             host: self.name.clone(),
-            incarnation: self.life.incarnation,
+            incarnation: self.incarnation.id,
             round: self.next_round,
             attempt,
         }
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -56,16 +56,16 @@
 }
 
 fn roster(voiced: bool) -> RosterDigest {
-    let life = SeatIncarnation {
+    let incarnation = SeatIncarnation {
         started: 1_764_000_000_000,
         id: 7,
     };
     RosterDigest {
-        life,
+        incarnation,
         voiced,
         active: None,
         taken_up: None,
-        lives: [("a".to_owned(), life)].into_iter().collect(),
+        incarnations: [("a".to_owned(), incarnation)].into_iter().collect(),
         founding: None,
         plan: None,
     }
