--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -233,7 +233,7 @@
         digest: [7; 32],
         roster: Some(RosterDigest {
             incarnation,
-            voiced: true,
+            voting: true,
             active: tag,
             taken_up: tag,
             incarnations: (0..8)
--- a/src/claim/claim_message.rs
+++ b/src/claim/claim_message.rs
@@ -91,7 +91,7 @@
         holder: ClaimTicket,
     },
     /// The seat does not speak for this id, or has no voice yet.
-    NoVoice,
+    NotVoting,
     /// The seat took up a newer roster than the call's.
     RosterOld {
         /// The newest roster that the seat knows.
--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -14,7 +14,7 @@
 use crate::roster::RosterTracker;
 use crate::roster::SeatIncarnation;
 use crate::roster::TrackerSettings;
-use crate::roster::VoiceSpan;
+use crate::roster::VotingRange;
 use crate::sorted::SortedMap;
 
 /// How often a seat looks for entries to forget, as a part of the window.
@@ -128,14 +128,14 @@
     }
 
     /// Returns the span in which the seat speaks, or why it does not for this call.
-    fn check(&self, call: &ClaimCall) -> Result<VoiceSpan, SeatAnswer> {
-        let span = self.roster.voice().ok_or(SeatAnswer::NoVoice)?;
+    fn check(&self, call: &ClaimCall) -> Result<VotingRange, SeatAnswer> {
+        let span = self.roster.voting_range().ok_or(SeatAnswer::NotVoting)?;
         self.check_roster(call)?;
         self.check_window(call.id)?;
         // Guards against lost memory: an earlier life may have granted the id and
         // forgotten it. Whatever it granted is timed before `since`.
         if self.settings.rules.boot_time && call.id.time() <= span.since {
-            return Err(SeatAnswer::NoVoice);
+            return Err(SeatAnswer::NotVoting);
         }
         Ok(span)
     }
@@ -143,11 +143,11 @@
     /// Guards against a majority of an old roster that grants beside the new one:
     /// from taking up the new roster on, this seat answers nothing under the old.
     fn check_roster(&self, call: &ClaimCall) -> Result<(), SeatAnswer> {
-        let newest = self.roster.newest().ok_or(SeatAnswer::NoVoice)?;
+        let newest = self.roster.newest().ok_or(SeatAnswer::NotVoting)?;
         if self.roster.active_tag() == Some(call.roster) && newest == call.roster {
             return match self.roster.speaks_in_active() {
                 true => Ok(()),
-                false => Err(SeatAnswer::NoVoice),
+                false => Err(SeatAnswer::NotVoting),
             };
         }
         if call.roster.number > newest.number {
@@ -168,7 +168,7 @@
         }
     }
 
-    fn apply(&mut self, call: &ClaimCall, span: VoiceSpan) -> SeatAnswer {
+    fn apply(&mut self, call: &ClaimCall, span: VotingRange) -> SeatAnswer {
         let ticket = &call.ticket;
         let entry = self
             .entries
@@ -185,7 +185,7 @@
         self.answer(call, entry, span)
     }
 
-    fn answer(&self, call: &ClaimCall, entry: RegisterEntry, span: VoiceSpan) -> SeatAnswer {
+    fn answer(&self, call: &ClaimCall, entry: RegisterEntry, span: VotingRange) -> SeatAnswer {
         let old = call.id.time() <= span.former_until;
         let needs_former = old && self.settings.rules.two_rosters;
         let through = entry.barred_through();
--- a/src/controllers/claim_coordinator.rs
+++ b/src/controllers/claim_coordinator.rs
@@ -311,7 +311,7 @@
             .seats
             .iter()
             .filter(|seat| **seat == self.host || connected.binary_search(seat).is_ok())
-            .filter(|seat| roster.is_voiced(seat))
+            .filter(|seat| roster.is_voting(seat))
             .count();
         speaking * 2 > view.seats.len()
     }
--- a/src/operators/host_status.rs
+++ b/src/operators/host_status.rs
@@ -100,7 +100,7 @@
     RosterStatus {
         active: roster.active_tag().map(|tag| tag.number),
         newest: roster.newest().map(|tag| tag.number),
-        voiced: roster.voice().is_some(),
+        voiced: roster.voting_range().is_some(),
         remembered_claims: register.remembered(),
     }
 }
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -26,7 +26,7 @@
 //! let life = SeatIncarnation { started: 1_000, id: 7 };
 //! let mut tracker = RosterTracker::new("e1".into(), life, TrackerSettings::default());
 //! tracker.offer(plan, 1_000)?;
-//! assert!(tracker.voice().is_some(), "a fleet of one founds itself");
+//! assert!(tracker.voting_range().is_some(), "a fleet of one founds itself");
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
@@ -53,6 +53,6 @@
 pub use roster_refusal::RosterRefusal;
 pub use roster_tracker::RosterTracker;
 pub use roster_view::RosterView;
-pub use roster_view::VoiceSpan;
+pub use roster_view::VotingRange;
 pub use seat_incarnation::SeatIncarnation;
 pub use tracker_settings::TrackerSettings;
--- a/src/roster/offer_judgement.rs
+++ b/src/roster/offer_judgement.rs
@@ -7,14 +7,14 @@
 use super::quorum_check::majority;
 use crate::ids::RosterNumber;
 
-/// Judges the roster of a document; `voiced` tells whether this process speaks.
+/// Judges the roster of a document; `voting` tells whether this process speaks.
 ///
 /// # Errors
 /// The refusal, when the roster can't follow the one that is active here.
 pub(super) fn judge_offer(
     rosters: &KnownRosters,
     plan: &RosterPlan,
-    voiced: bool,
+    voting: bool,
 ) -> Result<RosterDecision, RosterRefusal> {
     let seats = plan.seats.len();
     if seats == 0 {
@@ -29,7 +29,7 @@
         return Err(RosterRefusal::TooManyNewSeats { continuing, seats });
     }
     match &rosters.active {
-        Some(active) => judge_after(rosters, active.tag.number, plan, voiced),
+        Some(active) => judge_after(rosters, active.tag.number, plan, voting),
         None => judge_first(rosters, plan),
     }
 }
@@ -44,14 +44,14 @@
     rosters: &KnownRosters,
     active: RosterNumber,
     plan: &RosterPlan,
-    voiced: bool,
+    voting: bool,
 ) -> Result<RosterDecision, RosterRefusal> {
     let binding = rosters.binding_tag().map_or(0, |tag| tag.number);
     check_number(plan, binding + 1)?;
     let Some(former) = plan.former_tag() else {
         // Without a voice the operator's word stands: nobody is contradicted, and
         // the roster is founded only if none of its seats has a voice.
-        return match voiced {
+        return match voting {
             true => Err(RosterRefusal::AlreadyFounded { active }),
             false => Ok(RosterDecision::Accepted),
         };
--- a/src/roster/quorum_check.rs
+++ b/src/roster/quorum_check.rs
@@ -31,7 +31,7 @@
         return false;
     };
     let is_vote = |digest: &RosterDigest| {
-        let took_up = digest.voiced && digest.taken_up == Some(plan.tag);
+        let took_up = digest.voting && digest.taken_up == Some(plan.tag);
         took_up && (digest.active == Some(*former) || !rules.knew_former_active)
     };
     let votes: Vec<SentDigest> = digests_of(seats, peers, own)
@@ -58,7 +58,7 @@
     let others = plan.seats.iter().filter(|seat| **seat != peers.host);
     let told: Vec<SentDigest> = others
         .filter_map(|seat| Some((seat, peers.get(seat)?)))
-        .filter(|(_, digest)| digest.voiced && digest.active == Some(plan.tag))
+        .filter(|(_, digest)| digest.voting && digest.active == Some(plan.tag))
         .filter(|(_, digest)| digest.incarnations.get(&peers.host) == Some(&peers.incarnation))
         .collect();
     let needed = majority(plan.seats.len()).min(plan.seats.len() - 1);
@@ -77,7 +77,7 @@
 /// running, and voiceless, at one moment.
 pub(super) fn is_deserted(plan: &RosterPlan, peers: &PeerTable, own: &RosterDigest) -> bool {
     let silent: Vec<SentDigest> = digests_of(&plan.seats, peers, own)
-        .filter(|(_, digest)| !digest.voiced && digest.taken_up == Some(plan.tag))
+        .filter(|(_, digest)| !digest.voting && digest.taken_up == Some(plan.tag))
         .collect();
     let knows_all = |incarnations: &SortedMap<HostName, SeatIncarnation>| {
         silent
--- a/src/roster/roster_digest.rs
+++ b/src/roster/roster_digest.rs
@@ -16,7 +16,7 @@
     /// The sender's life.
     pub incarnation: SeatIncarnation,
     /// Whether the sender has a voice.
-    pub voiced: bool,
+    pub voting: bool,
     /// The newest roster that the sender knows to be active.
     pub active: Option<RosterTag>,
     /// The successor of `active` that the sender took up; for a sender without a
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -10,7 +10,7 @@
 use super::RosterView;
 use super::SeatIncarnation;
 use super::TrackerSettings;
-use super::VoiceSpan;
+use super::VotingRange;
 use super::known_rosters::KnownRosters;
 use super::offer_judgement::judge_offer;
 use super::peer_table::PeerTable;
@@ -26,7 +26,7 @@
     settings: TrackerSettings,
     rosters: KnownRosters,
     /// For which ids this process speaks; a restarted process speaks for none.
-    voice: Option<VoiceSpan>,
+    voting_range: Option<VotingRange>,
     /// Ids timed up to here may have been granted under the former roster.
     former_until: UnixMillis,
     /// How this process gained its voice, when that was by founding.
@@ -40,7 +40,7 @@
         Self {
             settings,
             rosters: KnownRosters::default(),
-            voice: None,
+            voting_range: None,
             former_until: 0,
             founding: None,
             peers: PeerTable::new(host, incarnation, settings.rules.crash_vector),
@@ -62,7 +62,7 @@
         plan: RosterPlan,
         now: UnixMillis,
     ) -> Result<RosterDecision, RosterRefusal> {
-        let verdict = judge_offer(&self.rosters, &plan, self.voice.is_some())?;
+        let verdict = judge_offer(&self.rosters, &plan, self.voting_range.is_some())?;
         match verdict {
             RosterDecision::Unchanged => self.rosters.fill_former(&plan),
             RosterDecision::Accepted | RosterDecision::Waiting => self.rosters.offered = Some(plan),
@@ -78,7 +78,7 @@
         self.peers.note(from, digest);
         // Two processes under one name: the later one is the seat.
         if self.peers.is_superseded() {
-            self.voice = None;
+            self.voting_range = None;
         }
         self.step(now);
         self.peers.keep_hosts(&self.rosters.hosts());
@@ -87,13 +87,13 @@
 
     /// Returns what this process tells its peers.
     pub fn digest(&self) -> RosterDigest {
-        let taken_up = match self.voice {
+        let taken_up = match self.voting_range {
             Some(_) => self.rosters.taken_up_tag(),
             None => self.rosters.newest().map(|plan| plan.tag),
         };
         RosterDigest {
             incarnation: self.peers.incarnation,
-            voiced: self.voice.is_some(),
+            voting: self.voting_range.is_some(),
             active: self.active_tag(),
             taken_up,
             incarnations: self.peers.incarnations().clone(),
@@ -103,15 +103,15 @@
     }
 
     /// Returns for which ids this process speaks; `None` while it has no voice.
-    pub const fn voice(&self) -> Option<VoiceSpan> {
-        self.voice
+    pub const fn voting_range(&self) -> Option<VotingRange> {
+        self.voting_range
     }
 
     /// Tells whether a host had a voice when it was last heard.
-    pub fn is_voiced(&self, host: &HostName) -> bool {
+    pub fn is_voting(&self, host: &HostName) -> bool {
         match *host == self.peers.host {
-            true => self.voice.is_some(),
-            false => self.peers.get(host).is_some_and(|digest| digest.voiced),
+            true => self.voting_range.is_some(),
+            false => self.peers.get(host).is_some_and(|digest| digest.voting),
         }
     }
 
@@ -156,10 +156,10 @@
     pub fn founding_block(&self) -> Option<FoundingBlock> {
         let active = self.rosters.active.as_ref()?;
         let waiting = self.rosters.newest()?;
-        if self.voice.is_some() || !waiting.founds || waiting.tag == active.tag {
+        if self.voting_range.is_some() || !waiting.founds || waiting.tag == active.tag {
             return None;
         }
-        let seats = waiting.seats.iter().filter(|host| self.is_voiced(host));
+        let seats = waiting.seats.iter().filter(|host| self.is_voting(host));
         let hosts: Vec<HostName> = seats.cloned().collect();
         let block = FoundingBlock {
             roster: waiting.tag.number,
@@ -220,7 +220,7 @@
         let active = self.rosters.active.as_ref();
         let continuing =
             active.is_some_and(|old| Some(old.tag) == plan.former_tag() && old.has_seat(host));
-        if let Some(span) = &mut self.voice {
+        if let Some(span) = &mut self.voting_range {
             // Ids of the roster before the former one may be known to seats that
             // are asked no more, so the memory of them is worth nothing now.
             span.since = match continuing {
@@ -245,7 +245,7 @@
             && offered.former.is_some()
             && self.newest().is_some_and(|tag| tag < offered.tag);
         let newer = offered.tag.number > active.number;
-        if self.voice.is_none() || !newer || !(follows || skips) {
+        if self.voting_range.is_none() || !newer || !(follows || skips) {
             return false;
         }
         self.rosters.taken_up = Some(offered.clone());
@@ -329,13 +329,13 @@
     }
 
     fn may_not_gain(&self) -> bool {
-        self.voice.is_some() || self.peers.is_superseded()
+        self.voting_range.is_some() || self.peers.is_superseded()
     }
 
     fn gain_voice(&mut self, now: UnixMillis) -> bool {
         let since = self.settings.bound(now);
         let former_until = 0;
-        self.voice = Some(VoiceSpan {
+        self.voting_range = Some(VotingRange {
             since,
             former_until,
         });
@@ -346,9 +346,9 @@
     fn founding_told(&self) -> Option<FoundingRecord> {
         let active = self.rosters.active.as_ref()?;
         let record = self.founding.as_ref()?;
-        let is_voiced = |seat: &HostName| self.peers.get(seat).is_some_and(|told| told.voiced);
+        let is_voting = |seat: &HostName| self.peers.get(seat).is_some_and(|told| told.voting);
         let mut others = active.seats.iter().filter(|seat| **seat != self.peers.host);
-        let needed = record.roster == active.tag && !others.all(is_voiced);
+        let needed = record.roster == active.tag && !others.all(is_voting);
         needed.then(|| record.clone())
     }
 
--- a/src/roster/roster_view.rs
+++ b/src/roster/roster_view.rs
@@ -19,7 +19,7 @@
 
 /// For which ids a seat speaks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct VoiceSpan {
+pub struct VotingRange {
     /// The seat speaks for ids timed later than this.
     pub since: UnixMillis,
     /// Ids timed up to here need a majority of the former roster as well.
--- a/tests/claim_rules/fixture.rs
+++ b/tests/claim_rules/fixture.rs
@@ -69,8 +69,8 @@
         Arc::new(self.seat.roster().view().expect("an active roster"))
     }
 
-    pub(crate) fn is_voiced(&self) -> bool {
-        self.seat.roster().voice().is_some()
+    pub(crate) fn is_voting(&self) -> bool {
+        self.seat.roster().voting_range().is_some()
     }
 
     pub(crate) fn active(&self) -> u64 {
--- a/tests/claim_rules/register.rs
+++ b/tests/claim_rules/register.rs
@@ -200,7 +200,7 @@
     ] {
         assert_eq!(
             call(&mut b, bound, operation, bound).answer,
-            SeatAnswer::NoVoice
+            SeatAnswer::NotVoting
         );
     }
     let newer = call(&mut b, bound + 1, ClaimOperation::Claim, bound).answer;
--- a/tests/claim_rules/rosters.rs
+++ b/tests/claim_rules/rosters.rs
@@ -29,9 +29,9 @@
         seat.offer(&first, 100);
     }
     exchange(&mut [&mut a, &mut b], 100);
-    assert!(!a.is_voiced() && !b.is_voiced());
+    assert!(!a.is_voting() && !b.is_voting());
     exchange(&mut [&mut a, &mut b, &mut c], 101);
-    assert!(a.is_voiced() && b.is_voiced() && c.is_voiced());
+    assert!(a.is_voting() && b.is_voting() && c.is_voting());
 }
 
 #[test]
@@ -110,7 +110,7 @@
         seats.remove(0);
         now += 1_000;
     }
-    assert!(seats.iter().all(TestSeat::is_voiced));
+    assert!(seats.iter().all(TestSeat::is_voting));
 }
 
 /// A caller's id is granted by c, d and e while a and b are cut off. The operators
@@ -222,7 +222,7 @@
         seat.offer(&next, 1_000);
     }
     exchange(&mut [&mut a, &mut b, &mut d], 1_000);
-    assert!(d.is_voiced());
+    assert!(d.is_voting());
     b = open("b", 2_000, rules);
     b.offer(&first, 2_000);
     exchange(&mut [&mut b, &mut c], 2_000);
@@ -255,7 +255,7 @@
     a = open("a", 2_000, rules);
     a.offer(&first, 2_000);
     exchange(&mut [&mut a, &mut b, &mut c], 2_000);
-    assert!(a.is_voiced());
+    assert!(a.is_voting());
     b.seat.roster_mut().learn(&a.name, late_vote, 2_001);
     b.offer(&next, 2_002);
     let request = id(2_100, 0);
@@ -306,7 +306,7 @@
     a.offer(&first, 2_000);
     b.offer(&first, 2_000);
     exchange(&mut [&mut a, &mut b, &mut c], 2_000);
-    assert!(!a.is_voiced() && !b.is_voiced());
+    assert!(!a.is_voting() && !b.is_voting());
     // The operator's word: the two that are left found a fleet of their own.
     let word = RosterPlan::new(
         &roster(2, &["a", "b"]),
@@ -316,7 +316,7 @@
     a.offer(&word, 2_001);
     b.offer(&word, 2_001);
     exchange(&mut [&mut a, &mut b], 2_001);
-    assert!(a.is_voiced() && b.is_voiced());
+    assert!(a.is_voting() && b.is_voting());
 }
 
 /// A host sleeps through two roster changes and wakes: it is told the newest one
@@ -336,7 +336,7 @@
     assert_eq!(d.active(), 1);
     tell(&a, &mut d, 2_000);
     assert_eq!(d.active(), 3);
-    assert_eq!(d.seat.roster().voice().unwrap().since, 2_020);
+    assert_eq!(d.seat.roster().voting_range().unwrap().since, 2_020);
 }
 
 /// Seats s and a make roster 2 active and vote for roster 3; a counts both votes.
@@ -384,11 +384,11 @@
 fn a_new_seat_does_not_found_a_roster_that_never_became_active() {
     let mut d = open("d", 1_000, ALL());
     d.offer(&plan(5, &["d"], Some(&["a", "d", "e"])), 1_000);
-    assert!(!d.is_voiced());
+    assert!(!d.is_voting());
     // The operators' word that nothing older is in use.
     let word = RosterPlan::new(&roster(5, &["d"]), None, false);
     d.offer(&word, 1_001);
-    assert!(d.is_voiced());
+    assert!(d.is_voting());
 }
 
 /// Two operators edit at once; both documents replace roster 1, and some hosts read
@@ -438,12 +438,12 @@
         seat.offer(&next, 2_000);
     }
     exchange(&mut [&mut a, &mut b, &mut d], 2_000);
-    assert!(!a.is_voiced() && !b.is_voiced() && !d.is_voiced());
+    assert!(!a.is_voting() && !b.is_voting() && !d.is_voting());
     for seat in [&mut a, &mut b, &mut d] {
         seat.offer(&word, 3_000);
     }
     exchange(&mut [&mut a, &mut b, &mut d], 3_000);
-    assert!(a.is_voiced() && b.is_voiced() && d.is_voiced());
+    assert!(a.is_voting() && b.is_voting() && d.is_voting());
 }
 
 /// Two of three hosts are lost. The operators say `former_lost` and give c, which
@@ -470,6 +470,6 @@
     assert!(refusal.to_string().ends_with("stop this host"), "{refusal}");
     let text = block.map(|block| block.to_string()).unwrap_or_default();
     assert!(text.ends_with("stop or restart: c"), "{text}");
-    assert!(c.is_voiced() && d.is_voiced());
+    assert!(c.is_voting() && d.is_voting());
     assert_eq!(d.seat.roster().founding_block(), None);
 }
--- a/tests/claim_walks/model/model_operators.rs
+++ b/tests/claim_walks/model/model_operators.rs
@@ -97,11 +97,11 @@
     pub(super) fn restart_host(&mut self, name: &HostName) {
         let founders = self.rosters[0].seats.iter().map(|seat| &seat.host);
         let mut others = founders.filter(|host| *host != name);
-        let is_voiced = |host: &HostName| {
+        let is_voting = |host: &HostName| {
             let host = self.hosts.get(host);
-            host.is_some_and(|host| host.seat.roster().voice().is_some())
+            host.is_some_and(|host| host.seat.roster().voting_range().is_some())
         };
-        if self.rosters.len() > 1 && !others.any(is_voiced) {
+        if self.rosters.len() > 1 && !others.any(is_voting) {
             return;
         }
         self.counts.restarts += 1;
--- a/tests/claim_walks/model/model_world.rs
+++ b/tests/claim_walks/model/model_world.rs
@@ -101,7 +101,7 @@
                 let tracker = self.hosts.get(host).map(|host| host.seat.roster());
                 tracker.is_some_and(|tracker| {
                     let binding = tracker.newest().map(|tag| tag.number);
-                    tracker.voice().is_some() && binding == Some(roster.number)
+                    tracker.voting_range().is_some() && binding == Some(roster.number)
                 })
             };
             let answering = roster.seats.iter().filter(|seat| answers(&seat.host));
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -55,14 +55,14 @@
     }
 }
 
-fn roster(voiced: bool) -> RosterDigest {
+fn roster(voting: bool) -> RosterDigest {
     let incarnation = SeatIncarnation {
         started: 1_764_000_000_000,
         id: 7,
     };
     RosterDigest {
         incarnation,
-        voiced,
+        voting,
         active: None,
         taken_up: None,
         incarnations: [("a".to_owned(), incarnation)].into_iter().collect(),
