--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -235,7 +235,7 @@
             incarnation,
             voting: true,
             active: tag,
-            taken_up: tag,
+            adopted: tag,
             incarnations: (0..8)
                 .map(|seat| (format!("entry-{seat}"), incarnation))
                 .collect(),
--- a/src/roster/known_rosters.rs
+++ b/src/roster/known_rosters.rs
@@ -10,7 +10,7 @@
     /// The newest roster that is known to be active.
     pub(super) active: Option<RosterPlan>,
     /// The direct successor of `active` that this process took up.
-    pub(super) taken_up: Option<RosterPlan>,
+    pub(super) adopted: Option<RosterPlan>,
     /// The newest roster that a document offered.
     pub(super) offered: Option<RosterPlan>,
 }
@@ -20,13 +20,13 @@
         self.active.as_ref().map(|plan| plan.tag)
     }
 
-    pub(super) fn taken_up_tag(&self) -> Option<RosterTag> {
-        self.taken_up.as_ref().map(|plan| plan.tag)
+    pub(super) fn adopted_tag(&self) -> Option<RosterTag> {
+        self.adopted.as_ref().map(|plan| plan.tag)
     }
 
     /// Returns the roster that was taken up, or else the active one.
     pub(super) fn binding_tag(&self) -> Option<RosterTag> {
-        self.taken_up_tag().or(self.active_tag())
+        self.adopted_tag().or(self.active_tag())
     }
 
     /// Returns the newest roster, whether or not it may be taken up.
@@ -57,7 +57,7 @@
 
     /// Adds what a document says of the former roster to a plan that lacks it.
     pub(super) fn fill_former(&mut self, plan: &RosterPlan) {
-        let known = [&mut self.active, &mut self.taken_up];
+        let known = [&mut self.active, &mut self.adopted];
         for known in known.into_iter().flatten() {
             if known.tag == plan.tag && known.former.is_none() {
                 known.former.clone_from(&plan.former);
@@ -66,7 +66,7 @@
     }
 
     fn plans(&self) -> impl Iterator<Item = &RosterPlan> {
-        let plans = [&self.active, &self.taken_up, &self.offered];
+        let plans = [&self.active, &self.adopted, &self.offered];
         plans.into_iter().flatten()
     }
 }
--- a/src/roster/offer_judgement.rs
+++ b/src/roster/offer_judgement.rs
@@ -21,7 +21,7 @@
         return Err(RosterRefusal::NoSeats);
     }
     let tag = Some(plan.tag);
-    if rosters.active_tag() == tag || rosters.taken_up_tag() == tag {
+    if rosters.active_tag() == tag || rosters.adopted_tag() == tag {
         return Ok(RosterDecision::Unchanged);
     }
     let continuing = plan.continuing();
@@ -56,14 +56,14 @@
             false => Ok(RosterDecision::Accepted),
         };
     };
-    if Some(former) == rosters.taken_up_tag() {
+    if Some(former) == rosters.adopted_tag() {
         return Ok(RosterDecision::Accepted);
     }
     if Some(former) == rosters.active_tag() {
-        return match rosters.taken_up_tag() {
+        return match rosters.adopted_tag() {
             None => Ok(RosterDecision::Accepted),
             Some(tag) => Err(RosterRefusal::OtherSuccessor {
-                taken_up: tag.number,
+                adopted: tag.number,
             }),
         };
     }
--- a/src/roster/quorum_check.rs
+++ b/src/roster/quorum_check.rs
@@ -31,7 +31,7 @@
         return false;
     };
     let is_vote = |digest: &RosterDigest| {
-        let took_up = digest.voting && digest.taken_up == Some(plan.tag);
+        let took_up = digest.voting && digest.adopted == Some(plan.tag);
         took_up && (digest.active == Some(*former) || !rules.knew_former_active)
     };
     let votes: Vec<SentDigest> = digests_of(seats, peers, own)
@@ -62,7 +62,7 @@
         .filter(|(_, digest)| digest.incarnations.get(&peers.host) == Some(&peers.incarnation))
         .collect();
     let needed = majority(plan.seats.len()).min(plan.seats.len() - 1);
-    let is_clean = !rules.join_waits || told.iter().all(|(_, digest)| digest.taken_up.is_none());
+    let is_clean = !rules.join_waits || told.iter().all(|(_, digest)| digest.adopted.is_none());
     let joins = needed > 0 && is_clean && agreeing(&told) >= needed;
     joins.then(|| {
         told.iter()
@@ -77,7 +77,7 @@
 /// running, and voiceless, at one moment.
 pub(super) fn is_deserted(plan: &RosterPlan, peers: &PeerTable, own: &RosterDigest) -> bool {
     let silent: Vec<SentDigest> = digests_of(&plan.seats, peers, own)
-        .filter(|(_, digest)| !digest.voting && digest.taken_up == Some(plan.tag))
+        .filter(|(_, digest)| !digest.voting && digest.adopted == Some(plan.tag))
         .collect();
     let knows_all = |incarnations: &SortedMap<HostName, SeatIncarnation>| {
         silent
--- a/src/roster/roster_digest.rs
+++ b/src/roster/roster_digest.rs
@@ -21,7 +21,7 @@
     pub active: Option<RosterTag>,
     /// The successor of `active` that the sender took up; for a sender without a
     /// voice, the newest roster that it knows.
-    pub taken_up: Option<RosterTag>,
+    pub adopted: Option<RosterTag>,
     /// The newest life of each host that the sender heard of (a crash vector).
     pub incarnations: SortedMap<HostName, SeatIncarnation>,
     /// How the active roster was founded; told while one of its seats is voiceless.
--- a/src/roster/roster_refusal.rs
+++ b/src/roster/roster_refusal.rs
@@ -61,9 +61,9 @@
         seats: usize,
     },
     /// The process already took up another successor of the same roster.
-    #[display("roster {taken_up} already replaces the active roster")]
+    #[display("roster {adopted} already replaces the active roster")]
     OtherSuccessor {
         /// The number of the successor that was taken up.
-        taken_up: RosterNumber,
+        adopted: RosterNumber,
     },
 }
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -87,15 +87,15 @@
 
     /// Returns what this process tells its peers.
     pub fn digest(&self) -> RosterDigest {
-        let taken_up = match self.voting_range {
-            Some(_) => self.rosters.taken_up_tag(),
+        let adopted = match self.voting_range {
+            Some(_) => self.rosters.adopted_tag(),
             None => self.rosters.newest().map(|plan| plan.tag),
         };
         RosterDigest {
             incarnation: self.peers.incarnation,
             voting: self.voting_range.is_some(),
             active: self.active_tag(),
-            taken_up,
+            adopted,
             incarnations: self.peers.incarnations().clone(),
             founding: self.founding_told(),
             plan: self.plan_told(),
@@ -201,7 +201,7 @@
             return false;
         };
         let own = self.digest();
-        let plans = [&self.rosters.taken_up, &self.rosters.offered];
+        let plans = [&self.rosters.adopted, &self.rosters.offered];
         let won = plans
             .into_iter()
             .flatten()
@@ -230,7 +230,7 @@
             span.former_until = until;
         }
         self.former_until = until;
-        self.rosters.taken_up = None;
+        self.rosters.adopted = None;
         self.rosters.active = Some(plan);
         true
     }
@@ -240,7 +240,7 @@
         let (Some(active), Some(offered)) = (self.active_tag(), &self.rosters.offered) else {
             return false;
         };
-        let follows = offered.former_tag() == Some(active) && self.rosters.taken_up.is_none();
+        let follows = offered.former_tag() == Some(active) && self.rosters.adopted.is_none();
         let skips = !self.settings.rules.knew_former_active
             && offered.former.is_some()
             && self.newest().is_some_and(|tag| tag < offered.tag);
@@ -248,7 +248,7 @@
         if self.voting_range.is_none() || !newer || !(follows || skips) {
             return false;
         }
-        self.rosters.taken_up = Some(offered.clone());
+        self.rosters.adopted = Some(offered.clone());
         true
     }
 
--- a/tests/claim_rules/rosters.rs
+++ b/tests/claim_rules/rosters.rs
@@ -72,7 +72,7 @@
     );
     assert_eq!(
         offer(other),
-        Err(RosterRefusal::OtherSuccessor { taken_up: 2 })
+        Err(RosterRefusal::OtherSuccessor { adopted: 2 })
     );
     let on_the_way = plan(3, &["a", "d"], Some(&["a", "b", "d"]));
     assert_eq!(offer(on_the_way), Ok(RosterDecision::Accepted));
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -64,7 +64,7 @@
         incarnation,
         voting,
         active: None,
-        taken_up: None,
+        adopted: None,
         incarnations: [("a".to_owned(), incarnation)].into_iter().collect(),
         founding: None,
         plan: None,
