--- a/examples/claim_cost.rs
+++ b/examples/claim_cost.rs
@@ -141,7 +141,7 @@
     let reply = seat.handle(call, FOUNDED_MS + SETTLED_MS);
     let reply_bytes = bincode::serde::encode_to_vec(&reply, config)?.len();
     let mut digest: RosterDigest = seat.roster().digest();
-    digest.founding = None;
+    digest.bootstrap = None;
     digest.plan = None;
     for seat in roster(seats)?.seats {
         let incarnation = SeatIncarnation {
--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -239,7 +239,7 @@
             incarnations: (0..8)
                 .map(|seat| (format!("entry-{seat}"), incarnation))
                 .collect(),
-            founding: None,
+            bootstrap: None,
             plan: None,
         }),
         policy: Some(HostDigest {
--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -28,7 +28,7 @@
 //! let life = SeatIncarnation { started: 1_000, id: 7 };
 //! let mut register = SeatRegister::open("e1".into(), life, RegisterSettings::default());
 //! register.roster_mut().offer(RosterPlan::new(&roster, None, false), 1_000)?;
-//! let view = Arc::new(register.roster().view().expect("a fleet of one founds itself"));
+//! let view = Arc::new(register.roster().view().expect("a fleet of one bootstraps itself"));
 //!
 //! let ticket = ClaimTicket { host: "e1".into(), incarnation: 7, round: 1, attempt: 1 };
 //! let mut round = ClaimRound::begin(RequestId::generate(9_000), ticket, view);
--- a/src/gateway/host_state.rs
+++ b/src/gateway/host_state.rs
@@ -79,7 +79,7 @@
         if self.claims.has_majority() {
             return None;
         }
-        let block = self.claims.register().roster().founding_block();
+        let block = self.claims.register().roster().bootstrap_block();
         Some(match block {
             Some(block) => block.to_string(),
             None => "no majority of seats with a voice is connected".to_string(),
--- a/src/roster/founding_block.rs
+++ b/src/roster/bootstrap_block.rs
@@ -17,7 +17,7 @@
      if that roster is lost, stop or restart: {}",
     hosts.join(", ")
 )]
-pub struct FoundingBlock {
+pub struct BootstrapBlock {
     /// The roster that waits.
     pub roster: RosterNumber,
     /// The roster that is still active.
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -26,11 +26,11 @@
 //! let life = SeatIncarnation { started: 1_000, id: 7 };
 //! let mut tracker = RosterTracker::new("e1".into(), life, TrackerSettings::default());
 //! tracker.offer(plan, 1_000)?;
-//! assert!(tracker.voting_range().is_some(), "a fleet of one founds itself");
+//! assert!(tracker.voting_range().is_some(), "a fleet of one bootstraps itself");
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod founding_block;
+mod bootstrap_block;
 mod known_rosters;
 mod offer_judgement;
 mod peer_table;
@@ -43,9 +43,9 @@
 mod seat_incarnation;
 mod tracker_settings;
 
-pub use founding_block::FoundingBlock;
+pub use bootstrap_block::BootstrapBlock;
 pub(crate) use quorum_check::majority;
-pub use roster_digest::FoundingRecord;
+pub use roster_digest::BootstrapRecord;
 pub use roster_digest::RosterDigest;
 pub use roster_plan::RosterPlan;
 pub use roster_plan::RosterTag;
--- a/src/roster/roster_digest.rs
+++ b/src/roster/roster_digest.rs
@@ -25,7 +25,7 @@
     /// The newest life of each host that the sender heard of (a crash vector).
     pub incarnations: SortedMap<HostName, SeatIncarnation>,
     /// How the active roster was founded; told while one of its seats is voiceless.
-    pub founding: Option<FoundingRecord>,
+    pub bootstrap: Option<BootstrapRecord>,
     /// The active roster itself, told while a peer is known to be behind it: the peer
     /// may have skipped its document, or taken up another one.
     pub plan: Option<RosterPlan>,
@@ -36,7 +36,7 @@
 /// The first seat that sees it has a voice, and the others can't see it any more;
 /// a seat whose life stands here takes the record in place of its own look.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct FoundingRecord {
+pub struct BootstrapRecord {
     /// The founded roster.
     pub roster: RosterTag,
     /// The lives of its seats, in the order of their names.
--- a/src/roster/roster_plan.rs
+++ b/src/roster/roster_plan.rs
@@ -31,7 +31,7 @@
     pub former: Option<(RosterTag, Vec<HostName>)>,
     /// Whether a document said that nothing is replaced, or that the former roster
     /// is lost: the operator's word that no older roster is in use.
-    pub founds: bool,
+    pub bootstraps: bool,
 }
 
 impl RosterPlan {
@@ -40,12 +40,12 @@
     pub fn new(roster: &SeatRoster, former: Option<&SeatRoster>, former_lost: bool) -> Self {
         let (tag, seats) = tag_of(roster);
         let former = former.filter(|_| !former_lost).map(tag_of);
-        let founds = former.is_none();
+        let bootstraps = former.is_none();
         Self {
             tag,
             seats,
             former,
-            founds,
+            bootstraps,
         }
     }
 
@@ -87,7 +87,7 @@
             tag,
             seats,
             former: None,
-            founds: false,
+            bootstraps: false,
         })
     }
 }
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -1,7 +1,7 @@
 //! What one process knows of rosters, and whether it has a voice.
 
-use super::FoundingBlock;
-use super::FoundingRecord;
+use super::BootstrapBlock;
+use super::BootstrapRecord;
 use super::RosterDecision;
 use super::RosterDigest;
 use super::RosterPlan;
@@ -30,7 +30,7 @@
     /// Ids timed up to here may have been granted under the former roster.
     former_until: UnixMillis,
     /// How this process gained its voice, when that was by founding.
-    founding: Option<FoundingRecord>,
+    bootstrap: Option<BootstrapRecord>,
     peers: PeerTable,
 }
 
@@ -42,7 +42,7 @@
             rosters: KnownRosters::default(),
             voting_range: None,
             former_until: 0,
-            founding: None,
+            bootstrap: None,
             peers: PeerTable::new(host, incarnation, settings.rules.crash_vector),
         }
     }
@@ -97,7 +97,7 @@
             active: self.active_tag(),
             adopted,
             incarnations: self.peers.incarnations().clone(),
-            founding: self.founding_told(),
+            bootstrap: self.bootstrap_to_send(),
             plan: self.plan_told(),
         }
     }
@@ -153,15 +153,15 @@
 
     /// Returns what keeps the roster of the document in force from being founded;
     /// `None` where it need not be founded, or nothing is known to stand in its way.
-    pub fn founding_block(&self) -> Option<FoundingBlock> {
+    pub fn bootstrap_block(&self) -> Option<BootstrapBlock> {
         let active = self.rosters.active.as_ref()?;
         let waiting = self.rosters.newest()?;
-        if self.voting_range.is_some() || !waiting.founds || waiting.tag == active.tag {
+        if self.voting_range.is_some() || !waiting.bootstraps || waiting.tag == active.tag {
             return None;
         }
         let seats = waiting.seats.iter().filter(|host| self.is_voting(host));
         let hosts: Vec<HostName> = seats.cloned().collect();
-        let block = FoundingBlock {
+        let block = BootstrapBlock {
             roster: waiting.tag.number,
             active: active.tag.number,
             hosts,
@@ -282,7 +282,7 @@
         let Some(plan) = self.rosters.newest().cloned() else {
             return false;
         };
-        let allowed = plan.founds || !self.settings.rules.founding_word;
+        let allowed = plan.bootstraps || !self.settings.rules.founding_word;
         if self.may_not_gain() || !allowed || !plan.has_seat(&self.peers.host) {
             return false;
         }
@@ -293,7 +293,7 @@
             .seats
             .iter()
             .filter_map(|seat| self.peers.incarnations().get(seat));
-        self.founding = Some(FoundingRecord {
+        self.bootstrap = Some(BootstrapRecord {
             roster: plan.tag,
             incarnations: incarnations.copied().collect(),
         });
@@ -316,7 +316,7 @@
         let told = self
             .peers
             .digests()
-            .filter_map(|told| told.founding.as_ref());
+            .filter_map(|told| told.bootstrap.as_ref());
         let record = told
             .filter(|record| record.roster == newest.tag)
             .find(|record| record.incarnations.get(index) == Some(&self.peers.incarnation))
@@ -324,7 +324,7 @@
         if record.is_none() {
             return false;
         }
-        self.founding = record;
+        self.bootstrap = record;
         self.gain_voice(now)
     }
 
@@ -343,9 +343,9 @@
     }
 
     /// Returns the founding record while a seat of the roster may need it.
-    fn founding_told(&self) -> Option<FoundingRecord> {
+    fn bootstrap_to_send(&self) -> Option<BootstrapRecord> {
         let active = self.rosters.active.as_ref()?;
-        let record = self.founding.as_ref()?;
+        let record = self.bootstrap.as_ref()?;
         let is_voting = |seat: &HostName| self.peers.get(seat).is_some_and(|told| told.voting);
         let mut others = active.seats.iter().filter(|seat| **seat != self.peers.host);
         let needed = record.roster == active.tag && !others.all(is_voting);
--- a/tests/claim_rules/rosters.rs
+++ b/tests/claim_rules/rosters.rs
@@ -378,7 +378,7 @@
 }
 
 /// Operators publish rosters 2 to 5 faster than the hosts take them up; roster 5 is
-/// d alone, a new host. Roster 1 is still active. If d founds roster 5 because all
+/// d alone, a new host. Roster 1 is still active. If d bootstraps roster 5 because all
 /// of its seats are voiceless, ids run on both sides.
 #[test]
 fn a_new_seat_does_not_found_a_roster_that_never_became_active() {
@@ -462,7 +462,7 @@
 
     let refusal = c.seat.roster_mut().offer(second.clone(), 300).unwrap_err();
     exchange(&mut [&mut c, &mut d], 301);
-    let block = d.seat.roster().founding_block();
+    let block = d.seat.roster().bootstrap_block();
     let mut c = open("c", 400, ALL());
     c.offer(&second, 400);
     exchange(&mut [&mut c, &mut d], 401);
@@ -471,5 +471,5 @@
     let text = block.map(|block| block.to_string()).unwrap_or_default();
     assert!(text.ends_with("stop or restart: c"), "{text}");
     assert!(c.is_voting() && d.is_voting());
-    assert_eq!(d.seat.roster().founding_block(), None);
+    assert_eq!(d.seat.roster().bootstrap_block(), None);
 }
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -66,7 +66,7 @@
         active: None,
         adopted: None,
         incarnations: [("a".to_owned(), incarnation)].into_iter().collect(),
-        founding: None,
+        bootstrap: None,
         plan: None,
     }
 }
