--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -86,11 +86,11 @@
     /// and the skew, in milliseconds.
     ///
     /// What was forgotten under a shorter window stays refused under a longer one.
-    pub fn adopt_limits(&mut self, window_ms: u64, skew_ms: u64) -> (u64, u64) {
+    pub fn set_limits(&mut self, window_ms: u64, skew_ms: u64) -> (u64, u64) {
         let former = (self.settings.window_ms, self.settings.skew_ms);
         self.settings.window_ms = window_ms;
         self.settings.skew_ms = skew_ms;
-        self.roster.adopt_skew(skew_ms);
+        self.roster.set_skew(skew_ms);
         former
     }
 
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -316,7 +316,7 @@
         let plan = RosterPlan::of_document(document);
         let mut register = claims.register();
         let limits = &document.limits;
-        let former = register.adopt_limits(limits.claim_window_ms, limits.clock_skew_ms);
+        let former = register.set_limits(limits.claim_window_ms, limits.clock_skew_ms);
         let verdict = register.roster_mut().offer(plan, unix_now());
         if !matches!(
             verdict,
@@ -324,7 +324,7 @@
         ) {
             // A document is refused whole: its limits go with it.
             let (window_ms, skew_ms) = former;
-            register.adopt_limits(window_ms, skew_ms);
+            register.set_limits(window_ms, skew_ms);
         }
         match verdict {
             Ok(RosterDecision::Accepted | RosterDecision::Unchanged) => RosterAdmission::Admitted,
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -48,7 +48,7 @@
     }
 
     /// Takes over how far two clocks may differ, in milliseconds.
-    pub fn adopt_skew(&mut self, skew_ms: u64) {
+    pub fn set_skew(&mut self, skew_ms: u64) {
         self.settings.skew_ms = skew_ms;
     }
 
