--- a/src/peers/digest_delta.rs
+++ b/src/peers/digest_delta.rs
@@ -43,7 +43,7 @@
     /// As in the new digest.
     pub waits: Vec<TierWait>,
     /// What changed of the targets.
-    pub targets: DemandNews,
+    pub targets: DemandUpdate,
 }
 
 /// Which document is in force.
@@ -57,7 +57,7 @@
 
 /// What changed of the targets.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum DemandNews {
+pub enum DemandUpdate {
     /// The targets are others now.
     All(Vec<TargetDemand>),
     /// The same targets, with these fields changed.
@@ -114,7 +114,7 @@
             engine_level: policy.engine_level,
             service_level: policy.service_level,
             waits: policy.waits.clone(),
-            targets: DemandNews::between(&old.targets, &policy.targets),
+            targets: DemandUpdate::between(&old.targets, &policy.targets),
         })
     }
 
@@ -158,7 +158,7 @@
     }
 }
 
-impl DemandNews {
+impl DemandUpdate {
     fn between(old: &[TargetDemand], new: &[TargetDemand]) -> Self {
         let pairs = old.iter().zip(new);
         let same = old.len() == new.len()
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -89,7 +89,7 @@
 pub use call_handler::HandleFuture;
 pub use digest_delta::DemandChange;
 pub use digest_delta::DemandField;
-pub use digest_delta::DemandNews;
+pub use digest_delta::DemandUpdate;
 pub use digest_delta::DigestDelta;
 pub use digest_delta::DocumentMark;
 pub use digest_inbox::DigestInbox;
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -7,7 +7,7 @@
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
 use cardamomgw::peers::DELTAS_IN_A_ROW;
-use cardamomgw::peers::DemandNews;
+use cardamomgw::peers::DemandUpdate;
 use cardamomgw::peers::DigestDelta;
 use cardamomgw::peers::DigestInbox;
 use cardamomgw::peers::DigestOutbox;
@@ -167,7 +167,7 @@
 
     let delta = DigestDelta::between(&base, &new).unwrap();
 
-    assert_eq!(delta.targets, DemandNews::Changed(Vec::new()));
+    assert_eq!(delta.targets, DemandUpdate::Changed(Vec::new()));
     assert_eq!(
         (delta.document, delta.roster, delta.suspects),
         (None, None, None)
