--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -26,7 +26,7 @@
 use crate::peers::DigestInbox;
 use crate::peers::DigestOutbox;
 use crate::peers::DigestReceipt;
-use crate::peers::DocumentMark;
+use crate::peers::DocumentIdentity;
 use crate::peers::PeerCall;
 use crate::peers::PeerDigest;
 use crate::peers::PeerMesh;
@@ -109,7 +109,7 @@
         let Some(digest) = taken else {
             return DigestReceipt::Unheld;
         };
-        let theirs = DocumentMark::of(&digest);
+        let theirs = DocumentIdentity::of(&digest);
         self.hear(from, digest);
         let ours = self.document();
         match ours == theirs {
@@ -121,7 +121,7 @@
     /// Learns first: a document that waits for its roster is judged anew when a
     /// peer's version is noted, and must find the roster known by then.
     fn hear(&self, from: &HostName, digest: PeerDigest) {
-        let document = DocumentMark::of(&digest);
+        let document = DocumentIdentity::of(&digest);
         self.learn(from, digest);
         self.config.heard(from, document.version, document.digest);
     }
@@ -150,9 +150,9 @@
         register.roster_mut().learn(from, digest, unix_now())
     }
 
-    fn document(&self) -> DocumentMark {
+    fn document(&self) -> DocumentIdentity {
         let (version, digest) = self.config.version_digest();
-        DocumentMark { version, digest }
+        DocumentIdentity { version, digest }
     }
 
     /// Returns what this host knows, without the policy's part.
@@ -221,11 +221,11 @@
         let whole = matches!(call, PeerCall::Digest(_));
         let document = match self.mesh.call(host, call, EXCHANGE_LIMIT).await {
             Ok(PeerReply::Digest(digest)) => {
-                let document = DocumentMark::of(&digest);
+                let document = DocumentIdentity::of(&digest);
                 self.learn(host, *digest);
                 document
             }
-            Ok(PeerReply::Receipt(DigestReceipt::Alike)) => DocumentMark::of(own),
+            Ok(PeerReply::Receipt(DigestReceipt::Alike)) => DocumentIdentity::of(own),
             Ok(PeerReply::Receipt(DigestReceipt::Other(document))) => document,
             Ok(PeerReply::Receipt(DigestReceipt::Unheld)) => return false,
             _ => {
--- a/src/peers/digest_delta.rs
+++ b/src/peers/digest_delta.rs
@@ -29,7 +29,7 @@
     /// How far the sequence of the new digest is from the base.
     pub steps: u64,
     /// The new document in force, where it changed.
-    pub document: Option<DocumentMark>,
+    pub document: Option<DocumentIdentity>,
     /// What the host knows of rosters now, where it changed.
     pub roster: Option<RosterDigest>,
     /// Requests that targets were lost to, where they changed.
@@ -48,7 +48,7 @@
 
 /// Which document is in force.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct DocumentMark {
+pub struct DocumentIdentity {
     /// The document's version.
     pub version: FleetVersion,
     /// The digest of its bytes.
@@ -102,12 +102,12 @@
         if !follows || roster_went {
             return None;
         }
-        let mark = DocumentMark::of(new);
+        let mark = DocumentIdentity::of(new);
         Some(Self {
             incarnation: policy.incarnation,
             base: old.sequence,
             steps: policy.sequence - old.sequence,
-            document: (mark != DocumentMark::of(base)).then_some(mark),
+            document: (mark != DocumentIdentity::of(base)).then_some(mark),
             roster: new.roster.clone().filter(|_| new.roster != base.roster),
             suspects: (new.suspects != base.suspects).then(|| new.suspects.clone()),
             generation: policy.generation,
@@ -125,7 +125,7 @@
         if old.incarnation != self.incarnation || old.sequence != self.base {
             return None;
         }
-        let mark = self.document.unwrap_or_else(|| DocumentMark::of(base));
+        let mark = self.document.unwrap_or_else(|| DocumentIdentity::of(base));
         let policy = HostDigest {
             incarnation: self.incarnation,
             sequence: self.base.checked_add(self.steps)?,
@@ -148,7 +148,7 @@
     }
 }
 
-impl DocumentMark {
+impl DocumentIdentity {
     /// Returns the document that a digest tells of.
     pub const fn of(digest: &PeerDigest) -> Self {
         Self {
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -91,7 +91,7 @@
 pub use digest_delta::DemandField;
 pub use digest_delta::DemandUpdate;
 pub use digest_delta::DigestDelta;
-pub use digest_delta::DocumentMark;
+pub use digest_delta::DocumentIdentity;
 pub use digest_inbox::DigestInbox;
 pub use digest_outbox::DELTAS_IN_A_ROW;
 pub use digest_outbox::DigestOutbox;
--- a/src/peers/peer_messages.rs
+++ b/src/peers/peer_messages.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use super::DigestDelta;
-use super::DocumentMark;
+use super::DocumentIdentity;
 use crate::claim::ClaimCall;
 use crate::claim::ClaimReply;
 use crate::errors::ErrorKind;
@@ -108,7 +108,7 @@
     /// Taken; the called host's document is the one that the call told.
     Alike,
     /// Taken; the called host has another document, or none.
-    Other(DocumentMark),
+    Other(DocumentIdentity),
 }
 
 /// What a host knows, exchanged each second and after each change.
