--- a/src/controllers/config_controller.rs
+++ b/src/controllers/config_controller.rs
@@ -37,10 +37,10 @@
 use crate::logs::StateLog;
 use crate::metrics::RequestMetrics;
 use crate::peers::ConfigDigest;
-use crate::peers::FleetCopy;
 use crate::peers::PeerCall;
 use crate::peers::PeerMesh;
 use crate::peers::PeerReply;
+use crate::peers::RawDocument;
 
 /// How long a peer may take to send its document, a mebibyte at most.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
@@ -145,7 +145,7 @@
     }
 
     /// Returns the document in force as it came.
-    pub fn copy(&self) -> Option<FleetCopy> {
+    pub fn copy(&self) -> Option<RawDocument> {
         let current = self.current.load();
         current.as_ref().map(|entry| entry.copy.clone())
     }
@@ -271,7 +271,7 @@
     }
 
     /// Judges a document of any source and puts it in force if it is good.
-    pub fn offer(&self, copy: FleetCopy, source: ConfigSource) -> OfferOutcome<FleetView> {
+    pub fn offer(&self, copy: RawDocument, source: ConfigSource) -> OfferOutcome<FleetView> {
         let mut ledger = self.ledger();
         let before = ledger.refusals();
         let outcome = ledger.offer(copy, source, compile_copy, |view| self.admit(view));
--- a/src/controllers/config_entry.rs
+++ b/src/controllers/config_entry.rs
@@ -7,7 +7,7 @@
 use crate::ids::FleetVersion;
 use crate::ids::HostName;
 use crate::peers::ConfigDigest;
-use crate::peers::FleetCopy;
+use crate::peers::RawDocument;
 
 /// Where a document came from.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct ConfigEntry<V> {
     /// The document as it came, for peers that fetch it.
-    pub copy: FleetCopy,
+    pub copy: RawDocument,
     /// The digest by which peers see that they hold the same document.
     pub digest: ConfigDigest,
     /// The compiled view.
--- a/src/controllers/config_tracker.rs
+++ b/src/controllers/config_tracker.rs
@@ -13,7 +13,7 @@
 use super::RosterAdmission;
 use crate::ids::FleetVersion;
 use crate::peers::ConfigDigest;
-use crate::peers::FleetCopy;
+use crate::peers::RawDocument;
 
 /// What became of a document that was offered.
 #[derive(Clone, Debug)]
@@ -43,13 +43,13 @@
 /// use cardamomgw::ConfigSource;
 /// use cardamomgw::OfferOutcome;
 /// use cardamomgw::RosterAdmission;
-/// use cardamomgw::peers::FleetCopy;
+/// use cardamomgw::peers::RawDocument;
 ///
 /// let compile = |version| move |body: &[u8]| {
 ///     let text = std::str::from_utf8(body).map_err(|fault| vec![fault.to_string()])?;
 ///     Ok(CompiledCopy { version, digest: [0; 32], view: Arc::new(text.to_owned()) })
 /// };
-/// let copy = |version, body: &'static str| FleetCopy { version, body: body.into() };
+/// let copy = |version, body: &'static str| RawDocument { version, body: body.into() };
 /// let mut ledger = ConfigTracker::<String>::new();
 ///
 /// let platform = ConfigSource::Platform;
@@ -67,7 +67,7 @@
     waiting: Option<Arc<ConfigEntry<V>>>,
     /// The last document that was refused for its content: it is offered again
     /// with each read, and judging a mebibyte each time would cost a core.
-    judged: Option<(FleetCopy, ConfigRefusal)>,
+    judged: Option<(RawDocument, ConfigRefusal)>,
     last_refusal: Option<ConfigRefusal>,
     refusals: u64,
     conflict: Option<(FleetVersion, ConfigDigest)>,
@@ -111,7 +111,7 @@
     /// and is asked last, since it may take the roster up.
     pub fn offer(
         &mut self,
-        copy: FleetCopy,
+        copy: RawDocument,
         source: ConfigSource,
         compile: impl FnOnce(&[u8]) -> Result<CompiledCopy<V>, Vec<String>>,
         admit: impl FnOnce(&V) -> RosterAdmission,
@@ -146,7 +146,7 @@
     }
 
     /// Judges what can be judged by the version and the bytes alone.
-    fn judge_unread(&mut self, copy: &FleetCopy) -> Option<OfferOutcome<V>> {
+    fn judge_unread(&mut self, copy: &RawDocument) -> Option<OfferOutcome<V>> {
         if let Some(entry) = &self.in_force {
             if copy.version < entry.copy.version {
                 // A stale read is no fault of a document: operators see it in no
@@ -171,7 +171,7 @@
     /// Two edits of one version raced at the platform, or somebody rewrote a
     /// version. Hosts that took one and hosts that took the other would each
     /// think that they agree; so whoever has one keeps it and raises the alarm.
-    fn judge_same_version(&mut self, copy: FleetCopy, digest: &ConfigDigest) -> OfferOutcome<V> {
+    fn judge_same_version(&mut self, copy: RawDocument, digest: &ConfigDigest) -> OfferOutcome<V> {
         let same = self
             .in_force
             .as_ref()
@@ -268,7 +268,7 @@
         true
     }
 
-    fn refuse_content(&mut self, copy: FleetCopy, refusal: ConfigRefusal) -> OfferOutcome<V> {
+    fn refuse_content(&mut self, copy: RawDocument, refusal: ConfigRefusal) -> OfferOutcome<V> {
         self.judged = Some((copy, refusal.clone()));
         self.refuse(refusal)
     }
--- a/src/controllers/platform_watch.rs
+++ b/src/controllers/platform_watch.rs
@@ -15,7 +15,7 @@
 use crate::documents::DocumentError;
 use crate::documents::WatchAnswer;
 use crate::logs::StateChange;
-use crate::peers::FleetCopy;
+use crate::peers::RawDocument;
 
 /// The first wait after a failure or a refused document.
 const FIRST_RETRY: Duration = Duration::from_millis(200);
@@ -70,7 +70,7 @@
 async fn read_newer(
     platform: &DocumentClient,
     after: u64,
-) -> Result<Option<FleetCopy>, DocumentError> {
+) -> Result<Option<RawDocument>, DocumentError> {
     if after == 0 {
         return platform.read_document().await.map(Some);
     }
@@ -82,7 +82,7 @@
 
 fn take_answer(
     controller: &ConfigController,
-    answer: Result<Option<FleetCopy>, DocumentError>,
+    answer: Result<Option<RawDocument>, DocumentError>,
 ) -> TurnEnd {
     match answer {
         Ok(None) => TurnEnd::GoOn,
--- a/src/documents/document_client.rs
+++ b/src/documents/document_client.rs
@@ -15,7 +15,7 @@
 use super::http_exchange::WholeAnswer;
 use super::http_exchange::malformed;
 use crate::ids::FleetVersion;
-use crate::peers::FleetCopy;
+use crate::peers::RawDocument;
 
 /// How long one watch waits at the platform. 320 daemons with one watch each
 /// make 64 calls a second of the 2,000, and a watch whose connection went
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WatchAnswer {
     /// A newer document stands.
-    Newer(FleetCopy),
+    Newer(RawDocument),
     /// No newer document came while the watch waited.
     Unchanged,
 }
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// The platform can't be reached, refuses, or answers malformed.
-    pub async fn read_document(&self) -> Result<FleetCopy, DocumentError> {
+    pub async fn read_document(&self) -> Result<RawDocument, DocumentError> {
         let path = format!("/v1/documents/{}", self.scope);
         let answer = self.get(&path, READ_TIMEOUT).await?;
         document_from(answer)
@@ -139,12 +139,12 @@
     }
 }
 
-fn document_from(answer: WholeAnswer) -> Result<FleetCopy, DocumentError> {
+fn document_from(answer: WholeAnswer) -> Result<RawDocument, DocumentError> {
     let version = answer
         .document_version
         .and_then(|text| text.parse().ok())
         .ok_or_else(|| malformed("no Document-Version"))?;
-    Ok(FleetCopy {
+    Ok(RawDocument {
         version,
         body: answer.body,
     })
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -111,10 +111,10 @@
 pub use peer_mesh::PeerMesh;
 pub use peer_messages::ConfigDigest;
 pub use peer_messages::DigestReceipt;
-pub use peer_messages::FleetCopy;
 pub use peer_messages::PeerCall;
 pub use peer_messages::PeerDigest;
 pub use peer_messages::PeerReply;
+pub use peer_messages::RawDocument;
 pub use peer_stream::PeerStream;
 pub use reply_sender::ReplySender;
 
--- a/src/peers/peer_messages.rs
+++ b/src/peers/peer_messages.rs
@@ -73,7 +73,7 @@
     /// What the called host knows.
     Digest(Box<PeerDigest>),
     /// The document in force, or nothing when none is.
-    Document(Option<FleetCopy>),
+    Document(Option<RawDocument>),
     /// The head of an answer; [`PeerReply::AnswerBody`] pieces follow.
     AnswerHead(AnswerHead),
     /// A piece of an answer's body.
@@ -128,7 +128,7 @@
 
 /// A fleet document as its bytes, so that every host digests the same ones.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct FleetCopy {
+pub struct RawDocument {
     /// The document's version.
     pub version: FleetVersion,
     /// The document as the platform gave it.
--- a/tests/config_gossip_tracker.rs
+++ b/tests/config_gossip_tracker.rs
@@ -11,14 +11,14 @@
 use cardamomgw::controllers::ConfigTracker;
 use cardamomgw::controllers::OfferOutcome;
 use cardamomgw::controllers::RosterAdmission;
-use cardamomgw::peers::FleetCopy;
+use cardamomgw::peers::RawDocument;
 
 /// A view that is only its content.
 type TextView = String;
 
 /// A document `VERSION CONTENT`; one whose content is `bad` has a fault.
-fn copy(version: u64, content: &str) -> FleetCopy {
-    FleetCopy {
+fn copy(version: u64, content: &str) -> RawDocument {
+    RawDocument {
         version,
         body: Bytes::from(format!("{version} {content}")),
     }
@@ -43,7 +43,7 @@
     RosterAdmission::Admitted
 }
 
-fn offer(ledger: &mut ConfigTracker<TextView>, copy: FleetCopy) -> OfferOutcome<TextView> {
+fn offer(ledger: &mut ConfigTracker<TextView>, copy: RawDocument) -> OfferOutcome<TextView> {
     ledger.offer(copy, ConfigSource::Platform, compile, admit)
 }
 
@@ -201,7 +201,7 @@
     assert_eq!(ledger.refusals(), 1);
 }
 
-fn any_offer(u: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<FleetCopy> {
+fn any_offer(u: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<RawDocument> {
     let version = u.int_in_range(1..=6)?;
     let content = u.choose(&["a", "b", "bad", "a "])?;
     let mut copy = copy(version, content);
--- a/tests/peers_mesh.rs
+++ b/tests/peers_mesh.rs
@@ -13,7 +13,6 @@
 use cardamomgw::ids::HostName;
 use cardamomgw::ids::RequestId;
 use cardamomgw::peers::CallHandler;
-use cardamomgw::peers::FleetCopy;
 use cardamomgw::peers::HandleFuture;
 use cardamomgw::peers::HeaderMap;
 use cardamomgw::peers::MAX_MESSAGE_BYTES;
@@ -22,6 +21,7 @@
 use cardamomgw::peers::PeerListener;
 use cardamomgw::peers::PeerMesh;
 use cardamomgw::peers::PeerReply;
+use cardamomgw::peers::RawDocument;
 use cardamomgw::peers::ReplySender;
 use cardamomgw::peers::RequestHead;
 use peers_support::PATIENCE;
@@ -53,7 +53,7 @@
                 replies.finish(PeerReply::Digest(digest)).await.ok();
             }
             PeerCall::Document => {
-                let copy = FleetCopy {
+                let copy = RawDocument {
                     version: 9,
                     body: Bytes::from(vec![7; 1 << 20]),
                 };
