--- a/src/edge/gossip_service.rs
+++ b/src/edge/gossip_service.rs
@@ -74,7 +74,7 @@
 async fn send_package(package: Bytes, mut replies: ReplySender) -> Result<(), PeerError> {
     for start in (0..package.len()).step_by(PIECE_BYTES) {
         let end = package.len().min(start + PIECE_BYTES);
-        let piece = PeerReply::PackagePiece(package.slice(start..end));
+        let piece = PeerReply::PackageChunk(package.slice(start..end));
         replies.send(piece).await?;
     }
     replies.end()
--- a/src/edge/view_fetcher.rs
+++ b/src/edge/view_fetcher.rs
@@ -131,7 +131,7 @@
         let mut pieces = timeout(PIECE_TIMEOUT, call).await??;
         let mut package = Vec::new();
         while let Some(reply) = timeout(PIECE_TIMEOUT, pieces.next()).await?? {
-            let PeerReply::PackagePiece(piece) = reply else {
+            let PeerReply::PackageChunk(piece) = reply else {
                 return Err(PeerError::MalformedMessage);
             };
             package.extend_from_slice(&piece);
--- a/src/peers/peer_messages.rs
+++ b/src/peers/peer_messages.rs
@@ -57,9 +57,9 @@
     /// Tells what the calling host runs, spends and knows of others; answered with
     /// [`PeerReply::Gossip`].
     Gossip(Box<GossipMessage>),
-    /// Asks for all targets and evacuations; [`PeerReply::PackagePiece`]s are streamed back.
+    /// Asks for all targets and evacuations; [`PeerReply::PackageChunk`]s are streamed back.
     FleetView,
-    /// Asks for the catalog; [`PeerReply::PackagePiece`]s are streamed back, none where the
+    /// Asks for the catalog; [`PeerReply::PackageChunk`]s are streamed back, none where the
     /// called host has no newer one.
     Catalog {
         /// The version of the catalog that the caller has.
@@ -97,7 +97,7 @@
     /// What the called host runs, spends and knows of others.
     Gossip(Box<GossipMessage>),
     /// A piece of a package.
-    PackagePiece(Bytes),
+    PackageChunk(Bytes),
 }
 
 /// What became of a delta, and which document the called host has in force.
