--- a/src/peers/digest_outbox.rs
+++ b/src/peers/digest_outbox.rs
@@ -10,7 +10,7 @@
 
 /// After how many deltas a peer gets a whole digest again: about a minute. A
 /// fault that no rule here foresees would heal within it, at a hundredth of the bytes.
-pub const DELTAS_IN_A_ROW: u32 = 60;
+pub const MAX_CONSECUTIVE_DELTAS: u32 = 60;
 
 /// What a host told each peer last.
 ///
@@ -32,7 +32,7 @@
     pub fn call_for(&self, peer: &HostName, own: &PeerDigest) -> PeerCall {
         self.peers
             .get(peer)
-            .filter(|confirmed| confirmed.deltas < DELTAS_IN_A_ROW)
+            .filter(|confirmed| confirmed.deltas < MAX_CONSECUTIVE_DELTAS)
             .and_then(|confirmed| DigestDelta::between(&confirmed.digest, own))
             .map_or_else(
                 || PeerCall::Digest(Box::new(own.clone())),
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -6,11 +6,11 @@
 use arbtest::arbitrary::Result;
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
-use cardamomgw::peers::DELTAS_IN_A_ROW;
 use cardamomgw::peers::DemandUpdate;
 use cardamomgw::peers::DigestDelta;
 use cardamomgw::peers::DigestInbox;
 use cardamomgw::peers::DigestOutbox;
+use cardamomgw::peers::MAX_CONSECUTIVE_DELTAS;
 use cardamomgw::peers::PeerCall;
 use cardamomgw::peers::PeerDigest;
 use cardamomgw::poison::PoisonEntry;
@@ -179,7 +179,7 @@
     let mut outbox = DigestOutbox::default();
     let mut wholes = Vec::new();
 
-    for sequence in 1..=u64::from(DELTAS_IN_A_ROW) + 2 {
+    for sequence in 1..=u64::from(MAX_CONSECUTIVE_DELTAS) + 2 {
         let own = Arc::new(digest(FIRST_LIFE, sequence));
         let whole = matches!(outbox.call_for(&peer(), &own), PeerCall::Digest(_));
         if whole {
@@ -188,7 +188,7 @@
         outbox.confirmed(&peer(), &own, whole);
     }
 
-    assert_eq!(wholes, [1, u64::from(DELTAS_IN_A_ROW) + 2]);
+    assert_eq!(wholes, [1, u64::from(MAX_CONSECUTIVE_DELTAS) + 2]);
 }
 
 /// Two exchanges overlap and the earlier one's confirmation comes last. Were the
