--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -69,8 +69,8 @@
                 PeerCall::DigestDelta(delta) => {
                     let taken = self.inbox().take_delta(&from, &delta);
                     let receipt = match taken {
-                        Some(_) => DigestReceipt::Alike,
-                        None => DigestReceipt::Unheld,
+                        Some(_) => DigestReceipt::SameDocument,
+                        None => DigestReceipt::UnknownBase,
                     };
                     replies.finish(PeerReply::Receipt(receipt)).await.ok();
                 }
@@ -188,7 +188,7 @@
         assert!(
             matches!(
                 reply,
-                Ok(PeerReply::Digest(_) | PeerReply::Receipt(DigestReceipt::Alike))
+                Ok(PeerReply::Digest(_) | PeerReply::Receipt(DigestReceipt::SameDocument))
             ),
             "{reply:?}"
         );
--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -107,14 +107,14 @@
     pub(crate) fn accept_delta(&self, from: &HostName, delta: &DigestDelta) -> DigestReceipt {
         let taken = lock(&self.inbox).take_delta(from, delta);
         let Some(digest) = taken else {
-            return DigestReceipt::Unheld;
+            return DigestReceipt::UnknownBase;
         };
         let theirs = DocumentIdentity::of(&digest);
         self.hear(from, digest);
         let ours = self.document();
         match ours == theirs {
-            true => DigestReceipt::Alike,
-            false => DigestReceipt::Other(ours),
+            true => DigestReceipt::SameDocument,
+            false => DigestReceipt::OtherDocument(ours),
         }
     }
 
@@ -225,9 +225,9 @@
                 self.learn(host, *digest);
                 document
             }
-            Ok(PeerReply::Receipt(DigestReceipt::Alike)) => DocumentIdentity::of(own),
-            Ok(PeerReply::Receipt(DigestReceipt::Other(document))) => document,
-            Ok(PeerReply::Receipt(DigestReceipt::Unheld)) => return false,
+            Ok(PeerReply::Receipt(DigestReceipt::SameDocument)) => DocumentIdentity::of(own),
+            Ok(PeerReply::Receipt(DigestReceipt::OtherDocument(document))) => document,
+            Ok(PeerReply::Receipt(DigestReceipt::UnknownBase)) => return false,
             _ => {
                 lock(&self.outbox).forget(host);
                 return true;
--- a/src/peers/peer_messages.rs
+++ b/src/peers/peer_messages.rs
@@ -104,11 +104,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum DigestReceipt {
     /// The digest that the delta starts from is not held: the whole is wanted.
-    Unheld,
+    UnknownBase,
     /// Taken; the called host's document is the one that the call told.
-    Alike,
+    SameDocument,
     /// Taken; the called host has another document, or none.
-    Other(DocumentIdentity),
+    OtherDocument(DocumentIdentity),
 }
 
 /// What a host knows, exchanged each second and after each change.
