--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -63,11 +63,11 @@
         Box::pin(async move {
             match call {
                 PeerCall::Digest(digest) => {
-                    self.inbox().take(&from, PeerDigest::clone(&digest));
+                    self.inbox().store(&from, PeerDigest::clone(&digest));
                     replies.finish(PeerReply::Digest(digest)).await.ok();
                 }
                 PeerCall::DigestDelta(delta) => {
-                    let taken = self.inbox().take_delta(&from, &delta);
+                    let taken = self.inbox().apply_delta(&from, &delta);
                     let receipt = match taken {
                         Some(_) => DigestReceipt::SameDocument,
                         None => DigestReceipt::UnknownBase,
@@ -192,7 +192,7 @@
             ),
             "{reply:?}"
         );
-        outbox.confirmed(&peer, &own, whole);
+        outbox.mark_confirmed(&peer, &own, whole);
     }
     (wire_bytes(mesh) - before, processor)
 }
--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -98,14 +98,14 @@
     /// policy's part stays out: slots that it lends must be told to all peers at
     /// once, and the peer hears it from this host's own exchange.
     pub(crate) fn accept(&self, from: &HostName, digest: PeerDigest) -> PeerDigest {
-        lock(&self.inbox).take(from, digest.clone());
+        lock(&self.inbox).store(from, digest.clone());
         self.hear(from, digest);
         self.shared()
     }
 
     /// Takes what changed at a peer since its last digest.
     pub(crate) fn accept_delta(&self, from: &HostName, delta: &DigestDelta) -> DigestReceipt {
-        let taken = lock(&self.inbox).take_delta(from, delta);
+        let taken = lock(&self.inbox).apply_delta(from, delta);
         let Some(digest) = taken else {
             return DigestReceipt::UnknownBase;
         };
@@ -233,7 +233,7 @@
                 return true;
             }
         };
-        lock(&self.outbox).confirmed(host, own, whole);
+        lock(&self.outbox).mark_confirmed(host, own, whole);
         self.config
             .answered(host, document.version, document.digest, asked);
         true
--- a/src/peers/digest_inbox.rs
+++ b/src/peers/digest_inbox.rs
@@ -13,7 +13,7 @@
 
 impl DigestInbox {
     /// Takes a whole digest.
-    pub fn take(&mut self, from: &HostName, digest: PeerDigest) {
+    pub fn store(&mut self, from: &HostName, digest: PeerDigest) {
         if digest.policy.is_some() {
             self.held.insert(from.clone(), digest);
         }
@@ -23,7 +23,7 @@
     /// digest that it starts from is not the one that is held, because an exchange
     /// was lost, doubled or overtaken, or because either end restarted. The sender
     /// then tells the whole.
-    pub fn take_delta(&mut self, from: &HostName, delta: &DigestDelta) -> Option<PeerDigest> {
+    pub fn apply_delta(&mut self, from: &HostName, delta: &DigestDelta) -> Option<PeerDigest> {
         let digest = delta.apply(self.held.get(from)?)?;
         self.held.insert(from.clone(), digest.clone());
         Some(digest)
--- a/src/peers/digest_outbox.rs
+++ b/src/peers/digest_outbox.rs
@@ -41,7 +41,7 @@
     }
 
     /// Notes that `peer` holds this digest, which it got `whole` or as a delta.
-    pub fn confirmed(&mut self, peer: &HostName, own: &Arc<PeerDigest>, whole: bool) {
+    pub fn mark_confirmed(&mut self, peer: &HostName, own: &Arc<PeerDigest>, whole: bool) {
         let known = self.peers.get(peer);
         // Two exchanges may overlap; the peer holds the later one.
         if known.is_some_and(|known| sequence_of(&known.digest) > sequence_of(own)) {
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -185,7 +185,7 @@
         if whole {
             wholes.push(sequence);
         }
-        outbox.confirmed(&peer(), &own, whole);
+        outbox.mark_confirmed(&peer(), &own, whole);
     }
 
     assert_eq!(wholes, [1, u64::from(MAX_CONSECUTIVE_DELTAS) + 2]);
@@ -197,9 +197,9 @@
 fn late_confirmation_does_not_bring_an_older_base_back() {
     let mut outbox = DigestOutbox::default();
     let (first, second) = (digest(FIRST_LIFE, 1), digest(FIRST_LIFE, 2));
-    outbox.confirmed(&peer(), &Arc::new(second.clone()), true);
+    outbox.mark_confirmed(&peer(), &Arc::new(second.clone()), true);
 
-    outbox.confirmed(&peer(), &Arc::new(first), true);
+    outbox.mark_confirmed(&peer(), &Arc::new(first), true);
 
     let third = digest(FIRST_LIFE, 3);
     let delta = DigestDelta::between(&second, &third).unwrap();
@@ -216,9 +216,9 @@
 fn change_of_a_former_life_is_not_laid_over_the_new_one() {
     let mut inbox = DigestInbox::default();
     let former = DigestDelta::between(&digest(FIRST_LIFE, 5), &digest(FIRST_LIFE, 6)).unwrap();
-    inbox.take(&peer(), digest(FIRST_LIFE + 1, 5));
+    inbox.store(&peer(), digest(FIRST_LIFE + 1, 5));
 
-    assert_eq!(inbox.take_delta(&peer(), &former), None);
+    assert_eq!(inbox.apply_delta(&peer(), &former), None);
 }
 
 /// Calls and confirmations are lost, doubled and overtaken, and both ends restart.
@@ -249,10 +249,10 @@
                     let whole = matches!(call, PeerCall::Digest(_));
                     let seen = match call {
                         PeerCall::Digest(digest) => {
-                            inbox.take(&peer(), PeerDigest::clone(&digest));
+                            inbox.store(&peer(), PeerDigest::clone(&digest));
                             Some(*digest)
                         }
-                        PeerCall::DigestDelta(delta) => inbox.take_delta(&peer(), &delta),
+                        PeerCall::DigestDelta(delta) => inbox.apply_delta(&peer(), &delta),
                         _ => None,
                     };
                     let Some(seen) = seen else {
@@ -261,7 +261,7 @@
                     };
                     assert_eq!(seen, told[index], "the sender told something else");
                     if unstructured.arbitrary()? {
-                        outbox.confirmed(&peer(), &Arc::new(seen), whole);
+                        outbox.mark_confirmed(&peer(), &Arc::new(seen), whole);
                     }
                 }
                 _ => {
