--- a/src/controllers/config_controller.rs
+++ b/src/controllers/config_controller.rs
@@ -329,7 +329,7 @@
     /// two round trips instead of at their next turn.
     fn tell_accepted(&self, entry: &ConfigEntry<FleetView>) {
         self.exchange_soon();
-        self.parts.metrics.show_fleet_version(entry.copy.version);
+        self.parts.metrics.set_fleet_version(entry.copy.version);
         self.parts.log.write(&StateChange::ConfigurationAccepted {
             version: entry.copy.version,
             digest: entry.digest.iter().map(|b| format!("{b:02x}")).collect(),
--- a/src/gateway/host_state.rs
+++ b/src/gateway/host_state.rs
@@ -97,16 +97,16 @@
     }
 
     /// Brings the gauges up to date; called as they are read.
-    pub(crate) fn show_gauges(&self) {
+    pub(crate) fn update_gauges(&self) {
         let (waiting, running) = self.work.counts();
         for (tier, count) in waiting.iter() {
-            self.metrics.show_waiting(*tier, u64::from(*count));
+            self.metrics.set_waiting(*tier, u64::from(*count));
         }
         for (tier, count) in running.iter() {
-            self.metrics.show_running(*tier, u64::from(*count));
+            self.metrics.set_running(*tier, u64::from(*count));
         }
         if let Some(view) = self.view() {
-            self.metrics.show_fleet_version(view.document().version);
+            self.metrics.set_fleet_version(view.document().version);
         }
     }
 }
--- a/src/metrics/request_metrics.rs
+++ b/src/metrics/request_metrics.rs
@@ -127,17 +127,17 @@
     }
 
     /// Shows how many requests of a tier wait.
-    pub fn show_waiting(&self, tier: TierRank, count: u64) {
+    pub fn set_waiting(&self, tier: TierRank, count: u64) {
         self.state.waiting.record(count, &[tier_label(tier)]);
     }
 
     /// Shows how many requests of a tier run.
-    pub fn show_running(&self, tier: TierRank, count: u64) {
+    pub fn set_running(&self, tier: TierRank, count: u64) {
         self.state.running.record(count, &[tier_label(tier)]);
     }
 
     /// Shows the version of the fleet document in force.
-    pub fn show_fleet_version(&self, version: FleetVersion) {
+    pub fn set_fleet_version(&self, version: FleetVersion) {
         self.state.fleet_version.record(version, &[]);
     }
 
--- a/src/operators/operator_service.rs
+++ b/src/operators/operator_service.rs
@@ -80,7 +80,7 @@
 }
 
 fn answer_metrics(host: &HostState) -> OperatorAnswer {
-    host.show_gauges();
+    host.update_gauges();
     match host.metrics.text() {
         Ok(body) => OperatorAnswer {
             status: 200,
--- a/tests/config_docs.rs
+++ b/tests/config_docs.rs
@@ -75,8 +75,8 @@
     metrics.count_refused_peer(RefusedPeer::Malformed);
     metrics.count_refused_configuration();
     metrics.count_log_line("info");
-    metrics.show_waiting(0, 1);
-    metrics.show_running(0, 1);
-    metrics.show_fleet_version(1);
+    metrics.set_waiting(0, 1);
+    metrics.set_running(0, 1);
+    metrics.set_fleet_version(1);
     metrics.text().expect("the text is written")
 }
--- a/tests/metrics_requests.rs
+++ b/tests/metrics_requests.rs
@@ -119,10 +119,10 @@
     metrics.count_wasted_prefill(PrefillWaste::TargetLost, 300);
     metrics.count_refused_peer(RefusedPeer::Version);
     metrics.count_refused_configuration();
-    metrics.show_waiting(1, 7);
-    metrics.show_waiting(1, 4);
-    metrics.show_running(0, 2);
-    metrics.show_fleet_version(17);
+    metrics.set_waiting(1, 7);
+    metrics.set_waiting(1, 4);
+    metrics.set_running(0, 2);
+    metrics.set_fleet_version(17);
 
     let text = text(&metrics);
     let of = |parts: &[&str]| value(&text, parts);
