--- a/src/cli/trace_command.rs
+++ b/src/cli/trace_command.rs
@@ -8,7 +8,7 @@
 use super::cli_error::CliError;
 use super::command_flags::Trace;
 use super::command_output::CommandVerdict;
-use crate::logs::RequestStory;
+use crate::logs::RequestTimeline;
 
 /// Prints a request's lines in order, and what the host believed meanwhile.
 pub(super) fn trace(flags: &Trace, output: &mut dyn Write) -> Result<CommandVerdict, CliError> {
@@ -17,11 +17,11 @@
         source,
     };
     let log = BufReader::new(File::open(&flags.file).map_err(unreadable)?);
-    let mut story = RequestStory::new(&flags.request);
+    let mut story = RequestTimeline::new(&flags.request);
     for line in log.split(b'\n') {
         // A crash may leave half a character at the log's end.
         let line = line.map_err(unreadable)?;
-        story.take(&String::from_utf8_lossy(&line));
+        story.add_line(&String::from_utf8_lossy(&line));
     }
     for line in story.lines() {
         writeln!(output, "{line}")?;
--- a/src/logs/request_story.rs
+++ b/src/logs/request_timeline.rs
@@ -22,7 +22,7 @@
 
 /// What one host's log tells of one request.
 #[derive(Debug, Default)]
-pub struct RequestStory {
+pub struct RequestTimeline {
     request: String,
     beliefs: SortedMap<String, String>,
     waiting: Vec<String>,
@@ -30,7 +30,7 @@
     found: bool,
 }
 
-impl RequestStory {
+impl RequestTimeline {
     /// Begins the story of a request.
     pub fn new(request: impl Into<String>) -> Self {
         Self {
@@ -40,7 +40,7 @@
     }
 
     /// Takes the log's next line; what is no decision line is passed over.
-    pub fn take(&mut self, text: &str) {
+    pub fn add_line(&mut self, text: &str) {
         let Ok(entry) = serde_json::from_str::<Value>(text) else {
             return;
         };
--- a/tests/request_story.rs
+++ b/tests/request_timeline.rs
@@ -1,15 +1,15 @@
 //! What a log tells of one request.
 
-use cardamomgw::logs::RequestStory;
+use cardamomgw::logs::RequestTimeline;
 
 fn line(time: u32, fields: &str) -> String {
     format!(r#"{{"level":"info","timestamp":{time},"payload":"p","kv":{{"line":{{{fields}}}}}}}"#)
 }
 
 fn story_of(request: &str, lines: &[String]) -> Vec<String> {
-    let mut story = RequestStory::new(request);
+    let mut story = RequestTimeline::new(request);
     for line in lines {
-        story.take(line);
+        story.add_line(line);
     }
     story.lines().to_vec()
 }
