--- a/benches/log_cost.rs
+++ b/benches/log_cost.rs
@@ -72,7 +72,7 @@
         "{written} bytes a line, {} ns a line at the median, {} ns at worst, {:?} lost",
         times[ROUNDS / 2],
         times[ROUNDS - 1],
-        log.losses()
+        log.lost_lines()
     );
     Ok(())
 }
--- a/src/edge/leave_controller.rs
+++ b/src/edge/leave_controller.rs
@@ -80,5 +80,5 @@
     state.log.write(&DecisionLine::Stopped {
         cut: state.running(),
     });
-    state.log.settle().await;
+    state.log.flush().await;
 }
--- a/src/edge/operator_pages.rs
+++ b/src/edge/operator_pages.rs
@@ -53,7 +53,7 @@
 }
 
 fn metrics_text(state: &EdgeState) -> Result<String, MetricsError> {
-    let (left_out, dropped) = state.log.losses();
+    let (left_out, dropped) = state.log.lost_lines();
     let (revision, catalog) = state.view.held_versions();
     let age = state.evidence_age().map_or(0, |age| age.as_millis() as u64);
     let mut text = state.metrics.render(&[
--- a/src/logs/decision_log.rs
+++ b/src/logs/decision_log.rs
@@ -74,12 +74,12 @@
     }
 
     /// Returns how many plain lines were left out and how many others were dropped.
-    pub fn losses(&self) -> (u64, u64) {
+    pub fn lost_lines(&self) -> (u64, u64) {
         (self.left_out.load(Ordering::Relaxed), self.queue.dropped())
     }
 
     /// Waits for a moment until all lines are written, at the process's end.
-    pub async fn settle(&self) {
+    pub async fn flush(&self) {
         self.queue.settle().await;
     }
 
--- a/tests/log_queue.rs
+++ b/tests/log_queue.rs
@@ -72,7 +72,7 @@
         "{:?}",
         begun.elapsed()
     );
-    assert!(log.losses().1 > 0, "the queue is bounded");
+    assert!(log.lost_lines().1 > 0, "the queue is bounded");
 }
 
 /// Under load plain successes are left out, and refusals stay.
@@ -95,7 +95,7 @@
         text.push_str(&String::from_utf8(bytes).unwrap());
     }
 
-    assert!(log.losses().0 > 0);
+    assert!(log.lost_lines().0 > 0);
     assert!(text.contains("\"kind\":\"account-limit\""));
     assert!(text.contains("\"evidence_age_ms\":300"));
 }
