--- a/src/claim/bar_round.rs
+++ b/src/claim/bar_round.rs
@@ -1,4 +1,5 @@
-//! The caller's side of a release or a bar, and the proof of `not-run`.
+//! The caller's side of releasing a claim or barring an attempt, and the proof that a
+//! request did not run.
 
 use std::sync::Arc;
 
@@ -12,30 +13,30 @@
 use crate::roster::RosterTag;
 use crate::roster::RosterView;
 
-/// How a round that releases or bars stands.
+/// The state of a round that releases a claim or bars an attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BarStatus {
     /// More answers are needed.
     Pending,
     /// The attempt was not dispatched and never will be; see [`BarRound::proof`].
     Barred,
-    /// Another ticket holds the id: whether it ran is for its holder to say.
+    /// Another ticket holds the id; only its holder knows whether the request ran.
     HeldByAnother(ClaimTicket),
-    /// Seats know a newer roster: learn it and [`SeatRound::renew`].
+    /// Some seats use a newer roster: learn it, then call [`SeatRound::renew`].
     RosterOld {
-        /// The newest roster that a seat named.
+        /// The newest roster reported by a seat.
         newest: RosterTag,
     },
-    /// The id is older than the window or lies in the future.
+    /// The id is older than the claim window or lies in the future.
     OutOfWindow {
-        /// A seat's time.
+        /// A seat's clock reading.
         now: UnixMillis,
     },
-    /// Too many seats can't be reached or have no voice for the id.
+    /// Too many seats are unreachable or may not vote on the id.
     NoMajority,
 }
 
-/// Shows that an attempt was not dispatched and never will be.
+/// Proof that an attempt was not dispatched and never will be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NotRunProof {
     id: RequestId,
@@ -48,21 +49,21 @@
         self.id
     }
 
-    /// Returns the attempt; the attempts below it did not run either.
+    /// Returns the attempt; lower attempts did not run either.
     pub const fn attempt(self) -> AttemptNumber {
         self.attempt
     }
 }
 
-/// What a [`BarRound`] asks: a release or a bar.
+/// Marks a [`SeatRound`] that releases a claim or bars an attempt.
 #[derive(Debug)]
 pub enum BarringKind {}
 
-/// Releases a ticket's grants or bars an attempt, at a majority.
+/// Releases a ticket's grants, or bars an attempt, at a majority of the seats.
 pub type BarRound = SeatRound<BarringKind>;
 
 impl SeatRound<BarringKind> {
-    /// Begins to bar the ticket's attempt; the ticket's round must be fresh.
+    /// Starts to bar the ticket's attempt; the ticket's round number must be unused.
     pub fn bar(id: RequestId, ticket: ClaimTicket, view: Arc<RosterView>) -> Self {
         Self::open(id, ClaimOperation::Bar, ticket, view)
     }
@@ -71,16 +72,16 @@
         Self::open(id, ClaimOperation::Release, ticket, view)
     }
 
-    /// Tells how the round stands.
+    /// Returns the state of the round.
     pub fn status(&self) -> BarStatus {
         match self.tally.state() {
             TallyState::Open => BarStatus::Pending,
             TallyState::Reached => BarStatus::Barred,
-            TallyState::OutOfReach => self.failure(),
+            TallyState::Failed => self.failure(),
         }
     }
 
-    /// Returns the proof of `not-run` once a majority barred the attempt.
+    /// Returns the proof of `not-run` once a majority has barred the attempt.
     pub fn proof(&self) -> Option<NotRunProof> {
         let id = self.tally.id;
         let attempt = self.tally.ticket.attempt;
--- a/src/claim/claim_message.rs
+++ b/src/claim/claim_message.rs
@@ -1,4 +1,4 @@
-//! The messages between a caller of claims and the seats.
+//! Messages between a process that claims ids and the seats.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,33 +10,34 @@
 use crate::ids::UnixMillis;
 use crate::roster::RosterTag;
 
-/// Numbers a process's rounds; each round of one incarnation has its own.
+/// Number of a round; unique within one incarnation of a process.
 pub type RoundNumber = u64;
 
-/// Who claims: one round of one process, for one attempt.
+/// Identifies a claimant: one round of one process, for one attempt.
 ///
-/// The round is part of it, since two resends may land on the same process: a
-/// grant to the first must not count for the second, which outlives its release.
+/// The round number is included because two resends may reach the same process. A grant
+/// to the first round must not count for the second, which may outlive the first one's
+/// release.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimTicket {
-    /// The host that claims.
+    /// The claiming host.
     pub host: HostName,
-    /// The life of the host's process.
+    /// The incarnation of the host's process.
     pub incarnation: IncarnationId,
-    /// The round within that life.
+    /// The round within that incarnation.
     pub round: RoundNumber,
     /// The request's attempt.
     pub attempt: AttemptNumber,
 }
 
-/// What a call asks of a seat.
+/// The operation requested from a seat.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ClaimOperation {
     /// Grant the id to the ticket.
     Claim,
-    /// Clear the ticket's grant and bar its attempt: the ticket will not dispatch.
+    /// Clear the ticket's grant and bar its attempt: the ticket will not be dispatched.
     Release,
-    /// Bar the ticket's attempt where nothing is granted.
+    /// Bar the ticket's attempt if nothing is granted.
     Bar,
 }
 
@@ -45,32 +46,33 @@
 pub struct ClaimCall {
     /// The request.
     pub id: RequestId,
-    /// The roster that the caller knows to be active.
+    /// The roster that the caller considers active.
     pub roster: RosterTag,
-    /// What is asked.
+    /// The requested operation.
     pub operation: ClaimOperation,
-    /// Who asks.
+    /// The claimant.
     pub ticket: ClaimTicket,
 }
 
-/// A seat's reply; it repeats what tells it from the reply to another call.
+/// A seat's reply. It repeats the fields that distinguish it from replies to other
+/// calls.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimReply {
     /// The request.
     pub id: RequestId,
     /// The call's roster.
     pub roster: RosterTag,
-    /// What was asked.
+    /// The operation of the call.
     pub operation: ClaimOperation,
-    /// The asking process's life.
+    /// The calling process's incarnation.
     pub incarnation: IncarnationId,
-    /// The asking round.
+    /// The calling round.
     pub round: RoundNumber,
-    /// What the seat says.
+    /// The seat's answer.
     pub answer: SeatAnswer,
 }
 
-/// What a seat says.
+/// A seat's answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SeatAnswer {
     /// The id is granted to the ticket.
@@ -78,7 +80,7 @@
         /// Whether a majority of the former roster is needed as well.
         needs_former: bool,
     },
-    /// Nothing is granted, and attempts up to `through` never will be.
+    /// Nothing is granted, and attempts up to `through` will never be granted.
     Barred {
         /// The highest barred attempt.
         through: AttemptNumber,
@@ -90,18 +92,18 @@
         /// The ticket that holds the grant.
         holder: ClaimTicket,
     },
-    /// The seat does not speak for this id, or has no voice yet.
+    /// The seat may not vote on this id, or may not vote at all yet.
     NotVoting,
-    /// The seat took up a newer roster than the call's.
+    /// The seat has adopted a newer roster than the call's.
     RosterOld {
-        /// The newest roster that the seat knows.
+        /// The newest roster known to the seat.
         newest: RosterTag,
     },
-    /// The seat does not know the call's roster to be active yet.
+    /// The seat does not know yet that the call's roster is active.
     RosterUnknown,
-    /// The id is older than the window or lies in the future.
+    /// The id is older than the claim window or lies in the future.
     OutOfWindow {
-        /// The seat's time.
+        /// The seat's clock reading.
         now: UnixMillis,
     },
 }
--- a/src/claim/claim_round.rs
+++ b/src/claim/claim_round.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a claim.
+//! The caller's side of claiming an attempt.
 
 use std::sync::Arc;
 
@@ -15,70 +15,73 @@
 use crate::roster::RosterTag;
 use crate::roster::RosterView;
 
-/// How a round for a claim stands.
+/// The state of a claim round.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimStatus {
     /// More answers are needed.
     Pending,
     /// The claim is won; take it with [`ClaimRound::win`].
     Granted,
-    /// Another ticket holds the id, or may yet come to hold it: join its holder.
+    /// Another ticket holds the id or may still obtain it: join its holder.
     HeldByAnother(ClaimTicket),
-    /// Several tickets split the seats and none can win: abandon the round.
+    /// Several tickets split the seats and none can reach a majority: abandon the
+    /// round.
     Contested,
     /// The attempt is barred.
     Barred {
         /// The highest barred attempt.
         through: AttemptNumber,
     },
-    /// Seats know a newer roster: learn it and [`SeatRound::renew`].
+    /// Some seats use a newer roster: learn it, then call [`SeatRound::renew`].
     RosterOld {
-        /// The newest roster that a seat named.
+        /// The newest roster reported by a seat.
         newest: RosterTag,
     },
-    /// The id is older than the window or lies in the future.
+    /// The id is older than the claim window or lies in the future.
     OutOfWindow {
-        /// A seat's time.
+        /// A seat's clock reading.
         now: UnixMillis,
     },
-    /// Too many seats can't be reached or have no voice for the id.
+    /// Too many seats are unreachable or may not vote on the id.
     NoMajority,
 }
 
-/// What a [`ClaimRound`] asks: a grant.
+/// Marks a [`SeatRound`] that requests a grant.
 #[derive(Debug)]
 pub enum ClaimingKind {}
 
-/// Asks the seats for a claim on one attempt of one id.
+/// Requests a claim on one attempt of one id from the seats.
 ///
-/// A round that is dropped leaves its grants behind; end it with
-/// [`ClaimRound::win`] or [`ClaimRound::abandon`].
+/// Dropping a round leaves its grants at the seats; end it with [`ClaimRound::win`] or
+/// [`ClaimRound::abandon`].
 pub type ClaimRound = SeatRound<ClaimingKind>;
 
 impl SeatRound<ClaimingKind> {
-    /// Begins a round; the ticket must be of this process and its round fresh.
+    /// Starts a round; the ticket must belong to this process and its round number must
+    /// be unused.
     pub fn begin(id: RequestId, ticket: ClaimTicket, view: Arc<RosterView>) -> Self {
         Self::open(id, ClaimOperation::Claim, ticket, view)
     }
 
-    /// Tells how the round stands.
+    /// Returns the state of the round.
     pub fn status(&self) -> ClaimStatus {
         match self.tally.state() {
             TallyState::Open => ClaimStatus::Pending,
             TallyState::Reached => ClaimStatus::Granted,
-            TallyState::OutOfReach => self.failure(),
+            TallyState::Failed => self.failure(),
         }
     }
 
-    /// Takes the claim when it is granted; gives the round back otherwise.
+    /// Returns the claim if it was granted, and the round itself otherwise.
     pub fn win(self) -> Result<HeldClaim<UnsentStage>, Box<Self>> {
         match self.tally.state() {
             TallyState::Reached => Ok(HeldClaim::new(self.tally.id, self.tally.ticket)),
-            TallyState::Open | TallyState::OutOfReach => Err(Box::new(self)),
+            TallyState::Open | TallyState::Failed => Err(Box::new(self)),
         }
     }
 
-    /// Gives up: whatever seats granted, or will grant late, is released.
+    /// Ends the round without a claim: releases every grant that seats made or will
+    /// still make for it.
     pub fn abandon(self, view: Arc<RosterView>) -> BarRound {
         BarRound::release(self.tally.id, self.tally.ticket, view)
     }
--- a/src/claim/held_claim.rs
+++ b/src/claim/held_claim.rs
@@ -1,4 +1,4 @@
-//! A claim that was won: dispatched once, or released, never both.
+//! A granted claim. It is either dispatched once or released, never both.
 
 use std::marker::PhantomData;
 use std::sync::Arc;
@@ -8,18 +8,18 @@
 use crate::ids::RequestId;
 use crate::roster::RosterView;
 
-/// The state of a claim under which no byte went to a target.
+/// The state of a claim while no byte has been sent to a target.
 #[derive(Debug)]
 pub enum UnsentStage {}
 
-/// The state of a claim under which the first byte may have gone to a target.
+/// The state of a claim once the first byte may have been sent to a target.
 #[derive(Debug)]
 pub enum SentStage {}
 
-/// A claim that a majority granted.
+/// A claim granted by a majority of the seats.
 ///
-/// Neither state can be copied, so one claim gives at most one dispatch. Guards
-/// against a release after the dispatch: seats would grant the id again.
+/// Neither state can be copied, so a claim gives at most one dispatch. This prevents a
+/// release after the dispatch, after which the seats would grant the id again.
 #[derive(Debug)]
 pub struct HeldClaim<S> {
     id: RequestId,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Ends the time in which the claim can be released; call this before the first
-    /// byte is handed to a target.
+    /// Consumes the releasable claim; must be called before the first byte is sent to a
+    /// target.
     pub fn dispatch(self) -> HeldClaim<SentStage> {
         HeldClaim {
             id: self.id,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Gives the claim back: nothing was dispatched under it and nothing will be.
+    /// Releases the claim: nothing was dispatched under it, and nothing will be.
     pub fn release(self, view: Arc<RosterView>) -> BarRound {
         BarRound::release(self.id, self.ticket, view)
     }
--- a/src/claim/mod.rs
+++ b/src/claim/mod.rs
@@ -1,14 +1,15 @@
 //! Claims: a request is dispatched only by the process that holds a claim on its id.
 //!
-//! A claim is a write-once register in the memory of a majority of seats. There is
-//! no log, no leader and no election; the proof is in `docs/PROOFS.md`, "Claims".
-//! Everything here is pure: time comes in as a value and messages as values.
+//! A claim is a write-once register, replicated in the memory of a majority of the
+//! seats. A seat is a voting member of the fleet. There is no log, no leader and no
+//! election; the proof is in `docs/PROOFS.md`, section "Claims". The code performs no
+//! I/O: time and messages are passed in as values.
 //!
-//! - A [`SeatRegister`] answers calls about ids: claim, release and bar.
-//! - A [`ClaimRound`] asks the seats for a claim; won, it becomes a [`HeldClaim`].
-//! - A [`HeldClaim`] is either dispatched, once, or released; never both.
-//! - A [`BarRound`] releases or bars an attempt; its [`NotRunProof`] is the only
-//!   ground on which a caller is told `not-run`.
+//! - A [`SeatRegister`] answers calls to claim, release or bar an id.
+//! - A [`ClaimRound`] requests a claim from the seats and yields a [`HeldClaim`].
+//! - A [`HeldClaim`] is either dispatched once or released, never both.
+//! - A [`BarRound`] releases a claim or bars an attempt. A caller is told `not-run`
+//!   only on the basis of its [`NotRunProof`].
 //!
 //! ```
 //! use std::sync::Arc;
@@ -25,8 +26,8 @@
 //!
 //! let seat = serde_json::json!({"host": "e1", "address": "127.0.0.1:1", "availability_zone": "z1"});
 //! let roster: SeatRoster = serde_json::from_value(serde_json::json!({"number": 1, "seats": [seat]}))?;
-//! let life = SeatIncarnation { started: 1_000, id: 7 };
-//! let mut register = SeatRegister::open("e1".into(), life, RegisterSettings::default());
+//! let incarnation = SeatIncarnation { started: 1_000, id: 7 };
+//! let mut register = SeatRegister::open("e1".into(), incarnation, RegisterSettings::default());
 //! register.roster_mut().offer(RosterPlan::new(&roster, None, false), 1_000)?;
 //! let view = Arc::new(register.roster().view().expect("a fleet of one bootstraps itself"));
 //!
@@ -41,7 +42,7 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! A claim that was not dispatched can be released:
+//! A claim can be released before it is dispatched:
 //!
 //! ```
 //! # use std::sync::Arc;
@@ -52,7 +53,7 @@
 //! }
 //! ```
 //!
-//! After the dispatch it can't; this does not compile:
+//! A dispatched claim can't be released; this does not compile:
 //!
 //! ```compile_fail,E0599
 //! # use std::sync::Arc;
--- a/src/claim/quorum_tally.rs
+++ b/src/claim/quorum_tally.rs
@@ -16,26 +16,26 @@
 use crate::roster::majority;
 use crate::sorted::SortedMap;
 
-/// What became of one seat.
+/// The state of the call to one seat.
 #[derive(Clone, Debug)]
 enum SeatState {
-    /// No answer came yet.
+    /// No answer yet.
     Waiting,
     /// The seat could not be reached.
-    Failed,
+    Unreachable,
     /// The seat answered.
     Answered(SeatAnswer),
 }
 
-/// How a tally stands.
+/// The result of a tally.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum TallyState {
-    /// Neither reached nor out of reach.
+    /// More answers are needed.
     Open,
-    /// The needed majorities said yes.
+    /// Every required majority answered positively.
     Reached,
-    /// Too many seats said no or failed.
-    OutOfReach,
+    /// Too many seats answered negatively or were unreachable.
+    Failed,
 }
 
 /// One call to the seats and their answers.
@@ -70,7 +70,7 @@
         tally
     }
 
-    /// Starts again under another roster; answers under the old one count no more.
+    /// Restarts under another roster; answers under the old one no longer count.
     pub(super) fn renew(&mut self, view: Arc<RosterView>) {
         self.needs_former = !view.former.is_empty() && self.id.time() <= view.former_until;
         self.view = view;
@@ -82,25 +82,28 @@
         }
     }
 
-    /// Returns the calls that were not handed out yet.
+    /// Returns the calls that have not been handed out yet.
     pub(super) fn calls(&mut self) -> Vec<(HostName, ClaimCall)> {
         let unsent = std::mem::take(&mut self.unsent);
         unsent.into_iter().map(|host| (host, self.call())).collect()
     }
 
-    /// Hands out the calls again to the seats whose answer may change.
+    /// Hands out the calls again for seats whose answer may still change.
     pub(super) fn resend(&mut self) {
-        let unsure = self.seats.iter().filter(|(_, state)| !self.says_yes(state));
+        let unsure = self
+            .seats
+            .iter()
+            .filter(|(_, state)| !self.is_positive(state));
         self.unsent = unsure.map(|(host, _)| host.clone()).collect();
         for host in &self.unsent {
             self.seats.insert(host.clone(), SeatState::Waiting);
         }
     }
 
-    /// Hands out the calls again to the seats that gave no answer.
+    /// Hands out the calls again for seats that did not answer.
     pub(super) fn resend_unanswered(&mut self) {
         for (host, state) in self.seats.iter_mut() {
-            if matches!(state, SeatState::Waiting | SeatState::Failed) {
+            if matches!(state, SeatState::Waiting | SeatState::Unreachable) {
                 *state = SeatState::Waiting;
                 self.unsent.push(host.clone());
             }
@@ -109,45 +112,49 @@
 
     pub(super) fn fail(&mut self, host: &HostName) {
         if let Some(state @ SeatState::Waiting) = self.seats.get_mut(host) {
-            *state = SeatState::Failed;
+            *state = SeatState::Unreachable;
         }
     }
 
     pub(super) fn accept(&mut self, host: &HostName, reply: ClaimReply) {
-        if !self.is_mine(&reply) {
+        if !self.matches_call(&reply) {
             return;
         }
         let Some(state) = self.seats.get(host) else {
             return;
         };
-        // A yes stands for good; a late no that was said before it changes nothing.
-        if self.says_yes(state) {
+        // A positive answer is final; a negative one that was sent earlier and arrives
+        // later is ignored.
+        if self.is_positive(state) {
             return;
         }
-        self.note_former(&reply.answer);
+        self.include_former(&reply.answer);
         self.seats
             .insert(host.clone(), SeatState::Answered(reply.answer));
     }
 
     pub(super) fn state(&self) -> TallyState {
-        let current = self.reach(&self.view.seats);
+        let current = self.majority_state(&self.view.seats);
         if !self.needs_former {
             return current;
         }
-        match (current, self.reach(&self.view.former)) {
+        match (current, self.majority_state(&self.view.former)) {
             (TallyState::Reached, TallyState::Reached) => TallyState::Reached,
-            (TallyState::OutOfReach, _) | (_, TallyState::OutOfReach) => TallyState::OutOfReach,
+            (TallyState::Failed, _) | (_, TallyState::Failed) => TallyState::Failed,
             _ => TallyState::Open,
         }
     }
 
-    /// Returns the ticket that most seats name as holder, and whether it can hold a
-    /// majority of the roster as far as the answers show.
+    /// Returns the ticket named as holder by most seats, and whether it can still majority_state
+    /// a majority of the roster according to the answers so far.
     pub(super) fn holder(&self) -> Option<(ClaimTicket, bool)> {
         let held: Vec<&ClaimTicket> = self.answers().filter_map(holder_in).collect();
         let count = |ticket: &ClaimTicket| held.iter().filter(|other| **other == ticket).count();
         let holder = held.iter().copied().max_by_key(|ticket| count(ticket))?;
-        let decided = self.answers().filter(|answer| is_decided(answer)).count();
+        let decided = self
+            .answers()
+            .filter(|answer| shows_register(answer))
+            .count();
         let open = self.seats.len() - decided;
         let enough = count(holder) + open >= majority(self.view.seats.len());
         Some((holder.clone(), enough))
@@ -198,7 +205,7 @@
         }
     }
 
-    fn is_mine(&self, reply: &ClaimReply) -> bool {
+    fn matches_call(&self, reply: &ClaimReply) -> bool {
         reply.id == self.id
             && reply.roster == self.view.tag
             && reply.operation == self.operation
@@ -206,12 +213,12 @@
             && reply.round == self.ticket.round
     }
 
-    /// Widens the quorum once any seat of it says that the id is older than the
-    /// roster. Guards against a caller that learned the activation earlier than
-    /// the seat, and would take the new roster alone for an id that the former
+    /// Adds the former roster to the quorum once any seat reports that the id is older
+    /// than the roster. The caller may learn of the activation earlier than that seat;
+    /// without this check it would ask the new roster alone about an id that the former
     /// roster may have granted.
-    fn note_former(&mut self, answer: &SeatAnswer) {
-        let asked = matches!(
+    fn include_former(&mut self, answer: &SeatAnswer) {
+        let needed = matches!(
             answer,
             SeatAnswer::Granted {
                 needs_former: true,
@@ -221,29 +228,29 @@
                 ..
             }
         );
-        if asked && !self.needs_former {
+        if needed && !self.needs_former {
             self.needs_former = true;
             self.add_seats(self.view.clone().former.as_slice());
         }
     }
 
-    fn reach(&self, hosts: &[HostName]) -> TallyState {
+    fn majority_state(&self, hosts: &[HostName]) -> TallyState {
         let needed = majority(hosts.len());
         let states = || hosts.iter().filter_map(|host| self.seats.get(host));
-        let yes = states().filter(|state| self.says_yes(state)).count();
+        let yes = states().filter(|state| self.is_positive(state)).count();
         let waiting = states()
             .filter(|state| matches!(state, SeatState::Waiting))
             .count();
         if yes >= needed {
             TallyState::Reached
         } else if yes + waiting < needed {
-            TallyState::OutOfReach
+            TallyState::Failed
         } else {
             TallyState::Open
         }
     }
 
-    fn says_yes(&self, state: &SeatState) -> bool {
+    fn is_positive(&self, state: &SeatState) -> bool {
         match (state, self.operation) {
             (SeatState::Answered(SeatAnswer::Granted { .. }), ClaimOperation::Claim) => true,
             (
@@ -269,8 +276,8 @@
     }
 }
 
-/// Tells whether the answer shows what the seat's register holds.
-const fn is_decided(answer: &SeatAnswer) -> bool {
+/// Returns whether the answer reveals the content of the seat's register.
+const fn shows_register(answer: &SeatAnswer) -> bool {
     matches!(
         answer,
         SeatAnswer::Granted { .. } | SeatAnswer::Barred { .. } | SeatAnswer::Held { .. }
--- a/src/claim/register_entry.rs
+++ b/src/claim/register_entry.rs
@@ -1,22 +1,22 @@
-//! What a seat remembers of one id.
+//! A seat's register entry for one id.
 
 use super::ClaimTicket;
 use super::RoundNumber;
 use crate::ids::AttemptNumber;
 use crate::ids::IncarnationId;
 
-/// Who holds a grant; the host's name stands once for all grants of a process.
+/// The holder of a grant. The host name is stored once for all grants of a process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct GrantHolder {
     pub(super) incarnation: IncarnationId,
     pub(super) round: RoundNumber,
 }
 
-/// What a seat remembers of one id.
+/// A seat's register entry for one id.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(super) struct RegisterEntry {
     holder: Option<GrantHolder>,
-    /// The attempt that the holder's grant is for.
+    /// The attempt for which the holder has the grant.
     granted_attempt: AttemptNumber,
     barred_through: AttemptNumber,
 }
@@ -38,7 +38,7 @@
         self.holder == Some(holder_of(ticket)) && self.granted_attempt == ticket.attempt
     }
 
-    /// Grants the id where nothing is granted and the attempt is not barred.
+    /// Grants the id if nothing is granted and the attempt is not barred.
     pub(super) fn claim(&mut self, ticket: &ClaimTicket) {
         if self.holder.is_none() && ticket.attempt > self.barred_through {
             self.holder = Some(holder_of(ticket));
@@ -54,8 +54,8 @@
         self.bar(ticket.attempt);
     }
 
-    /// Bars an attempt. Raising the bar beside a grant harms nothing: it stops
-    /// later grants only, and the seat still answers that the id is held.
+    /// Bars an attempt. Raising the bar while a grant exists is harmless: it only
+    /// prevents later grants, and the seat still answers that the id is held.
     pub(super) fn bar(&mut self, attempt: AttemptNumber) {
         self.barred_through = self.barred_through.max(attempt);
     }
--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -17,17 +17,18 @@
 use crate::roster::VotingRange;
 use crate::sorted::SortedMap;
 
-/// How often a seat looks for entries to forget, as a part of the window.
-const FORGET_PARTS: u64 = 64;
+/// Number of expiry runs in one claim window.
+const EXPIRY_RUNS_PER_WINDOW: u64 = 64;
 
-/// A seat's settings; the same on all hosts, from the fleet document's limits.
+/// A seat's settings; identical on all hosts, taken from the limits of the fleet
+/// document.
 #[derive(Clone, Copy, Debug)]
 pub struct RegisterSettings {
     /// How long an id is remembered, in milliseconds.
     pub window_ms: u64,
-    /// How far two clocks may differ, in milliseconds.
+    /// The maximum difference between two clocks, in milliseconds.
     pub skew_ms: u64,
-    /// Which rules are on.
+    /// The enabled protocol rules.
     pub rules: ClaimRules,
 }
 
@@ -41,32 +42,33 @@
     }
 }
 
-/// What a seat remembers of a process that claims.
+/// A seat's record of a process that holds grants.
 #[derive(Clone, Debug)]
 struct HolderRecord {
     host: HostName,
-    /// The latest time in an id that was granted to the process.
+    /// The latest time in an id granted to the process.
     latest: UnixMillis,
 }
 
-/// A seat: its register of claims and what it knows of rosters.
+/// A seat: its claim register and its knowledge of rosters.
 ///
-/// Both stand together, so that no vote for a new roster leaves the process while
-/// the register still grants under the old one.
+/// Both are kept together so that no vote for a new roster leaves the process while the
+/// register still grants under the old one.
 #[derive(Clone, Debug)]
 pub struct SeatRegister {
     settings: RegisterSettings,
     roster: RosterTracker,
     entries: SortedMap<RequestId, RegisterEntry>,
     holders: SortedMap<IncarnationId, HolderRecord>,
-    /// The latest time seen: a clock that is set back forgets nothing twice.
+    /// The latest time seen; it never decreases, so that a clock set back does not
+    /// reopen expired ids.
     latest: UnixMillis,
-    /// Ids timed before this are forgotten, and refused for good.
-    forgotten_before: UnixMillis,
+    /// Ids timed before this have expired and are refused permanently.
+    expired_before: UnixMillis,
 }
 
 impl SeatRegister {
-    /// Opens a seat with empty memory and without a voice.
+    /// Creates a seat that remembers nothing and may not vote.
     pub fn open(host: HostName, incarnation: SeatIncarnation, settings: RegisterSettings) -> Self {
         let tracker = TrackerSettings {
             skew_ms: settings.skew_ms,
@@ -78,14 +80,14 @@
             entries: SortedMap::new(),
             holders: SortedMap::new(),
             latest: 0,
-            forgotten_before: 0,
+            expired_before: 0,
         }
     }
 
-    /// Takes over the limits of a document, and returns those before: the window
-    /// and the skew, in milliseconds.
+    /// Applies the limits of a document and returns the previous window and skew, in
+    /// milliseconds.
     ///
-    /// What was forgotten under a shorter window stays refused under a longer one.
+    /// Ids that expired under a shorter window stay refused under a longer one.
     pub fn set_limits(&mut self, window_ms: u64, skew_ms: u64) -> (u64, u64) {
         let former = (self.settings.window_ms, self.settings.skew_ms);
         self.settings.window_ms = window_ms;
@@ -94,27 +96,27 @@
         former
     }
 
-    /// Returns what the seat knows of rosters.
+    /// Returns the seat's knowledge of rosters.
     pub const fn roster(&self) -> &RosterTracker {
         &self.roster
     }
 
-    /// Returns what the seat knows of rosters, to learn documents and digests.
+    /// Returns the seat's knowledge of rosters, to pass documents and digests to it.
     pub const fn roster_mut(&mut self) -> &mut RosterTracker {
         &mut self.roster
     }
 
-    /// Returns how many ids the seat remembers.
+    /// Returns the number of ids in the register.
     pub fn remembered(&self) -> usize {
         self.entries.len()
     }
 
-    /// Answers a call; `now` is this host's clock.
+    /// Answers a call; `now` is this host's clock reading.
     pub fn handle(&mut self, call: ClaimCall, now: UnixMillis) -> ClaimReply {
         self.latest = self.latest.max(now);
-        self.forget();
+        self.expire();
         let answer = match self.check(&call) {
-            Ok(span) => self.apply(&call, span),
+            Ok(range) => self.apply(&call, range),
             Err(refusal) => refusal,
         };
         ClaimReply {
@@ -127,25 +129,26 @@
         }
     }
 
-    /// Returns the span in which the seat speaks, or why it does not for this call.
+    /// Returns the range of ids that the seat answers for, or the reason to refuse the
+    /// call.
     fn check(&self, call: &ClaimCall) -> Result<VotingRange, SeatAnswer> {
-        let span = self.roster.voting_range().ok_or(SeatAnswer::NotVoting)?;
+        let range = self.roster.voting_range().ok_or(SeatAnswer::NotVoting)?;
         self.check_roster(call)?;
         self.check_window(call.id)?;
-        // Guards against lost memory: an earlier life may have granted the id and
-        // forgotten it. Whatever it granted is timed before `since`.
-        if self.settings.rules.boot_time && call.id.time() <= span.since {
+        // An earlier incarnation may have granted the id and lost its memory.
+        // Everything it granted is timed no later than `since`.
+        if self.settings.rules.boot_time && call.id.time() <= range.since {
             return Err(SeatAnswer::NotVoting);
         }
-        Ok(span)
+        Ok(range)
     }
 
-    /// Guards against a majority of an old roster that grants beside the new one:
-    /// from taking up the new roster on, this seat answers nothing under the old.
+    /// Prevents a majority of an old roster from granting ids beside the new one: once
+    /// it has adopted the new roster, this seat answers no calls under the old one.
     fn check_roster(&self, call: &ClaimCall) -> Result<(), SeatAnswer> {
         let newest = self.roster.newest().ok_or(SeatAnswer::NotVoting)?;
         if self.roster.active_tag() == Some(call.roster) && newest == call.roster {
-            return match self.roster.speaks_in_active() {
+            return match self.roster.votes_in_active() {
                 true => Ok(()),
                 false => Err(SeatAnswer::NotVoting),
             };
@@ -161,14 +164,14 @@
 
     fn check_window(&self, id: RequestId) -> Result<(), SeatAnswer> {
         let too_new = self.latest.saturating_add(self.settings.skew_ms);
-        let outside = id.time() < self.forgotten_before || id.time() > too_new;
+        let outside = id.time() < self.expired_before || id.time() > too_new;
         match outside && self.settings.rules.id_window {
             true => Err(SeatAnswer::OutOfWindow { now: self.latest }),
             false => Ok(()),
         }
     }
 
-    fn apply(&mut self, call: &ClaimCall, span: VotingRange) -> SeatAnswer {
+    fn apply(&mut self, call: &ClaimCall, range: VotingRange) -> SeatAnswer {
         let ticket = &call.ticket;
         let entry = self
             .entries
@@ -180,13 +183,13 @@
         }
         let entry = *entry;
         if entry.is_held_by(ticket) {
-            self.note_holder(call);
+            self.record_holder(call);
         }
-        self.answer(call, entry, span)
+        self.answer(call, entry, range)
     }
 
-    fn answer(&self, call: &ClaimCall, entry: RegisterEntry, span: VotingRange) -> SeatAnswer {
-        let old = call.id.time() <= span.former_until;
+    fn answer(&self, call: &ClaimCall, entry: RegisterEntry, range: VotingRange) -> SeatAnswer {
+        let old = call.id.time() <= range.former_until;
         let needs_former = old && self.settings.rules.two_rosters;
         let through = entry.barred_through();
         let ignored =
@@ -217,7 +220,7 @@
         record.map_or_else(String::new, |record| record.host.clone())
     }
 
-    fn note_holder(&mut self, call: &ClaimCall) {
+    fn record_holder(&mut self, call: &ClaimCall) {
         let ticket = &call.ticket;
         let record = self
             .holders
@@ -228,14 +231,14 @@
         record.latest = record.latest.max(call.id.time());
     }
 
-    /// Forgets ids older than the window, some at a time so that it costs little.
-    fn forget(&mut self) {
+    /// Removes ids older than the window, in batches to keep the cost per call low.
+    fn expire(&mut self) {
         let before = self.latest.saturating_sub(self.settings.window_ms);
-        let step = self.settings.window_ms / FORGET_PARTS;
-        if before < self.forgotten_before.saturating_add(step.max(1)) {
+        let step = self.settings.window_ms / EXPIRY_RUNS_PER_WINDOW;
+        if before < self.expired_before.saturating_add(step.max(1)) {
             return;
         }
-        self.forgotten_before = before;
+        self.expired_before = before;
         self.entries.remove_below(&RequestId::first_at(before));
         self.holders.retain(|_, record| record.latest >= before);
     }
--- a/src/roster/bootstrap_block.rs
+++ b/src/roster/bootstrap_block.rs
@@ -1,16 +1,16 @@
-//! What keeps a roster from being founded.
+//! The reason that a roster is not bootstrapped.
 
 use derive_more::Display;
 
 use crate::ids::HostName;
 use crate::ids::RosterNumber;
 
-/// A roster that a document lets be founded, while seats of it still have a voice in
-/// an older one.
+/// A roster that a document allows to be bootstrapped while some of its seats still
+/// vote in an older one.
 ///
-/// Guards against an operator who says `former_lost` while a host survives and keeps
-/// its seat: the new hosts learn the old roster from it, put the document in force
-/// and stay without a voice, and nothing else would say why.
+/// Operators may set `former_lost` while a host survives and keeps its seat. The new
+/// hosts learn the old roster from it, put the document in force and never get to vote;
+/// this report tells the operators why.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display(
     "roster {roster} is not founded while seats of it speak for roster {active}; \
@@ -18,10 +18,10 @@
     hosts.join(", ")
 )]
 pub struct BootstrapBlock {
-    /// The roster that waits.
+    /// The roster that waits to be bootstrapped.
     pub roster: RosterNumber,
     /// The roster that is still active.
     pub active: RosterNumber,
-    /// The waiting roster's hosts that were last heard with a voice, sorted.
+    /// The waiting roster's hosts that were voting when last heard from, sorted.
     pub hosts: Vec<HostName>,
 }
--- a/src/roster/known_rosters.rs
+++ b/src/roster/known_rosters.rs
@@ -1,17 +1,17 @@
-//! The rosters that one process knows.
+//! The rosters known to a process.
 
 use super::RosterPlan;
 use super::RosterTag;
 use crate::ids::HostName;
 
-/// The rosters that one process knows.
+/// The rosters known to a process.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KnownRosters {
-    /// The newest roster that is known to be active.
+    /// The newest roster known to be active.
     pub(super) active: Option<RosterPlan>,
-    /// The direct successor of `active` that this process took up.
+    /// The direct successor of `active` that this process adopted.
     pub(super) adopted: Option<RosterPlan>,
-    /// The newest roster that a document offered.
+    /// The newest roster offered by a document.
     pub(super) offered: Option<RosterPlan>,
 }
 
@@ -24,12 +24,12 @@
         self.adopted.as_ref().map(|plan| plan.tag)
     }
 
-    /// Returns the roster that was taken up, or else the active one.
+    /// Returns the adopted roster, or the active one if none was adopted.
     pub(super) fn binding_tag(&self) -> Option<RosterTag> {
         self.adopted_tag().or(self.active_tag())
     }
 
-    /// Returns the newest roster, whether or not it may be taken up.
+    /// Returns the newest roster, whether or not it may be adopted.
     pub(super) fn newest(&self) -> Option<&RosterPlan> {
         self.plans().max_by_key(|plan| plan.tag)
     }
@@ -55,7 +55,7 @@
         hosts
     }
 
-    /// Adds what a document says of the former roster to a plan that lacks it.
+    /// Adds the former roster named by a document to a known plan that lacks it.
     pub(super) fn fill_former(&mut self, plan: &RosterPlan) {
         let known = [&mut self.active, &mut self.adopted];
         for known in known.into_iter().flatten() {
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -1,16 +1,16 @@
-//! Which roster of seats is active, and whether this process has a voice in it.
+//! Membership of the seats: which roster is active, and whether this process may vote.
 //!
 //! The rules and their proof are in `docs/PROOFS.md`, section "Claims". In short:
-//! - A process takes up only a direct successor of the roster that it knows to be
-//!   active, and only one; from then on it answers no call of the older roster.
-//! - The successor is active once a majority of the older roster took it up.
-//!   That is a stable fact, which anybody may pass on.
-//! - A restarted seat has no voice until a majority of other seats, which noted its
-//!   new life first, told it what they took up. Votes are counted together only
-//!   when they agree about each other's lives (a crash vector): a vote of an
-//!   earlier life, which the seat itself forgot, counts for nothing.
-//! - Seats without a voice found a roster only when all of them are voiceless at
-//!   once, and only one that follows none: a document without `former`, or with
+//! - A process adopts only a direct successor of the roster that it knows to be
+//!   active, and only one; from then on it answers no calls of the older roster.
+//! - The successor is active once a majority of the older roster has adopted it. An
+//!   activation is never undone, so any process may pass it on.
+//! - A restarted seat may not vote until a majority of the other seats, after recording
+//!   its new incarnation, has reported what they adopted. Votes are counted together
+//!   only if they agree on each other's incarnations (a crash vector): a vote of an
+//!   earlier incarnation, which the seat no longer remembers, is not counted.
+//! - Non-voting seats bootstrap a roster only if none of them votes at one moment, and
+//!   only a roster without a predecessor: from a document without `former`, or with
 //!   `former_lost`.
 //!
 //! ```
@@ -23,8 +23,8 @@
 //! let seat = serde_json::json!({"host": "e1", "address": "127.0.0.1:1", "availability_zone": "z1"});
 //! let roster: SeatRoster = serde_json::from_value(serde_json::json!({"number": 1, "seats": [seat]}))?;
 //! let plan = RosterPlan::new(&roster, None, false);
-//! let life = SeatIncarnation { started: 1_000, id: 7 };
-//! let mut tracker = RosterTracker::new("e1".into(), life, TrackerSettings::default());
+//! let incarnation = SeatIncarnation { started: 1_000, id: 7 };
+//! let mut tracker = RosterTracker::new("e1".into(), incarnation, TrackerSettings::default());
 //! tracker.offer(plan, 1_000)?;
 //! assert!(tracker.voting_range().is_some(), "a fleet of one bootstraps itself");
 //! # Ok::<(), Box<dyn std::error::Error>>(())
@@ -32,7 +32,7 @@
 
 mod bootstrap_block;
 mod known_rosters;
-mod offer_judgement;
+mod offer_check;
 mod peer_table;
 mod quorum_check;
 mod roster_digest;
--- a/src/roster/offer_judgement.rs
+++ b/src/roster/offer_check.rs
@@ -1,4 +1,4 @@
-//! Whether a document's roster may follow those that a process knows.
+//! Checks whether a document's roster may follow those that a process knows.
 
 use super::RosterDecision;
 use super::RosterPlan;
@@ -7,11 +7,11 @@
 use super::quorum_check::majority;
 use crate::ids::RosterNumber;
 
-/// Judges the roster of a document; `voting` tells whether this process speaks.
+/// Checks the roster of a document; `voting` tells whether this process may vote.
 ///
-/// # Errors
-/// The refusal, when the roster can't follow the one that is active here.
-pub(super) fn judge_offer(
+/// # Errors The reason to refuse it, if the roster can't follow the one that is active
+/// here.
+pub(super) fn check_offer(
     rosters: &KnownRosters,
     plan: &RosterPlan,
     voting: bool,
@@ -29,18 +29,18 @@
         return Err(RosterRefusal::TooManyNewSeats { continuing, seats });
     }
     match &rosters.active {
-        Some(active) => judge_after(rosters, active.tag.number, plan, voting),
-        None => judge_first(rosters, plan),
+        Some(active) => check_successor(rosters, active.tag.number, plan, voting),
+        None => check_first(rosters, plan),
     }
 }
 
-fn judge_first(rosters: &KnownRosters, plan: &RosterPlan) -> Result<RosterDecision, RosterRefusal> {
+fn check_first(rosters: &KnownRosters, plan: &RosterPlan) -> Result<RosterDecision, RosterRefusal> {
     let lowest = rosters.offered.as_ref().map_or(0, |known| known.tag.number);
     check_number(plan, lowest)?;
     Ok(RosterDecision::Accepted)
 }
 
-fn judge_after(
+fn check_successor(
     rosters: &KnownRosters,
     active: RosterNumber,
     plan: &RosterPlan,
@@ -49,8 +49,9 @@
     let binding = rosters.binding_tag().map_or(0, |tag| tag.number);
     check_number(plan, binding + 1)?;
     let Some(former) = plan.former_tag() else {
-        // Without a voice the operator's word stands: nobody is contradicted, and
-        // the roster is founded only if none of its seats has a voice.
+        // A process that may not vote accepts the operators' statement: it contradicts
+        // no voting seat, and the roster is bootstrapped only if none of its seats
+        // votes.
         return match voting {
             true => Err(RosterRefusal::AlreadyFounded { active }),
             false => Ok(RosterDecision::Accepted),
--- a/src/roster/peer_table.rs
+++ b/src/roster/peer_table.rs
@@ -1,23 +1,23 @@
-//! What the peers told last, and the newest life of each host.
+//! The last digest of each peer and the newest known incarnation of each host.
 
 use super::RosterDigest;
 use super::SeatIncarnation;
 use crate::ids::HostName;
 use crate::sorted::SortedMap;
 
-/// What the peers told last, and the newest life of each host.
+/// The last digest of each peer and the newest known incarnation of each host.
 #[derive(Clone, Debug)]
 pub(super) struct PeerTable {
     pub(super) host: HostName,
     pub(super) incarnation: SeatIncarnation,
     incarnations: SortedMap<HostName, SeatIncarnation>,
     digests: SortedMap<HostName, RosterDigest>,
-    /// Whether digests of lives known to be over are dropped.
-    drops_dead: bool,
+    /// Whether digests of incarnations known to have ended are dropped.
+    drops_stale: bool,
 }
 
 impl PeerTable {
-    pub(super) fn new(host: HostName, incarnation: SeatIncarnation, drops_dead: bool) -> Self {
+    pub(super) fn new(host: HostName, incarnation: SeatIncarnation, drops_stale: bool) -> Self {
         let mut incarnations = SortedMap::new();
         incarnations.insert(host.clone(), incarnation);
         Self {
@@ -25,7 +25,7 @@
             incarnation,
             incarnations,
             digests: SortedMap::new(),
-            drops_dead,
+            drops_stale,
         }
     }
 
@@ -41,16 +41,16 @@
         self.digests.values()
     }
 
-    /// Takes a digest, unless a later life of its sender is known.
-    pub(super) fn note(&mut self, from: &HostName, digest: RosterDigest) {
+    /// Stores a digest, unless a later incarnation of its sender is known.
+    pub(super) fn record(&mut self, from: &HostName, digest: RosterDigest) {
         let known = self.incarnations.get(from);
-        if self.drops_dead && known.is_some_and(|incarnation| *incarnation > digest.incarnation) {
+        if self.drops_stale && known.is_some_and(|incarnation| *incarnation > digest.incarnation) {
             return;
         }
         raise_incarnation(&mut self.incarnations, from, digest.incarnation);
         self.raise_incarnations(&digest.incarnations);
         self.digests.insert(from.clone(), digest);
-        if self.drops_dead {
+        if self.drops_stale {
             let incarnations = &self.incarnations;
             self.digests.retain(|host, digest| {
                 incarnations
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Takes over all lives that a peer told.
-    pub(super) fn raise_incarnations(&mut self, told: &SortedMap<HostName, SeatIncarnation>) {
-        for (host, incarnation) in told.iter() {
+    /// Merges all incarnations reported by a peer.
+    pub(super) fn raise_incarnations(&mut self, reported: &SortedMap<HostName, SeatIncarnation>) {
+        for (host, incarnation) in reported.iter() {
             raise_incarnation(&mut self.incarnations, host, *incarnation);
         }
     }
 
-    /// Keeps the memory bounded: hosts of rosters long gone are forgotten.
+    /// Removes hosts that are in no known roster, to bound the memory.
     pub(super) fn keep_hosts(&mut self, hosts: &[HostName]) {
         if hosts.is_empty() {
             return;
@@ -78,7 +78,7 @@
         self.digests.retain(|host, _| is_kept(host));
     }
 
-    /// Tells whether a later process runs under this host's name.
+    /// Returns whether a later process runs under this host's name.
     pub(super) fn is_superseded(&self) -> bool {
         let newest = self.incarnations.get(&self.host);
         newest.is_some_and(|incarnation| *incarnation > self.incarnation)
--- a/src/roster/quorum_check.rs
+++ b/src/roster/quorum_check.rs
@@ -1,4 +1,5 @@
-//! What digests prove together: an election, a way to join, a deserted roster.
+//! Conclusions from several digests: elections, rejoining, and rosters without a voting
+//! seat.
 
 use super::RosterDigest;
 use super::RosterPlan;
@@ -8,19 +9,19 @@
 use crate::ids::HostName;
 use crate::sorted::SortedMap;
 
-/// Digests with their senders.
+/// A digest with its sender.
 type SentDigest<'a> = (&'a HostName, &'a RosterDigest);
 
-/// Returns how many of `seats` are a majority.
+/// Returns the size of a majority of `seats`.
 pub(crate) const fn majority(seats: usize) -> usize {
     seats / 2 + 1
 }
 
-/// Tells whether a majority of the former roster took up `plan`.
+/// Returns whether a majority of the former roster adopted `plan`.
 ///
-/// Each vote is of a seat that has a voice and knew the former roster active.
-/// Guards against a skipped roster: seats that jump over one which became active
-/// elsewhere would elect beside it.
+/// Only seats that may vote and knew the former roster active are counted. Otherwise
+/// seats that skip a roster which became active elsewhere would elect another one
+/// beside it.
 pub(super) fn is_elected(
     plan: &RosterPlan,
     peers: &PeerTable,
@@ -38,44 +39,47 @@
         .filter(|(_, digest)| is_vote(digest))
         .collect();
     let counted = match rules.crash_vector {
-        true => agreeing(&votes),
+        true => count_agreeing(&votes),
         false => votes.len(),
     };
     counted >= majority(seats.len())
 }
 
-/// Returns the lives that a majority of the other seats told to this voiceless
-/// process, when they noted its life and none of them took up a newer roster.
+/// Returns the incarnations reported to this non-voting process by a majority of the
+/// other seats, if they have recorded its own incarnation and none of them adopted a
+/// newer roster.
 ///
-/// Guards against a restarted seat that a stale document sends back to an old
-/// roster, while its earlier life voted for a newer one. Where any seat already
-/// took up a newer roster, the process waits and joins that one.
+/// A stale document may send a restarted seat back to an old roster although its
+/// earlier incarnation voted for a newer one. If any seat has adopted a newer roster,
+/// the process waits and joins that one.
 pub(super) fn incarnations_to_join(
     plan: &RosterPlan,
     peers: &PeerTable,
     rules: ClaimRules,
 ) -> Option<Vec<SortedMap<HostName, SeatIncarnation>>> {
     let others = plan.seats.iter().filter(|seat| **seat != peers.host);
-    let told: Vec<SentDigest> = others
+    let reported: Vec<SentDigest> = others
         .filter_map(|seat| Some((seat, peers.get(seat)?)))
         .filter(|(_, digest)| digest.voting && digest.active == Some(plan.tag))
         .filter(|(_, digest)| digest.incarnations.get(&peers.host) == Some(&peers.incarnation))
         .collect();
     let needed = majority(plan.seats.len()).min(plan.seats.len() - 1);
-    let is_clean = !rules.join_waits || told.iter().all(|(_, digest)| digest.adopted.is_none());
-    let joins = needed > 0 && is_clean && agreeing(&told) >= needed;
+    let none_adopted =
+        !rules.join_waits || reported.iter().all(|(_, digest)| digest.adopted.is_none());
+    let joins = needed > 0 && none_adopted && count_agreeing(&reported) >= needed;
     joins.then(|| {
-        told.iter()
-            .map(|(_, told)| told.incarnations.clone())
+        reported
+            .iter()
+            .map(|(_, reported)| reported.incarnations.clone())
             .collect()
     })
 }
 
-/// Tells whether all seats of `plan` are voiceless at once and know nothing newer.
+/// Returns whether no seat of `plan` votes at one moment and none knows a newer roster.
 ///
-/// Each digest must name exactly the lives of all the others, so they were all
-/// running, and voiceless, at one moment.
-pub(super) fn is_deserted(plan: &RosterPlan, peers: &PeerTable, own: &RosterDigest) -> bool {
+/// Each digest must name exactly the incarnations of all others, which shows that all
+/// seats ran, without a vote, at the same time.
+pub(super) fn none_voting(plan: &RosterPlan, peers: &PeerTable, own: &RosterDigest) -> bool {
     let silent: Vec<SentDigest> = digests_of(&plan.seats, peers, own)
         .filter(|(_, digest)| !digest.voting && digest.adopted == Some(plan.tag))
         .collect();
@@ -103,13 +107,15 @@
         })
 }
 
-/// Returns how many of `digests` are of a life that no other one knows to be over.
+/// Returns how many of `digests` are from an incarnation that no other digest knows to
+/// have ended.
 ///
-/// Guards against counting a vote that its sender forgot: a seat votes, restarts
-/// with empty memory, regains a voice from a majority that noted its new life, and
-/// speaks for the old roster while the late vote completes a majority for the new.
-/// A member of both majorities then names the new life, and the vote is left out.
-fn agreeing(digests: &[SentDigest]) -> usize {
+/// This excludes votes that their sender has forgotten: a seat votes, restarts with
+/// empty memory, may vote again after a majority recorded its new incarnation, and
+/// answers for the old roster while the late vote completes a majority for the new one.
+/// A member of both majorities then names the new incarnation, and the late vote is not
+/// counted.
+fn count_agreeing(digests: &[SentDigest]) -> usize {
     let is_over = |host: &HostName, digest: &RosterDigest| {
         digests.iter().any(|(_, other)| {
             let known = other.incarnations.get(host);
--- a/src/roster/roster_digest.rs
+++ b/src/roster/roster_digest.rs
@@ -1,4 +1,4 @@
-//! What peers tell each other about rosters.
+//! The roster information that peers exchange.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,36 +9,36 @@
 use crate::ids::HostName;
 use crate::sorted::SortedMap;
 
-/// What one process knows about rosters; peers exchange it each second and
-/// whenever it changes.
+/// What a process knows of rosters; peers exchange it every second and after each
+/// change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RosterDigest {
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: SeatIncarnation,
-    /// Whether the sender has a voice.
+    /// Whether the sender may vote.
     pub voting: bool,
     /// The newest roster that the sender knows to be active.
     pub active: Option<RosterTag>,
-    /// The successor of `active` that the sender took up; for a sender without a
-    /// voice, the newest roster that it knows.
+    /// The successor of `active` that the sender adopted; for a non-voting sender, the
+    /// newest roster that it knows.
     pub adopted: Option<RosterTag>,
-    /// The newest life of each host that the sender heard of (a crash vector).
+    /// The newest known incarnation of each host (a crash vector).
     pub incarnations: SortedMap<HostName, SeatIncarnation>,
-    /// How the active roster was founded; told while one of its seats is voiceless.
+    /// The bootstrap of the active roster; sent while one of its seats may not vote.
     pub bootstrap: Option<BootstrapRecord>,
-    /// The active roster itself, told while a peer is known to be behind it: the peer
-    /// may have skipped its document, or taken up another one.
+    /// The active roster itself; sent while a peer is known to be behind it, since that
+    /// peer may have missed its document or adopted another one.
     pub plan: Option<RosterPlan>,
 }
 
-/// Shows that all seats of a roster were voiceless at once.
+/// Proof that no seat of a roster was voting at one moment.
 ///
-/// The first seat that sees it has a voice, and the others can't see it any more;
-/// a seat whose life stands here takes the record in place of its own look.
+/// The first seat that observes this starts to vote, so the others can no longer
+/// observe it. A seat whose incarnation is listed here accepts the record instead.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BootstrapRecord {
-    /// The founded roster.
+    /// The bootstrapped roster.
     pub roster: RosterTag,
-    /// The lives of its seats, in the order of their names.
+    /// The incarnations of its seats, in the order of their names.
     pub incarnations: Vec<SeatIncarnation>,
 }
--- a/src/roster/roster_plan.rs
+++ b/src/roster/roster_plan.rs
@@ -1,4 +1,4 @@
-//! A roster as a document names it, and the tag that stands for it in messages.
+//! A roster as named by a document, and the tag that identifies it in messages.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,28 +15,28 @@
 pub struct RosterTag {
     /// The roster's number.
     pub number: RosterNumber,
-    /// The first bytes of SHA-256 over the sorted host names: two operators who
-    /// give the same number to different seats do not form one roster by it.
+    /// The first bytes of the SHA-256 of the sorted host names. It distinguishes the
+    /// rosters of two operators who give the same number to different seats.
     pub digest: u32,
 }
 
 /// A roster and the one that it replaces.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RosterPlan {
-    /// Stands for the roster.
+    /// Identifies the roster.
     pub tag: RosterTag,
     /// The hosts that hold seats, sorted.
     pub seats: Vec<HostName>,
     /// The replaced roster's tag and hosts; absent when nothing is replaced.
     pub former: Option<(RosterTag, Vec<HostName>)>,
-    /// Whether a document said that nothing is replaced, or that the former roster
-    /// is lost: the operator's word that no older roster is in use.
+    /// Whether a document states that nothing is replaced, or that the former roster is
+    /// lost: the operators' assertion that no older roster is in use.
     pub bootstraps: bool,
 }
 
 impl RosterPlan {
-    /// Makes the plan of `roster` after `former`; `former_lost` is the operator's
-    /// word that nothing is left of `former`, so it counts as absent.
+    /// Creates the plan of `roster` after `former`. With `former_lost`, the operators
+    /// assert that nothing is left of `former`, which then counts as absent.
     pub fn new(roster: &SeatRoster, former: Option<&SeatRoster>, former_lost: bool) -> Self {
         let (tag, seats) = tag_of(roster);
         let former = former.filter(|_| !former_lost).map(tag_of);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Makes the plan that a document names.
+    /// Creates the plan named by a document.
     pub fn of_document(document: &FleetDocument) -> Self {
         Self::new(
             &document.roster,
@@ -58,12 +58,12 @@
         )
     }
 
-    /// Tells whether `host` holds a seat.
+    /// Returns whether `host` holds a seat.
     pub fn has_seat(&self, host: &str) -> bool {
         holds(&self.seats, host)
     }
 
-    /// Tells whether `host` holds a seat in the replaced roster.
+    /// Returns whether `host` holds a seat in the replaced roster.
     pub fn had_seat(&self, host: &str) -> bool {
         self.former
             .as_ref()
@@ -75,12 +75,12 @@
         self.former.as_ref().map(|(tag, _)| *tag)
     }
 
-    /// Returns how many seats also stood in the replaced roster.
+    /// Returns the number of seats that are also in the replaced roster.
     pub fn continuing(&self) -> usize {
         self.seats.iter().filter(|host| self.had_seat(host)).count()
     }
 
-    /// Returns the replaced roster as a plan whose own former is not known.
+    /// Returns the replaced roster as a plan without a known predecessor.
     pub(crate) fn former_plan(&self) -> Option<Self> {
         let (tag, seats) = self.former.clone()?;
         Some(Self {
--- a/src/roster/roster_refusal.rs
+++ b/src/roster/roster_refusal.rs
@@ -1,29 +1,29 @@
-//! What becomes of a roster that a document offers.
+//! The outcome of a roster offered by a document.
 
 use derive_more::Display;
 use derive_more::Error;
 
 use crate::ids::RosterNumber;
 
-/// What becomes of a roster that was not refused.
+/// The outcome of a roster that was not refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RosterDecision {
-    /// The roster is the one that the process already has.
+    /// The process already has this roster.
     Unchanged,
-    /// The roster replaces the active one or one on the way; it takes its course.
+    /// The roster replaces the active one or one that is about to become active.
     Accepted,
-    /// The replaced roster is not known here yet; offer the document again when
-    /// peers told more. Nothing of the document may be put in force.
+    /// The replaced roster is not known here yet. Nothing of the document may be put in
+    /// force; offer it again when peers have reported more.
     Waiting,
 }
 
-/// Why a document's roster is refused.
+/// The reason that a document's roster is refused.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum RosterRefusal {
     /// The roster has no seats.
     #[display("the roster has no seats")]
     NoSeats,
-    /// The document founds a fleet (or says that the former roster is lost), but
+    /// The document bootstraps a fleet (or says that the former roster is lost), but
     /// this process already knows an active roster.
     #[display(
         "the document founds a fleet, but roster {active} is active here; \
@@ -33,7 +33,7 @@
         /// The active roster's number.
         active: RosterNumber,
     },
-    /// The roster's number does not rise.
+    /// The roster's number is too low.
     #[display("roster {offered} is known to be replaced; the number must be at least {lowest}")]
     NotNewer {
         /// The offered number.
@@ -41,7 +41,8 @@
         /// The lowest number that could be accepted.
         lowest: RosterNumber,
     },
-    /// The roster replaces one that is not the active one, nor on the way.
+    /// The roster replaces neither the active one nor one that is about to become
+    /// active.
     #[display("the document replaces roster {former}, but roster {active} is active")]
     NotSuccessor {
         /// The roster that the document replaces.
@@ -49,21 +50,21 @@
         /// The active roster.
         active: RosterNumber,
     },
-    /// Too few of the new roster's seats stand in the former one: the new seats
-    /// could never learn what they must know before they speak.
+    /// Too few of the new roster's seats are in the former one: the new seats could
+    /// never learn what they need before they may vote.
     #[display(
         "only {continuing} of {seats} seats also stand in the former roster; a majority must"
     )]
     TooManyNewSeats {
-        /// Seats that stand in both rosters.
+        /// Seats that are in both rosters.
         continuing: usize,
         /// Seats of the new roster.
         seats: usize,
     },
-    /// The process already took up another successor of the same roster.
+    /// The process already adopted another successor of the same roster.
     #[display("roster {adopted} already replaces the active roster")]
     OtherSuccessor {
-        /// The number of the successor that was taken up.
+        /// The number of the adopted successor.
         adopted: RosterNumber,
     },
 }
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -1,4 +1,4 @@
-//! What one process knows of rosters, and whether it has a voice.
+//! Tracks the known rosters of a process and whether it may vote.
 
 use super::BootstrapBlock;
 use super::BootstrapRecord;
@@ -12,30 +12,30 @@
 use super::TrackerSettings;
 use super::VotingRange;
 use super::known_rosters::KnownRosters;
-use super::offer_judgement::judge_offer;
+use super::offer_check::check_offer;
 use super::peer_table::PeerTable;
 use super::quorum_check::incarnations_to_join;
-use super::quorum_check::is_deserted;
 use super::quorum_check::is_elected;
+use super::quorum_check::none_voting;
 use crate::ids::HostName;
 use crate::ids::UnixMillis;
 
-/// What one process knows of rosters, and whether it has a voice.
+/// Tracks the known rosters of a process and whether it may vote.
 #[derive(Clone, Debug)]
 pub struct RosterTracker {
     settings: TrackerSettings,
     rosters: KnownRosters,
-    /// For which ids this process speaks; a restarted process speaks for none.
+    /// The range of ids that this process may vote on; `None` after a restart.
     voting_range: Option<VotingRange>,
     /// Ids timed up to here may have been granted under the former roster.
     former_until: UnixMillis,
-    /// How this process gained its voice, when that was by founding.
+    /// The bootstrap by which this process got its vote, if any.
     bootstrap: Option<BootstrapRecord>,
     peers: PeerTable,
 }
 
 impl RosterTracker {
-    /// Makes the tracker of a process that just started and knows nothing.
+    /// Creates the tracker of a process that just started and knows nothing.
     pub fn new(host: HostName, incarnation: SeatIncarnation, settings: TrackerSettings) -> Self {
         Self {
             settings,
@@ -47,45 +47,44 @@
         }
     }
 
-    /// Takes over how far two clocks may differ, in milliseconds.
+    /// Sets the maximum difference between two clocks, in milliseconds.
     pub fn set_skew(&mut self, skew_ms: u64) {
         self.settings.skew_ms = skew_ms;
     }
 
-    /// Takes the roster of a document.
+    /// Processes the roster of a document.
     ///
-    /// # Errors
-    /// The refusal, when the roster can't follow the one that is active here; the
-    /// document must then be refused whole.
+    /// # Errors The reason to refuse it, if the roster can't follow the one that is
+    /// active here; the whole document must then be refused.
     pub fn offer(
         &mut self,
         plan: RosterPlan,
         now: UnixMillis,
     ) -> Result<RosterDecision, RosterRefusal> {
-        let verdict = judge_offer(&self.rosters, &plan, self.voting_range.is_some())?;
-        match verdict {
+        let decision = check_offer(&self.rosters, &plan, self.voting_range.is_some())?;
+        match decision {
             RosterDecision::Unchanged => self.rosters.fill_former(&plan),
             RosterDecision::Accepted | RosterDecision::Waiting => self.rosters.offered = Some(plan),
         }
-        self.step(now);
-        Ok(verdict)
+        self.advance(now);
+        Ok(decision)
     }
 
-    /// Takes a peer's digest; returns whether anything changed, so that peers
-    /// should be told at once.
+    /// Processes a peer's digest; returns whether anything changed, in which case peers
+    /// should be notified at once.
     pub fn learn(&mut self, from: &HostName, digest: RosterDigest, now: UnixMillis) -> bool {
         let before = self.digest();
-        self.peers.note(from, digest);
-        // Two processes under one name: the later one is the seat.
+        self.peers.record(from, digest);
+        // If two processes run under one name, the later one is the seat.
         if self.peers.is_superseded() {
             self.voting_range = None;
         }
-        self.step(now);
+        self.advance(now);
         self.peers.keep_hosts(&self.rosters.hosts());
         self.digest() != before
     }
 
-    /// Returns what this process tells its peers.
+    /// Returns the digest to send to peers.
     pub fn digest(&self) -> RosterDigest {
         let adopted = match self.voting_range {
             Some(_) => self.rosters.adopted_tag(),
@@ -98,16 +97,17 @@
             adopted,
             incarnations: self.peers.incarnations().clone(),
             bootstrap: self.bootstrap_to_send(),
-            plan: self.plan_told(),
+            plan: self.plan_to_send(),
         }
     }
 
-    /// Returns for which ids this process speaks; `None` while it has no voice.
+    /// Returns the range of ids that this process may vote on; `None` while it may not
+    /// vote.
     pub const fn voting_range(&self) -> Option<VotingRange> {
         self.voting_range
     }
 
-    /// Tells whether a host had a voice when it was last heard.
+    /// Returns whether a host was voting when last heard from.
     pub fn is_voting(&self, host: &HostName) -> bool {
         match *host == self.peers.host {
             true => self.voting_range.is_some(),
@@ -128,31 +128,32 @@
         })
     }
 
-    /// Returns the roster that is known to be active.
+    /// Returns the roster known to be active.
     pub fn active_tag(&self) -> Option<RosterTag> {
         self.rosters.active_tag()
     }
 
-    /// Returns the roster that was taken up, or else the active one; calls of older
-    /// rosters are refused.
+    /// Returns the adopted roster, or the active one if none was adopted; calls of
+    /// older rosters are refused.
     pub fn newest(&self) -> Option<RosterTag> {
         self.rosters.binding_tag()
     }
 
-    /// Tells whether this host holds a seat of the active roster or of its former one.
-    pub fn speaks_in_active(&self) -> bool {
+    /// Returns whether this host holds a seat of the active roster or of its former
+    /// one.
+    pub fn votes_in_active(&self) -> bool {
         let host = &self.peers.host;
         let active = self.rosters.active.as_ref();
         active.is_some_and(|plan| plan.has_seat(host) || plan.had_seat(host))
     }
 
-    /// Returns the hosts that this process should exchange digests with, sorted.
+    /// Returns the hosts to exchange digests with, sorted.
     pub fn known_hosts(&self) -> Vec<HostName> {
         self.rosters.hosts()
     }
 
-    /// Returns what keeps the roster of the document in force from being founded;
-    /// `None` where it need not be founded, or nothing is known to stand in its way.
+    /// Returns the reason that the roster of the document in force is not bootstrapped;
+    /// `None` if it needs no bootstrap, or if no obstacle is known.
     pub fn bootstrap_block(&self) -> Option<BootstrapBlock> {
         let active = self.rosters.active.as_ref()?;
         let waiting = self.rosters.newest()?;
@@ -169,25 +170,25 @@
         (!block.hosts.is_empty()).then_some(block)
     }
 
-    /// Draws every conclusion that the knowledge allows.
-    fn step(&mut self, now: UnixMillis) {
-        while self.hear_activation(now)
+    /// Applies every state transition that the current knowledge permits.
+    fn advance(&mut self, now: UnixMillis) {
+        while self.learn_activation(now)
             || self.count_votes(now)
-            || self.take_up()
-            || self.join(now)
-            || self.found(now)
-            || self.join_founding(now)
+            || self.adopt_offered()
+            || self.rejoin(now)
+            || self.bootstrap_newest(now)
+            || self.join_bootstrap(now)
         {}
     }
 
     /// Learns from a peer that a newer roster is active.
-    fn hear_activation(&mut self, now: UnixMillis) -> bool {
+    fn learn_activation(&mut self, now: UnixMillis) -> bool {
         let active = self.active_tag().map(|tag| tag.number);
         let plan = self
             .peers
             .digests()
             .filter(|digest| digest.active.map(|tag| tag.number) > active)
-            .filter_map(|digest| self.plan_in(digest))
+            .filter_map(|digest| self.plan_for(digest))
             .max_by_key(|plan| plan.tag);
         match plan {
             Some(plan) => self.activate(plan, now),
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Learns that a successor is active from the votes of a majority.
+    /// Learns from the votes of a majority that a successor is active.
     fn count_votes(&mut self, now: UnixMillis) -> bool {
         let Some(active) = self.active_tag() else {
             return false;
@@ -221,8 +222,8 @@
         let continuing =
             active.is_some_and(|old| Some(old.tag) == plan.former_tag() && old.has_seat(host));
         if let Some(span) = &mut self.voting_range {
-            // Ids of the roster before the former one may be known to seats that
-            // are asked no more, so the memory of them is worth nothing now.
+            // Seats that knew ids of the roster before the former one are no longer
+            // asked, so this seat's memory of those ids no longer counts.
             span.since = match continuing {
                 true => span.since.max(span.former_until),
                 false => until,
@@ -235,8 +236,8 @@
         true
     }
 
-    /// Takes up the offered roster when it directly follows the active one.
-    fn take_up(&mut self) -> bool {
+    /// Adopts the offered roster if it directly follows the active one.
+    fn adopt_offered(&mut self) -> bool {
         let (Some(active), Some(offered)) = (self.active_tag(), &self.rosters.offered) else {
             return false;
         };
@@ -252,41 +253,43 @@
         true
     }
 
-    /// Gains a voice in the active roster from a majority of its other seats.
-    fn join(&mut self, now: UnixMillis) -> bool {
+    /// Starts to vote in the active roster after reports from a majority of its other
+    /// seats.
+    fn rejoin(&mut self, now: UnixMillis) -> bool {
         let Some(active) = &self.rosters.active else {
             return false;
         };
-        if self.may_not_gain() || !active.has_seat(&self.peers.host) {
+        if self.cannot_start_voting() || !active.has_seat(&self.peers.host) {
             return false;
         }
-        if !self.settings.rules.restarted_silence {
-            return self.gain_voice(now);
+        if !self.settings.rules.rejoin_by_majority {
+            return self.start_voting(now);
         }
-        let Some(told) = incarnations_to_join(active, &self.peers, self.settings.rules) else {
+        let Some(reported) = incarnations_to_join(active, &self.peers, self.settings.rules) else {
             return false;
         };
-        // A digest may have come before the roster was known, with its lives unkept.
-        for incarnations in told {
+        // A digest may have arrived before the roster was known, in which case its
+        // incarnations were not kept.
+        for incarnations in reported {
             self.peers.raise_incarnations(&incarnations);
         }
-        self.gain_voice(now)
+        self.start_voting(now)
     }
 
-    /// Founds the newest known roster when none of its seats has a voice.
+    /// Bootstraps the newest known roster if none of its seats votes.
     ///
-    /// Only a roster that follows none, by the operator's word. Guards against new
-    /// seats of a roster that never became active, which would found it beside the
-    /// one that still is.
-    fn found(&mut self, now: UnixMillis) -> bool {
+    /// Only for a roster that the operators declared to follow none. Otherwise new
+    /// seats of a roster that never became active would bootstrap it beside the active
+    /// one.
+    fn bootstrap_newest(&mut self, now: UnixMillis) -> bool {
         let Some(plan) = self.rosters.newest().cloned() else {
             return false;
         };
-        let allowed = plan.bootstraps || !self.settings.rules.founding_word;
-        if self.may_not_gain() || !allowed || !plan.has_seat(&self.peers.host) {
+        let allowed = plan.bootstraps || !self.settings.rules.explicit_bootstrap;
+        if self.cannot_start_voting() || !allowed || !plan.has_seat(&self.peers.host) {
             return false;
         }
-        if !is_deserted(&plan, &self.peers, &self.digest()) {
+        if !none_voting(&plan, &self.peers, &self.digest()) {
             return false;
         }
         let incarnations = plan
@@ -298,26 +301,27 @@
             incarnations: incarnations.copied().collect(),
         });
         self.rosters.active = Some(plan);
-        self.gain_voice(now)
+        self.start_voting(now)
     }
 
-    /// Gains a voice from a founding that another seat saw, this life included.
-    fn join_founding(&mut self, now: UnixMillis) -> bool {
+    /// Starts to vote after a bootstrap that another seat observed and that includes
+    /// this incarnation.
+    fn join_bootstrap(&mut self, now: UnixMillis) -> bool {
         let Some(newest) = self.rosters.newest() else {
             return false;
         };
         let Ok(index) = newest.seats.binary_search(&self.peers.host) else {
             return false;
         };
-        // A newer roster may already count on this process staying silent here.
-        if self.may_not_gain() || self.active_tag() != Some(newest.tag) {
+        // A newer roster may already depend on this process not voting here.
+        if self.cannot_start_voting() || self.active_tag() != Some(newest.tag) {
             return false;
         }
-        let told = self
+        let reported = self
             .peers
             .digests()
-            .filter_map(|told| told.bootstrap.as_ref());
-        let record = told
+            .filter_map(|reported| reported.bootstrap.as_ref());
+        let record = reported
             .filter(|record| record.roster == newest.tag)
             .find(|record| record.incarnations.get(index) == Some(&self.peers.incarnation))
             .cloned();
@@ -325,14 +329,14 @@
             return false;
         }
         self.bootstrap = record;
-        self.gain_voice(now)
+        self.start_voting(now)
     }
 
-    fn may_not_gain(&self) -> bool {
+    fn cannot_start_voting(&self) -> bool {
         self.voting_range.is_some() || self.peers.is_superseded()
     }
 
-    fn gain_voice(&mut self, now: UnixMillis) -> bool {
+    fn start_voting(&mut self, now: UnixMillis) -> bool {
         let since = self.settings.bound(now);
         let former_until = 0;
         self.voting_range = Some(VotingRange {
@@ -342,26 +346,27 @@
         true
     }
 
-    /// Returns the founding record while a seat of the roster may need it.
+    /// Returns the bootstrap record while a seat of the roster may need it.
     fn bootstrap_to_send(&self) -> Option<BootstrapRecord> {
         let active = self.rosters.active.as_ref()?;
         let record = self.bootstrap.as_ref()?;
-        let is_voting = |seat: &HostName| self.peers.get(seat).is_some_and(|told| told.voting);
+        let is_voting =
+            |seat: &HostName| self.peers.get(seat).is_some_and(|reported| reported.voting);
         let mut others = active.seats.iter().filter(|seat| **seat != self.peers.host);
         let needed = record.roster == active.tag && !others.all(is_voting);
         needed.then(|| record.clone())
     }
 
-    /// Returns the roster that a peer knows to be active, from its digest or from
-    /// the documents.
-    fn plan_in(&self, digest: &RosterDigest) -> Option<RosterPlan> {
+    /// Returns the roster that a peer knows to be active, from its digest or from the
+    /// known documents.
+    fn plan_for(&self, digest: &RosterDigest) -> Option<RosterPlan> {
         let tag = digest.active?;
-        let told = digest.plan.clone().filter(|plan| plan.tag == tag);
-        told.or_else(|| self.rosters.plan_of(tag))
+        let reported = digest.plan.clone().filter(|plan| plan.tag == tag);
+        reported.or_else(|| self.rosters.plan_of(tag))
     }
 
     /// Returns the active roster while a peer is known to be behind it.
-    fn plan_told(&self) -> Option<RosterPlan> {
+    fn plan_to_send(&self) -> Option<RosterPlan> {
         let active = self.rosters.active.as_ref()?;
         let is_behind = |digest: &RosterDigest| {
             digest
--- a/src/roster/seat_incarnation.rs
+++ b/src/roster/seat_incarnation.rs
@@ -1,4 +1,4 @@
-//! One life of a seat's process.
+//! One incarnation of a seat's process.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,14 +6,14 @@
 use crate::ids::IncarnationId;
 use crate::ids::UnixMillis;
 
-/// One life of a seat's process; a later life of the same host compares greater.
+/// One incarnation of a seat's process; a later one of the same host compares greater.
 ///
-/// A process that starts with its clock set back compares lower than the life
-/// before. Its peers then ignore it and it stays without a voice, which is safe.
+/// A process that starts with its clock set back compares lower than the previous
+/// incarnation. Its peers then ignore it and it never gets to vote, which is safe.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct SeatIncarnation {
-    /// When the process started, by its own clock.
+    /// The start time of the process by its own clock.
     pub started: UnixMillis,
-    /// Random, drawn once at the start.
+    /// A random number drawn at the start.
     pub id: IncarnationId,
 }
--- a/tests/claim_rules/rosters.rs
+++ b/tests/claim_rules/rosters.rs
@@ -235,7 +235,7 @@
 #[test]
 fn a_restarted_seat_is_silent_until_a_majority_told_it_what_they_know() {
     let off = ClaimRules {
-        restarted_silence: false,
+        rejoin_by_majority: false,
         ..ALL()
     };
     assert!(!restart_into_an_old_roster(ALL()));
--- a/tests/claim_walks/main.rs
+++ b/tests/claim_walks/main.rs
@@ -141,7 +141,7 @@
 #[test]
 fn without_the_restarted_seats_silence_two_rosters_answer() {
     let rules = ClaimRules {
-        restarted_silence: false,
+        rejoin_by_majority: false,
         ..ClaimRules::default()
     };
     assert_caught(157, rules, &RETURNING);
@@ -179,7 +179,7 @@
 #[test]
 fn without_the_operators_word_two_rosters_answer() {
     let rules = ClaimRules {
-        founding_word: false,
+        explicit_bootstrap: false,
         ..ClaimRules::default()
     };
     assert_caught(2, rules, &SHRINKING);
