--- a/src/answers/answer_buffer.rs
+++ b/src/answers/answer_buffer.rs
@@ -16,28 +16,28 @@
 use crate::errors::RequestOutcome;
 use crate::http::AnswerHead;
 
-/// The most bytes of one answer that are held, 256 KiB: 4,000 streamed tokens.
+/// The maximum number of bytes held for one answer: 256 KiB, or 4,000 streamed tokens.
 ///
-/// Without a bound one reader that stands still would fill the host's memory.
+/// Without a limit, one stalled reader would fill the host's memory.
 pub(crate) const MAX_HELD_BYTES: usize = 256 << 10;
 
 /// How an answer ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum AnswerEnd {
-    /// Every byte is there.
+    /// All bytes have arrived.
     Complete,
-    /// The rest will never come; readers must see a cut message.
+    /// The rest will never arrive; readers must see a truncated message.
     Truncated(ErrorKind),
 }
 
-/// The next thing a reader gets.
+/// The next item for a reader.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum AnswerChunk {
     /// Bytes of the body.
     Bytes(Bytes),
     /// The end.
     End(AnswerEnd),
-    /// The reader came too late: the first bytes are held no more.
+    /// The reader is too late: the chunk has been evicted.
     Evicted,
 }
 
@@ -51,17 +51,17 @@
 #[derive(Debug, Default)]
 struct BufferState {
     head: Option<AnswerHead>,
-    pieces: Vec<Bytes>,
-    dropped: usize,
+    chunks: Vec<Bytes>,
+    evicted: usize,
     held_bytes: usize,
     end: Option<AnswerEnd>,
-    /// Whether another host is to give the answer.
-    follows: bool,
+    /// Whether another host is to provide the answer.
+    remote: bool,
     wakers: Vec<Waker>,
 }
 
 impl AnswerBuffer {
-    /// Gives the answer its head; later calls change nothing.
+    /// Sets the head; later calls have no effect.
     pub(crate) fn put_head(&self, head: AnswerHead) {
         let mut state = self.lock();
         if state.head.is_none() {
@@ -72,21 +72,21 @@
 
     /// Appends bytes to the body.
     ///
-    /// Past the bound the oldest bytes are let go; a reader that had not read
-    /// them gets [`AnswerChunk::Evicted`], never an answer with a hole.
+    /// Beyond the limit the oldest chunks are evicted. A reader that has not read them
+    /// gets [`AnswerChunk::Evicted`], never an answer with a gap.
     pub(crate) fn put_bytes(&self, bytes: Bytes) {
         let mut state = self.lock();
         state.held_bytes += bytes.len();
-        state.pieces.push(bytes);
-        while state.held_bytes > MAX_HELD_BYTES && state.pieces.len() > 1 {
-            let oldest = state.pieces.remove(0);
+        state.chunks.push(bytes);
+        while state.held_bytes > MAX_HELD_BYTES && state.chunks.len() > 1 {
+            let oldest = state.chunks.remove(0);
             state.held_bytes -= oldest.len();
-            state.dropped += 1;
+            state.evicted += 1;
         }
         state.wake_all();
     }
 
-    /// Ends the answer; later calls change nothing.
+    /// Ends the answer; later calls have no effect.
     pub(crate) fn put_end(&self, end: AnswerEnd) {
         let mut state = self.lock();
         if state.end.is_none() {
@@ -95,25 +95,26 @@
         state.wake_all();
     }
 
-    /// Notes that another host is to give the answer: peers don't wait for it here.
+    /// Marks the answer as provided by another host, so that peers do not wait for it
+    /// here.
     ///
-    /// Guards against hosts that wait for each other for good: two sends of one id
-    /// split the seats, and each host takes the other one for the holder.
+    /// Two sends of one id may split the seats, and each host then takes the other one
+    /// for the holder. Without the mark they would wait for each other forever.
     pub(crate) fn mark_remote(&self) {
         let mut state = self.lock();
-        state.follows = true;
+        state.remote = true;
         state.wake_all();
     }
 
-    /// Says that this host is to give the answer after all: the peer gave none.
+    /// Marks the answer as provided by this host after all, because the peer gave none.
     ///
-    /// Without it other hosts would not wait for the answer that is made here, and
-    /// their callers would learn `unknown` of a request that runs.
+    /// Otherwise other hosts would not wait for the answer made here, and their callers
+    /// would be told `unknown` about a request that runs.
     pub(crate) fn mark_local(&self) {
-        self.lock().follows = false;
+        self.lock().remote = false;
     }
 
-    /// Tells whether the head is there.
+    /// Returns whether the head has been set.
     pub(crate) fn has_head(&self) -> bool {
         self.lock().head.is_some()
     }
@@ -132,17 +133,17 @@
         }
     }
 
-    /// Returns the bytes of body held.
+    /// Returns the number of body bytes held.
     pub(crate) fn held_bytes(&self) -> usize {
         self.lock().held_bytes
     }
 
-    /// Returns how many readers there are now.
+    /// Returns the current number of readers.
     pub(crate) fn readers(&self) -> usize {
         self.readers.load(Ordering::Acquire)
     }
 
-    /// Waits until nobody reads the answer any more.
+    /// Waits until the answer has no readers.
     pub(crate) async fn wait_no_readers(&self) {
         poll_fn(|context| {
             if self.readers() == 0 {
@@ -150,7 +151,7 @@
             }
             let mut state = self.lock();
             state.wakers.push(context.waker().clone());
-            // A reader may have left between the look and the lock.
+            // The last reader may have left between the check and the lock.
             match self.readers() {
                 0 => Poll::Ready(()),
                 _ => Poll::Pending,
@@ -159,17 +160,17 @@
         .await;
     }
 
-    pub(super) fn enter_reader(&self) {
+    pub(super) fn add_reader(&self) {
         self.readers.fetch_add(1, Ordering::AcqRel);
     }
 
-    pub(super) fn leave_reader(&self) {
+    pub(super) fn remove_reader(&self) {
         self.readers.fetch_sub(1, Ordering::AcqRel);
-        // The relay may wait to learn that nobody reads any more.
+        // The relay may be waiting for the last reader to leave.
         self.lock().wake_all();
     }
 
-    /// Polls for the head; `None` when the answer ended without one.
+    /// Polls for the head; `None` if the answer ended without one.
     pub(super) fn poll_head(&self, context: &mut Context<'_>) -> Poll<Option<AnswerHead>> {
         let mut state = self.lock();
         if let Some(head) = &state.head {
@@ -182,23 +183,23 @@
         Poll::Pending
     }
 
-    /// Polls for the head on behalf of a peer; `None` also while the answer is to
-    /// come from another host.
+    /// Polls for the head on behalf of a peer; `None` also if another host is to
+    /// provide the answer.
     pub(super) fn poll_local_head(&self, context: &mut Context<'_>) -> Poll<Option<AnswerHead>> {
         let polled = self.poll_head(context);
-        match polled.is_pending() && self.lock().follows {
+        match polled.is_pending() && self.lock().remote {
             true => Poll::Ready(None),
             false => polled,
         }
     }
 
-    /// Polls for the piece with a number, counted from the first.
+    /// Polls for the chunk with this number, counted from the first one.
     pub(super) fn poll_chunk(&self, number: usize, context: &mut Context<'_>) -> Poll<AnswerChunk> {
         let mut state = self.lock();
-        let Some(index) = number.checked_sub(state.dropped) else {
+        let Some(index) = number.checked_sub(state.evicted) else {
             return Poll::Ready(AnswerChunk::Evicted);
         };
-        if let Some(bytes) = state.pieces.get(index) {
+        if let Some(bytes) = state.chunks.get(index) {
             return Poll::Ready(AnswerChunk::Bytes(bytes.clone()));
         }
         if let Some(end) = state.end {
--- a/src/answers/answer_cache.rs
+++ b/src/answers/answer_cache.rs
@@ -1,4 +1,4 @@
-//! The answers of one host, in flight and kept, by request id.
+//! In-flight and recent answers of one host, by request id.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -15,22 +15,22 @@
 use crate::ids::RequestId;
 use crate::sorted::SortedMap;
 
-/// How long a finished answer is kept for a resend. A caller's own time-out
-/// and its resend lie well inside a minute.
-const KEEP_TIME: Duration = Duration::from_secs(60);
+/// How long a finished answer is kept for resends. A caller's time-out and its resend
+/// usually happen well within a minute.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// What a request finds in the book.
+/// The result of looking up a request id.
 #[derive(Debug)]
 pub(crate) enum AnswerLookup {
-    /// Nobody works on the id here: the request owns the new slot.
+    /// No request with this id is known here: the caller owns the new buffer.
     Owned(Arc<AnswerBuffer>),
-    /// Another send of the id is at work or has ended: join it.
+    /// Another send of the id is in progress or has ended: join it.
     Joined(Arc<AnswerBuffer>),
-    /// Another account used this id: its answer is not for this caller.
+    /// Another account used this id; its answer must not be given to this caller.
     OtherAccount,
 }
 
-/// The answers of one host.
+/// In-flight and recent answers of one host.
 #[derive(Debug)]
 pub(crate) struct AnswerCache {
     entries: Mutex<SortedMap<RequestId, KeptAnswer>>,
@@ -41,12 +41,12 @@
 struct KeptAnswer {
     account: AccountName,
     attempt: AttemptNumber,
-    slot: Arc<AnswerBuffer>,
+    buffer: Arc<AnswerBuffer>,
     finished: Option<Duration>,
 }
 
 impl AnswerCache {
-    /// Makes a book that keeps at most so many bytes of finished answers.
+    /// Creates a cache that keeps at most this many bytes of finished answers.
     pub(crate) fn new(max_kept_bytes: usize) -> Self {
         Self {
             entries: Mutex::new(SortedMap::new()),
@@ -54,17 +54,18 @@
         }
     }
 
-    /// Sets how many bytes of finished answers are kept; the next trim goes by it.
+    /// Sets how many bytes of finished answers are kept; takes effect at the next
+    /// eviction.
     pub(crate) fn set_max_kept_bytes(&self, max_kept_bytes: usize) {
         self.max_kept_bytes.store(max_kept_bytes, Ordering::Relaxed);
     }
 
-    /// Enters a send of an id: the first one owns it, the others join.
+    /// Looks up a send of an id: the first one owns the answer, the others join it.
     ///
-    /// A later attempt joins an earlier one only if that ran. Guards against a
-    /// `not-run` that is not its own: the earlier attempt may still wait here when a
-    /// caller was told elsewhere that it did not run; it then ends barred, while the
-    /// later attempt, sent to another host before, may yet run there.
+    /// A later attempt joins an earlier one only if that one ran. The earlier attempt
+    /// may still wait here after another host has told the caller that it did not run,
+    /// and will then end barred. The later attempt must not report that outcome as its
+    /// own, since it may still run on another host.
     pub(crate) fn get_or_insert(
         &self,
         id: RequestId,
@@ -76,74 +77,74 @@
             if kept.account != *account {
                 return AnswerLookup::OtherAccount;
             }
-            if kept.attempt >= attempt || kept.slot.outcome() == RequestOutcome::Done {
-                return AnswerLookup::Joined(kept.slot.clone());
+            if kept.attempt >= attempt || kept.buffer.outcome() == RequestOutcome::Done {
+                return AnswerLookup::Joined(kept.buffer.clone());
             }
         }
-        let slot = Arc::new(AnswerBuffer::default());
+        let buffer = Arc::new(AnswerBuffer::default());
         let kept = KeptAnswer {
             account: account.clone(),
             attempt,
-            slot: slot.clone(),
+            buffer: buffer.clone(),
             finished: None,
         };
         entries.insert(id, kept);
-        AnswerLookup::Owned(slot)
+        AnswerLookup::Owned(buffer)
     }
 
     /// Finds the answer of an id for a peer that asks on behalf of a caller.
     pub(crate) fn find(&self, id: RequestId, account: &AccountName) -> Option<Arc<AnswerBuffer>> {
         let entries = self.lock();
         let kept = entries.get(&id)?;
-        (kept.account == *account).then(|| kept.slot.clone())
+        (kept.account == *account).then(|| kept.buffer.clone())
     }
 
-    /// Marks an answer as finished, to be kept for a while.
-    pub(crate) fn finish(&self, id: RequestId, slot: &Arc<AnswerBuffer>, now: Duration) {
+    /// Marks an answer as finished, so that it is kept for a while.
+    pub(crate) fn finish(&self, id: RequestId, buffer: &Arc<AnswerBuffer>, now: Duration) {
         let mut entries = self.lock();
         if let Some(kept) = entries.get_mut(&id)
-            && Arc::ptr_eq(&kept.slot, slot)
+            && Arc::ptr_eq(&kept.buffer, buffer)
         {
             kept.finished = Some(now);
         }
     }
 
-    /// Forgets an id whose request ended without running, so that the next
-    /// attempt owns it anew; another attempt's slot stays.
-    pub(crate) fn forget(&self, id: RequestId, slot: &Arc<AnswerBuffer>) {
+    /// Removes an id whose request ended without running, so that the next attempt owns
+    /// it; the buffer of another attempt stays.
+    pub(crate) fn forget(&self, id: RequestId, buffer: &Arc<AnswerBuffer>) {
         let mut entries = self.lock();
         let same = entries
             .get(&id)
-            .is_some_and(|kept| Arc::ptr_eq(&kept.slot, slot));
+            .is_some_and(|kept| Arc::ptr_eq(&kept.buffer, buffer));
         if same {
             entries.remove(&id);
         }
     }
 
-    /// Lets go of answers that are too old, and of the oldest above the bound.
+    /// Evicts answers that are too old, then the oldest ones above the size limit.
     pub(crate) fn evict(&self, now: Duration) {
         let mut entries = self.lock();
         entries.retain(|_, kept| {
             kept.finished
-                .is_none_or(|finished| now.saturating_sub(finished) < KEEP_TIME)
+                .is_none_or(|finished| now.saturating_sub(finished) < RETENTION)
         });
         let mut excess = entries
             .values()
             .filter(|kept| kept.finished.is_some())
-            .map(|kept| kept.slot.held_bytes())
+            .map(|kept| kept.buffer.held_bytes())
             .sum::<usize>()
             .saturating_sub(self.max_kept_bytes.load(Ordering::Relaxed));
-        // Ids rise with time, so the first entries are the oldest.
+        // Ids increase with time, so the first entries are the oldest.
         entries.retain(|_, kept| {
             if excess == 0 || kept.finished.is_none() {
                 return true;
             }
-            excess = excess.saturating_sub(kept.slot.held_bytes());
+            excess = excess.saturating_sub(kept.buffer.held_bytes());
             false
         });
     }
 
-    /// Returns how many answers are in flight and how many are kept.
+    /// Returns the number of answers in flight and of finished ones.
     pub(crate) fn counts(&self) -> (usize, usize) {
         let entries = self.lock();
         let kept = entries
--- a/src/answers/answer_reader.rs
+++ b/src/answers/answer_reader.rs
@@ -1,4 +1,4 @@
-//! Reads one answer from its beginning.
+//! Reads an answer from its beginning.
 
 use std::future::poll_fn;
 use std::io;
@@ -17,51 +17,51 @@
 use super::AnswerEnd;
 use crate::http::AnswerHead;
 
-/// One reader of an answer.
+/// A reader of one answer.
 #[derive(Debug)]
 pub(crate) struct AnswerReader {
-    slot: Arc<AnswerBuffer>,
+    buffer: Arc<AnswerBuffer>,
     next: usize,
     current: Bytes,
     consumed: usize,
 }
 
 impl AnswerReader {
-    /// Opens a reader at the answer's beginning.
-    pub(crate) fn open(slot: Arc<AnswerBuffer>) -> Self {
-        slot.enter_reader();
+    /// Creates a reader at the beginning of the answer.
+    pub(crate) fn open(buffer: Arc<AnswerBuffer>) -> Self {
+        buffer.add_reader();
         Self {
-            slot,
+            buffer,
             next: 0,
             current: Bytes::new(),
             consumed: 0,
         }
     }
 
-    /// Waits for the head; `None` when the answer ended without one.
+    /// Waits for the head; `None` if the answer ended without one.
     pub(crate) async fn head(&self) -> Option<AnswerHead> {
-        poll_fn(|context| self.slot.poll_head(context)).await
+        poll_fn(|context| self.buffer.poll_head(context)).await
     }
 
-    /// Waits for the head on behalf of a peer; `None` when the answer ended without
-    /// one, or is to come from another host.
+    /// Waits for the head on behalf of a peer; `None` if the answer ended without one,
+    /// or if another host is to provide it.
     pub(crate) async fn local_head(&self) -> Option<AnswerHead> {
-        poll_fn(|context| self.slot.poll_local_head(context)).await
+        poll_fn(|context| self.buffer.poll_local_head(context)).await
     }
 
-    /// Waits for the next piece of the body.
+    /// Waits for the next chunk of the body.
     pub(crate) async fn next_chunk(&mut self) -> AnswerChunk {
-        let piece = poll_fn(|context| self.slot.poll_chunk(self.next, context)).await;
-        if matches!(piece, AnswerChunk::Bytes(_)) {
+        let chunk = poll_fn(|context| self.buffer.poll_chunk(self.next, context)).await;
+        if matches!(chunk, AnswerChunk::Bytes(_)) {
             self.next += 1;
         }
-        piece
+        chunk
     }
 }
 
 impl Drop for AnswerReader {
     fn drop(&mut self) {
-        self.slot.leave_reader();
+        self.buffer.remove_reader();
     }
 }
 
@@ -69,15 +69,15 @@
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let reader = self.get_mut();
         while reader.consumed == reader.current.len() {
-            match ready!(reader.slot.poll_chunk(reader.next, context)) {
+            match ready!(reader.buffer.poll_chunk(reader.next, context)) {
                 AnswerChunk::Bytes(bytes) => {
                     reader.next += 1;
                     reader.current = bytes;
                     reader.consumed = 0;
                 }
                 AnswerChunk::End(AnswerEnd::Complete) => return Poll::Ready(Ok(&[])),
-                // An error ends the connection without the last chunk, so the
-                // caller sees that the answer is not whole.
+                // An error closes the connection without the last chunk, so that the
+                // caller sees a truncated answer.
                 AnswerChunk::End(AnswerEnd::Truncated(kind)) => {
                     return Poll::Ready(Err(io::Error::other(kind)));
                 }
--- a/src/answers/mod.rs
+++ b/src/answers/mod.rs
@@ -1,4 +1,4 @@
-//! Answers in flight and kept: the caller and its resends read the same bytes.
+//! In-flight and recent answers: a caller and its resends read the same bytes.
 
 mod answer_buffer;
 mod answer_cache;
