--- a/src/controllers/claim_coordinator.rs
+++ b/src/controllers/claim_coordinator.rs
@@ -1,4 +1,4 @@
-//! Claims, releases and bars of this host, carried to the seats.
+//! Runs this host's claims, releases and bars at the seats.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -33,36 +33,36 @@
 use crate::peers::PeerReply;
 use crate::roster::RosterView;
 
-/// How long one seat may take. Seats answer in a millisecond or two across
-/// zones; a seat that is paused or cut must not hold the others' answer long.
-const SEAT_LIMIT: Duration = Duration::from_millis(400);
-/// How often a round goes on under a newer roster before it gives up.
+/// Time limit for one seat's answer. Seats answer within 1 to 2 ms across zones; a
+/// paused or disconnected seat must not delay the others' answers for long.
+const SEAT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How many times a round is restarted under a newer roster before it fails.
 const MAX_RENEWALS: usize = 3;
 
-/// When a release is sent again to seats that did not answer it: after a lost
-/// message, a peer's new connection, and a pause that peers give up on.
-const RELEASE_PAUSES: [Duration; 3] = [
+/// Delays before a release is repeated to seats that did not answer it: they cover a
+/// lost message, a peer's reconnection, and a pause after which peers give the seat up.
+const RELEASE_RETRY_DELAYS: [Duration; 3] = [
     Duration::from_millis(500),
     Duration::from_secs(3),
     Duration::from_secs(15),
 ];
 
-/// How a claim ended.
+/// The outcome of a claim.
 #[derive(Debug)]
 pub(crate) enum ClaimOutcome {
     /// This process may dispatch the request.
     Granted(HeldClaim<UnsentStage>),
     /// Another process holds the claim.
     Held(ClaimTicket),
-    /// The attempt was given up; nothing ran and this attempt never will.
+    /// The attempt was given up: nothing ran, and this attempt never will.
     Barred,
-    /// The id is outside the window.
+    /// The id is outside the claim window.
     OutOfWindow,
     /// Too few seats answered.
     NoMajority,
 }
 
-/// How a bar or release ended.
+/// The outcome of a bar or release.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum BarOutcome {
     /// A majority barred the attempt: `not-run` is proven.
@@ -73,7 +73,7 @@
     Unproven,
 }
 
-/// Claims, releases and bars of this host.
+/// Runs this host's claims, releases and bars.
 pub(crate) struct ClaimCoordinator {
     host: HostName,
     incarnation: IncarnationId,
@@ -82,16 +82,16 @@
     next_round: AtomicU64,
 }
 
-/// A seat's reply, or nothing when it could not be had.
+/// A seat's reply; `None` if the call failed.
 struct SeatReply {
-    /// After how many renewals of the round the call was sent.
+    /// How many times the round had been renewed when the call was sent.
     renewals: usize,
     host: HostName,
     reply: Option<ClaimReply>,
 }
 
 impl ClaimCoordinator {
-    /// Opens the desk of a host whose seat is `register`.
+    /// Creates the coordinator of a host whose seat is `register`.
     pub(crate) fn open(
         host: HostName,
         incarnation: IncarnationId,
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Gives access to this host's seat; never held over an await.
+    /// Locks this host's seat; must not be held across an await.
     pub(crate) fn register(&self) -> MutexGuard<'_, SeatRegister> {
         self.register.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -127,15 +127,15 @@
             return ClaimOutcome::NoMajority;
         };
         let mut round = ClaimRound::begin(id, self.ticket(attempt), view);
-        self.drive(&mut round).await;
+        self.run_round(&mut round).await;
         let status = round.status();
         match round.win() {
             Ok(claim) => ClaimOutcome::Granted(claim),
-            Err(lost) => self.settle_lost(*lost, status).await,
+            Err(lost) => self.release_lost(*lost, status).await,
         }
     }
 
-    /// Bars an attempt, so that `not-run` may be said of it.
+    /// Bars an attempt, so that `not-run` may be answered for it.
     pub(crate) async fn bar(self: &Arc<Self>, id: RequestId, attempt: AttemptNumber) -> BarOutcome {
         match self.view() {
             Some(view) => {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Gives a claim back under which nothing was dispatched.
+    /// Releases a claim under which nothing was dispatched.
     pub(crate) async fn release(self: &Arc<Self>, claim: HeldClaim<UnsentStage>) -> BarOutcome {
         match self.view() {
             Some(view) => self.finish_release(claim.release(view)).await,
@@ -154,19 +154,20 @@
         }
     }
 
-    /// Takes back what a lost round was granted.
+    /// Releases the grants of a lost round.
     ///
-    /// Grants that are left behind would block every resend until the window
-    /// has passed, although nobody dispatches under them.
-    async fn settle_lost(self: &Arc<Self>, lost: ClaimRound, status: ClaimStatus) -> ClaimOutcome {
+    /// Grants left behind would block every resend until the claim window has passed,
+    /// although nothing is dispatched under them.
+    async fn release_lost(self: &Arc<Self>, lost: ClaimRound, status: ClaimStatus) -> ClaimOutcome {
         let Some(view) = self.view() else {
             return ClaimOutcome::NoMajority;
         };
         let release = lost.abandon(view);
         if let ClaimStatus::HeldByAnother(holder) = status {
-            // The answer is the holder's: the caller need not wait for the release.
-            let desk = self.clone();
-            task::spawn(async move { desk.finish_release(release).await });
+            // The answer comes from the holder, so the caller need not wait for the
+            // release.
+            let coordinator = self.clone();
+            task::spawn(async move { coordinator.finish_release(release).await });
             return ClaimOutcome::Held(holder);
         }
         let released = self.finish_release(release).await;
@@ -179,25 +180,25 @@
     }
 
     async fn finish_bar(self: &Arc<Self>, mut round: BarRound) -> BarOutcome {
-        self.drive(&mut round).await;
+        self.run_round(&mut round).await;
         bar_outcome(&round)
     }
 
-    /// Carries a release until it is decided, and goes on with it in the background.
+    /// Runs a release until it is decided and repeats it in the background.
     ///
-    /// Guards against a release that is lost on its way to one seat: its grant would
-    /// stand there until the window has passed, and with another seat gone, every
-    /// resend would be told to ask a holder that has nothing.
+    /// If a release is lost on its way to one seat, its grant would stay there until
+    /// the claim window has passed. If another seat then fails, every resend would be
+    /// referred to a holder that has no claim.
     async fn finish_release(self: &Arc<Self>, mut round: BarRound) -> BarOutcome {
-        self.drive(&mut round).await;
+        self.run_round(&mut round).await;
         let verdict = bar_outcome(&round);
-        let desk = self.clone();
-        task::spawn(async move { desk.repeat_release(round).await });
+        let coordinator = self.clone();
+        task::spawn(async move { coordinator.retry_release(round).await });
         verdict
     }
 
-    async fn repeat_release(self: Arc<Self>, mut round: BarRound) {
-        for pause in RELEASE_PAUSES {
+    async fn retry_release(self: Arc<Self>, mut round: BarRound) {
+        for pause in RELEASE_RETRY_DELAYS {
             task::sleep(pause).await;
             match self.view() {
                 Some(view) if round.newer_roster().is_some() => round.renew(view),
@@ -207,20 +208,20 @@
             if calls.is_empty() {
                 return;
             }
-            let (replies, arrived) = async_channel::unbounded();
+            let (replies, received) = async_channel::unbounded();
             for (host, call) in calls {
                 self.send_call(host, call, 0, replies.clone());
             }
             drop(replies);
-            while let Ok(reply) = arrived.recv().await {
-                take_reply(&mut round, reply);
+            while let Ok(reply) = received.recv().await {
+                accept_reply(&mut round, reply);
             }
         }
     }
 
-    /// Carries a round's calls to the seats until it is decided.
-    async fn drive<A>(self: &Arc<Self>, round: &mut SeatRound<A>) {
-        let (replies, arrived) = async_channel::unbounded();
+    /// Runs a round until it is decided.
+    async fn run_round<A>(self: &Arc<Self>, round: &mut SeatRound<A>) {
+        let (replies, received) = async_channel::unbounded();
         let mut waiting = 0;
         let mut renewals = 0;
         loop {
@@ -231,8 +232,8 @@
             if round.newer_roster().is_some() && renewals < MAX_RENEWALS {
                 renewals += 1;
                 if self.renew(round).await {
-                    // Calls of before don't count: a late failure of one would be
-                    // taken for the failure of its repetition.
+                    // Calls sent before the renewal no longer count: a late failure of
+                    // one would be mistaken for the failure of its repetition.
                     waiting = 0;
                     continue;
                 }
@@ -240,19 +241,19 @@
             if !round.is_pending() || waiting == 0 {
                 return;
             }
-            let Ok(reply) = arrived.recv().await else {
+            let Ok(reply) = received.recv().await else {
                 return;
             };
             if reply.renewals == renewals {
                 waiting -= 1;
-                take_reply(round, reply);
+                accept_reply(round, reply);
             }
         }
     }
 
     async fn renew<A>(&self, round: &mut SeatRound<A>) -> bool {
-        // The digest exchange brings the newer roster within its own period.
-        task::sleep(SEAT_LIMIT / 4).await;
+        // The digest exchange delivers the newer roster within its period.
+        task::sleep(SEAT_TIMEOUT / 4).await;
         match self.view() {
             Some(view) => {
                 round.renew(view);
@@ -282,14 +283,14 @@
         let mesh = self.mesh.clone();
         task::spawn(async move {
             let answer = timeout(
-                SEAT_LIMIT,
-                mesh.call(&host, PeerCall::Claim(call), SEAT_LIMIT),
+                SEAT_TIMEOUT,
+                mesh.call(&host, PeerCall::Claim(call), SEAT_TIMEOUT),
             );
             let reply = match answer.await {
                 Ok(Ok(PeerReply::Claim(reply))) => Some(reply),
                 _ => None,
             };
-            // A round that is decided listens no more.
+            // The receiver is closed once the round is decided.
             let reply = SeatReply {
                 renewals,
                 host,
@@ -299,7 +300,7 @@
         });
     }
 
-    /// Tells whether enough seats with a voice are connected to win a claim now.
+    /// Returns whether enough voting seats are connected to obtain a claim now.
     pub(crate) fn has_majority(&self) -> bool {
         let connected = self.mesh.connected_peers();
         let register = self.register();
@@ -307,13 +308,13 @@
         let Some(view) = roster.view() else {
             return false;
         };
-        let speaking = view
+        let voting = view
             .seats
             .iter()
             .filter(|seat| **seat == self.host || connected.binary_search(seat).is_ok())
             .filter(|seat| roster.is_voting(seat))
             .count();
-        speaking * 2 > view.seats.len()
+        voting * 2 > view.seats.len()
     }
 
     fn view(&self) -> Option<Arc<RosterView>> {
@@ -330,7 +331,7 @@
     }
 }
 
-fn take_reply<A>(round: &mut SeatRound<A>, reply: SeatReply) {
+fn accept_reply<A>(round: &mut SeatRound<A>, reply: SeatReply) {
     match reply.reply {
         Some(answer) => round.accept(&reply.host, answer),
         None => round.fail(&reply.host),
--- a/src/controllers/config_controller.rs
+++ b/src/controllers/config_controller.rs
@@ -1,4 +1,4 @@
-//! The fleet document in force, kept up from the platform and the peers.
+//! Keeps the fleet document in force up to date from the platform and the peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,64 +42,64 @@
 use crate::peers::PeerReply;
 use crate::peers::RawDocument;
 
-/// How long a peer may take to send its document, a mebibyte at most.
+/// Time limit for fetching a peer's document, which has 1 MiB at most.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
-/// How many documents are fetched at once: one peer may be paused just after it
-/// told its version, and must not hold up the fetch from another.
+/// Maximum number of concurrent fetches: a peer may pause right after it announced its
+/// version and must not delay the fetch from another one.
 const MAX_FETCHES: usize = 3;
-/// How long a request waits for a fresh view; two exchanges fit in.
-const REFRESH_LIMIT: Duration = Duration::from_secs(1);
+/// How long a request waits for a fresh view; enough for two exchanges.
+const REFRESH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the roster rules say to a document's roster.
+/// The result of checking a document's roster.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RosterAdmission {
-    /// The roster was taken up, or is the one that is known already.
+    /// The roster was adopted or is already known.
     Admitted,
-    /// It can't be judged before peers told more.
+    /// The roster can't be checked before peers have reported more.
     Waiting,
-    /// It can't follow the roster that is active.
+    /// The roster can't follow the active one.
     Refused {
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
 
-/// Judges the roster of a document that is sound otherwise.
+/// Checks the roster of a document that is otherwise valid.
 pub type RosterValidator = dyn Fn(&FleetDocument) -> RosterAdmission + Send + Sync;
-/// Is told of each view that is put in force.
+/// Called with each view that is put in force.
 pub type ViewListener = dyn Fn(&Arc<FleetView>) + Send + Sync;
-/// Makes the host exchange digests with its peers at once.
+/// Makes the host exchange digests with its peers immediately.
 pub type ExchangeHook = dyn Fn() + Send + Sync;
 
-/// What a controller stands on.
+/// The dependencies of a [`ConfigController`].
 pub struct ConfigParts {
     /// This host's name.
     pub host: HostName,
-    /// The connections to the peers; the controller keeps its seats up to date.
+    /// The connections to the peers; the controller updates their list of seats.
     pub mesh: Arc<PeerMesh>,
-    /// The platform.
+    /// The platform client.
     pub platform: Arc<DocumentClient>,
-    /// Takes the changes of state.
+    /// The log for state changes.
     pub log: Arc<StateLog>,
-    /// Takes the counters.
+    /// The metrics registry.
     pub metrics: Arc<RequestMetrics>,
-    /// Judges rosters; called while a document is judged, so it must not wait.
+    /// Checks rosters; called while a document is processed, so it must not block.
     pub admit_roster: Box<RosterValidator>,
-    /// Is told of each view put in force, in order; must not wait, and of the
-    /// controller it may only read the view.
+    /// Called with each view put in force, in order. It must not block, and may call
+    /// only [`ConfigController::view`] on the controller.
     pub accepted: Box<ViewListener>,
 }
 
-/// The fleet document in force. Dropping it ends its watch.
+/// Holds the fleet document in force. Dropping it stops its watch on the platform.
 pub struct ConfigController {
     parts: ConfigParts,
     current: ArcSwapOption<ConfigEntry<FleetView>>,
-    ledger: Mutex<ConfigTracker<FleetView>>,
+    tracker: Mutex<ConfigTracker<FleetView>>,
     freshness: Mutex<ViewFreshness>,
-    /// Until when the view is fresh, in milliseconds of the boot clock; what
-    /// the path of a request reads.
+    /// The time until which the view is fresh, in milliseconds of the boot clock; read
+    /// on the request path.
     fresh_until_ms: AtomicU64,
-    /// Closed when freshness changed; each waiting request holds a receiver.
+    /// Closed when the freshness changes; each waiting request holds a receiver.
     fresh_waiters: Mutex<Vec<Sender<()>>>,
     fetches: AtomicUsize,
     exchange: OnceLock<Box<ExchangeHook>>,
@@ -107,15 +107,15 @@
 }
 
 impl ConfigController {
-    /// Follows the platform from now on. Peers are followed by what the caller
-    /// tells with [`ConfigController::heard`] and [`ConfigController::answered`].
+    /// Starts to follow the platform. Peers are followed through calls to
+    /// [`ConfigController::peer_announced`] and [`ConfigController::peer_replied`].
     pub fn spawn(parts: ConfigParts) -> Arc<Self> {
         let (stop, stopped) = async_channel::bounded(1);
         let platform = Arc::clone(&parts.platform);
         let controller = Arc::new(Self {
             parts,
             current: ArcSwapOption::empty(),
-            ledger: Mutex::default(),
+            tracker: Mutex::default(),
             freshness: Mutex::new(ViewFreshness::new(boot_now())),
             fresh_until_ms: AtomicU64::new(0),
             fresh_waiters: Mutex::default(),
@@ -133,8 +133,9 @@
         controller
     }
 
-    /// Sets what makes the host exchange digests at once; the first call counts.
-    pub fn set_exchange(&self, exchange: Box<ExchangeHook>) {
+    /// Sets the function that makes the host exchange digests immediately; only the
+    /// first call has an effect.
+    pub fn set_exchange_trigger(&self, exchange: Box<ExchangeHook>) {
         self.exchange.set(exchange).ok();
     }
 
@@ -144,13 +145,13 @@
         current.as_ref().map(|entry| Arc::clone(&entry.view))
     }
 
-    /// Returns the document in force as it came.
+    /// Returns the document in force as it was received.
     pub fn copy(&self) -> Option<RawDocument> {
         let current = self.current.load();
         current.as_ref().map(|entry| entry.copy.clone())
     }
 
-    /// Returns the version and digest in force; zeroes when there is none.
+    /// Returns the version and digest in force; zeros if there is none.
     pub fn version_digest(&self) -> (FleetVersion, ConfigDigest) {
         let current = self.current.load();
         current
@@ -158,89 +159,104 @@
             .map_or((0, [0; 32]), |entry| (entry.copy.version, entry.digest))
     }
 
-    /// Returns where the document in force came from.
+    /// Returns the source of the document in force.
     pub fn source(&self) -> Option<ConfigSource> {
         let current = self.current.load();
         current.as_ref().map(|entry| entry.source.clone())
     }
 
-    /// Returns why the last refused document was refused; nothing once a newer
-    /// one is in force.
+    /// Returns why the last refused document was refused; `None` once a newer one is in
+    /// force.
     pub fn last_refusal(&self) -> Option<String> {
-        self.ledger().last_refusal().map(ToString::to_string)
+        self.tracker().last_refusal().map(ToString::to_string)
     }
 
-    /// Returns how many documents were refused.
+    /// Returns the number of refused documents.
     pub fn refusals(&self) -> u64 {
-        self.ledger().refusals()
+        self.tracker().refusals()
     }
 
-    /// Returns how long ago the view was last confirmed.
+    /// Returns the time since the view was last confirmed.
     pub fn view_age(&self, now: Duration) -> Option<Duration> {
         self.freshness().age(now)
     }
 
-    /// Tells whether the view is fresh enough to dispatch by; `now` is of the boot clock.
+    /// Returns whether the view is fresh enough for dispatching; `now` is a boot clock
+    /// reading.
     pub fn is_fresh(&self, now: Duration) -> bool {
         (now.as_millis() as u64) < self.fresh_until_ms.load(Ordering::Acquire)
     }
 
-    /// Asks the peers and waits until the view is fresh, for a bounded time;
-    /// returns whether it is.
+    /// Asks the peers and waits, for a limited time, until the view is fresh; returns
+    /// whether it is.
     pub async fn refresh(&self) -> bool {
         let wait = async {
             while !self.is_fresh(boot_now()) {
                 let (waiter, changed) = async_channel::bounded::<()>(1);
                 lock(&self.fresh_waiters).push(waiter);
-                self.exchange_soon();
-                // Closed, never sent to.
+                self.trigger_exchange();
+                // The channel is only ever closed.
                 changed.recv().await.ok();
             }
         };
-        future::timeout(REFRESH_LIMIT, wait).await.is_ok()
+        future::timeout(REFRESH_TIMEOUT, wait).await.is_ok()
     }
 
-    /// Tells whether the host may serve, as far as the configuration goes.
+    /// Checks whether the host may serve, as far as the configuration is concerned.
     ///
     /// # Errors
     ///
-    /// What is missing.
+    /// The reason why it may not.
     pub fn readiness(&self, now: Duration) -> Result<(), UnreadyReason> {
         self.freshness().readiness(now)
     }
 
-    /// Takes what a peer said unasked. It may have waited in a socket while this
-    /// process was paused, so it can bring news but confirms nothing.
-    pub fn heard(self: &Arc<Self>, from: &HostName, version: FleetVersion, digest: ConfigDigest) {
-        self.note_peer(from, version, digest);
+    /// Processes an unsolicited announcement by a peer. It may have waited in a socket
+    /// while this process was paused, so it can announce a newer version but confirms
+    /// nothing.
+    pub fn peer_announced(
+        self: &Arc<Self>,
+        from: &HostName,
+        version: FleetVersion,
+        digest: ConfigDigest,
+    ) {
+        self.compare_peer(from, version, digest);
     }
 
-    /// Takes what a peer answered to a question that was sent at `asked` (boot clock).
-    pub fn answered(
+    /// Processes a peer's reply to a question sent at `asked` (boot clock).
+    pub fn peer_replied(
         self: &Arc<Self>,
         from: &HostName,
         version: FleetVersion,
         digest: ConfigDigest,
         asked: Duration,
     ) {
-        self.note_peer(from, version, digest);
-        let settled = {
-            let ledger = self.ledger();
-            version <= ledger.version() || ledger.has_refused(version)
+        self.compare_peer(from, version, digest);
+        let confirms = {
+            let tracker = self.tracker();
+            version <= tracker.version() || tracker.has_refused(version)
         };
-        if settled {
+        if confirms {
             self.freshness().peer_confirmed(from, asked);
             self.show_freshness();
         }
     }
 
-    fn note_peer(self: &Arc<Self>, from: &HostName, version: FleetVersion, digest: ConfigDigest) {
+    fn compare_peer(
+        self: &Arc<Self>,
+        from: &HostName,
+        version: FleetVersion,
+        digest: ConfigDigest,
+    ) {
         let (conflict, wanted) = {
-            let mut ledger = self.ledger();
-            (ledger.note_peer(version, &digest), ledger.wants(version))
+            let mut tracker = self.tracker();
+            (
+                tracker.compare_peer(version, &digest),
+                tracker.wants(version),
+            )
         };
         if conflict {
-            self.tell_refusal(&ConfigRefusal::Conflict { version });
+            self.report_refusal(&ConfigRefusal::Conflict { version });
         }
         if wanted {
             self.fetch_from(from.clone(), version);
@@ -248,7 +264,7 @@
         self.retry_waiting();
     }
 
-    /// Fetches a peer's document in a task of its own.
+    /// Fetches a peer's document in a separate task.
     fn fetch_from(self: &Arc<Self>, host: HostName, version: FleetVersion) {
         if self.fetches.fetch_add(1, Ordering::AcqRel) >= MAX_FETCHES {
             self.fetches.fetch_sub(1, Ordering::AcqRel);
@@ -270,20 +286,20 @@
         });
     }
 
-    /// Judges a document of any source and puts it in force if it is good.
+    /// Checks a document from any source and puts it in force if it is valid.
     pub fn offer(&self, copy: RawDocument, source: ConfigSource) -> OfferOutcome<FleetView> {
-        let mut ledger = self.ledger();
-        let before = ledger.refusals();
-        let outcome = ledger.offer(copy, source, compile_copy, |view| self.admit(view));
-        self.settle(ledger, before, &outcome);
+        let mut tracker = self.tracker();
+        let before = tracker.refusals();
+        let outcome = tracker.offer(copy, source, compile_copy, |view| self.admit(view));
+        self.publish_outcome(tracker, before, &outcome);
         outcome
     }
 
     fn retry_waiting(&self) {
-        let mut ledger = self.ledger();
-        let before = ledger.refusals();
-        if let Some(outcome) = ledger.retry_waiting(|view| self.admit(view)) {
-            self.settle(ledger, before, &outcome);
+        let mut tracker = self.tracker();
+        let before = tracker.refusals();
+        if let Some(outcome) = tracker.retry_waiting(|view| self.admit(view)) {
+            self.publish_outcome(tracker, before, &outcome);
         }
     }
 
@@ -291,23 +307,24 @@
         (self.parts.admit_roster)(view.document())
     }
 
-    /// Makes an outcome known. The ledger stays locked until the new view is
-    /// stored and told: two offers at once must not be stored in the wrong order.
-    fn settle(
+    /// Publishes an outcome. The tracker stays locked until the new view is stored and
+    /// its listeners were called, so that concurrent offers are stored in the right
+    /// order.
+    fn publish_outcome(
         &self,
-        ledger: MutexGuard<'_, ConfigTracker<FleetView>>,
+        tracker: MutexGuard<'_, ConfigTracker<FleetView>>,
         refusals_before: u64,
         outcome: &OfferOutcome<FleetView>,
     ) {
         match outcome {
             OfferOutcome::Accepted(entry) => {
                 self.put_in_force(entry);
-                drop(ledger);
-                self.tell_accepted(entry);
+                drop(tracker);
+                self.report_accepted(entry);
             }
-            OfferOutcome::Refused(refusal) if ledger.refusals() > refusals_before => {
-                drop(ledger);
-                self.tell_refusal(refusal);
+            OfferOutcome::Refused(refusal) if tracker.refusals() > refusals_before => {
+                drop(tracker);
+                self.report_refusal(refusal);
             }
             OfferOutcome::Refused(_) | OfferOutcome::InForce | OfferOutcome::Waiting => {}
         }
@@ -325,10 +342,10 @@
         (self.parts.accepted)(&entry.view);
     }
 
-    /// Pushes the news on: peers that are cut from the platform follow within
-    /// two round trips instead of at their next turn.
-    fn tell_accepted(&self, entry: &ConfigEntry<FleetView>) {
-        self.exchange_soon();
+    /// Publishes the new version: peers that are disconnected from the platform follow
+    /// within two round trips instead of at their next exchange.
+    fn report_accepted(&self, entry: &ConfigEntry<FleetView>) {
+        self.trigger_exchange();
         self.parts.metrics.set_fleet_version(entry.copy.version);
         self.parts.log.write(&StateChange::ConfigurationAccepted {
             version: entry.copy.version,
@@ -340,7 +357,7 @@
         });
     }
 
-    fn tell_refusal(&self, refusal: &ConfigRefusal) {
+    fn report_refusal(&self, refusal: &ConfigRefusal) {
         self.parts.metrics.count_refused_configuration();
         let (version, faults) = match refusal {
             ConfigRefusal::Conflict { version } => {
@@ -360,18 +377,18 @@
         });
     }
 
-    /// Notes how a read of the platform that began at `asked` ended.
-    pub(super) fn note_platform(&self, asked: Duration, answered: bool) {
+    /// Records the result of a read of the platform that began at `asked`.
+    pub(super) fn record_platform(&self, asked: Duration, answered: bool) {
         self.freshness().platform_asked(asked, answered);
         self.show_freshness();
     }
 
-    /// Writes a change of state.
+    /// Logs a change of state.
     pub(super) fn tell(&self, change: &StateChange) {
         self.parts.log.write(change);
     }
 
-    /// Publishes until when the view is fresh, and wakes the requests that wait.
+    /// Publishes the time until which the view is fresh and wakes waiting requests.
     fn show_freshness(&self) {
         let until = self.freshness().fresh_until();
         self.fresh_until_ms
@@ -379,22 +396,22 @@
         lock(&self.fresh_waiters).clear();
     }
 
-    /// Makes the host exchange digests at once: something changed that peers wait for.
-    fn exchange_soon(&self) {
+    /// Triggers an immediate digest exchange after a change that peers wait for.
+    fn trigger_exchange(&self) {
         if let Some(exchange) = self.exchange.get() {
             exchange();
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, ConfigTracker<FleetView>> {
-        lock(&self.ledger)
+    fn tracker(&self) -> MutexGuard<'_, ConfigTracker<FleetView>> {
+        lock(&self.tracker)
     }
 
     fn freshness(&self) -> MutexGuard<'_, ViewFreshness> {
         lock(&self.freshness)
     }
 
-    /// Ends the watch of the platform.
+    /// Stops the watch on the platform.
     pub fn stop(&self) {
         self.stop.close();
     }
@@ -406,14 +423,14 @@
     }
 }
 
-/// A controller that a running task refers to without keeping it alive.
+/// A weak reference with which a running task does not keep the controller alive.
 pub(super) type WeakController = Weak<ConfigController>;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Checks a document whole and compiles it.
+/// Checks and compiles a complete document.
 fn compile_copy(body: &[u8]) -> Result<CompiledCopy<FleetView>, Vec<String>> {
     let text = std::str::from_utf8(body).map_err(|_| vec!["not UTF-8".to_owned()])?;
     let view = parse_document(text)
@@ -426,8 +443,8 @@
     })
 }
 
-/// The seats of the roster and of the one that it replaces: while the change is
-/// under way, claims need a majority of both.
+/// Returns the seats of the roster and of the one that it replaces: during the change,
+/// claims need majorities of both.
 fn known_peers(document: &FleetDocument) -> Vec<(HostName, SocketAddr)> {
     let former = document.former.iter().flat_map(|former| &former.seats);
     let seats = document.roster.seats.iter().chain(former);
--- a/src/controllers/config_entry.rs
+++ b/src/controllers/config_entry.rs
@@ -1,4 +1,4 @@
-//! A fleet document with what was made of it.
+//! Fleet documents with their compiled views.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::peers::ConfigDigest;
 use crate::peers::RawDocument;
 
-/// Where a document came from.
+/// The source of a document.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum ConfigSource {
     /// The platform.
@@ -20,10 +20,10 @@
     Peer(HostName),
 }
 
-/// A document that was found sound.
+/// A valid document.
 #[derive(Clone, Debug)]
 pub struct CompiledCopy<V> {
-    /// The version that stands in the document itself.
+    /// The version stated in the document itself.
     pub version: FleetVersion,
     /// The digest by which peers see that they hold the same document.
     pub digest: ConfigDigest,
@@ -34,12 +34,12 @@
 /// A document in force.
 #[derive(Clone, Debug)]
 pub struct ConfigEntry<V> {
-    /// The document as it came, for peers that fetch it.
+    /// The document as received, for peers that fetch it.
     pub copy: RawDocument,
     /// The digest by which peers see that they hold the same document.
     pub digest: ConfigDigest,
     /// The compiled view.
     pub view: Arc<V>,
-    /// Where it came from.
+    /// Its source.
     pub source: ConfigSource,
 }
--- a/src/controllers/config_refusal.rs
+++ b/src/controllers/config_refusal.rs
@@ -1,28 +1,28 @@
-//! Why a document is not put in force.
+//! The reasons for refusing a document.
 
 use derive_more::Display;
 use derive_more::Error;
 
 use crate::ids::FleetVersion;
 
-/// Why a document is not put in force.
+/// The reason that a document is not put in force.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum ConfigRefusal {
-    /// A newer document is in force: a platform or peer is behind.
+    /// A newer document is in force: the platform or the peer is behind.
     #[display("version {offered} is older than {in_force}, which is in force")]
     Older {
         /// The version that was offered.
         offered: FleetVersion,
-        /// The version that stays.
+        /// The version in force.
         in_force: FleetVersion,
     },
     /// Another document of the same version is in force: two edits raced.
     #[display("version {version} is in force with another content")]
     Conflict {
-        /// The version of both.
+        /// The version of both documents.
         version: FleetVersion,
     },
-    /// The document names another version than its source does.
+    /// The document states another version than its source.
     #[display("the document says version {found}, its source {declared}")]
     VersionMismatch {
         /// The version that the source gave.
@@ -30,12 +30,12 @@
         /// The version in the document.
         found: FleetVersion,
     },
-    /// The document has faults.
+    /// The document is invalid.
     #[display("version {version}: {}", faults.join("; "))]
     Invalid {
         /// The version that the source gave.
         version: FleetVersion,
-        /// Every fault.
+        /// All faults.
         faults: Vec<String>,
     },
     /// The document's roster can't follow the active one.
@@ -43,15 +43,16 @@
     Roster {
         /// The version that was offered.
         version: FleetVersion,
-        /// What the roster rules say.
+        /// The reason given by the roster rules.
         reason: String,
     },
 }
 
 impl ConfigRefusal {
-    /// Returns the first fault of a document, or the one reason of another refusal.
+    /// Returns the first fault of a document, or the reason of another refusal.
     ///
-    /// A log line that holds every fault of a broken document is as long as it.
+    /// A log line with all faults of an invalid document could be as long as the
+    /// document.
     pub fn first_fault(&self) -> String {
         match self {
             Self::Invalid { faults, .. } => faults.first().cloned().unwrap_or_default(),
--- a/src/controllers/config_tracker.rs
+++ b/src/controllers/config_tracker.rs
@@ -1,8 +1,8 @@
-//! Which document is in force: the rules, apart from all sources.
+//! The rules that decide which document is in force, independent of its source.
 //!
-//! A document is taken whole or not at all, and versions only rise. So a stale
-//! platform, a peer that is behind and a process that wakes up late can offer
-//! what they like: nothing older than what is in force ever comes back.
+//! A document is accepted or refused as a whole, and versions only increase. A stale
+//! platform, a lagging peer or a process that resumes late can therefore never bring
+//! back an older document than the one in force.
 
 use std::sync::Arc;
 
@@ -15,25 +15,25 @@
 use crate::peers::ConfigDigest;
 use crate::peers::RawDocument;
 
-/// What became of a document that was offered.
+/// The outcome of offering a document.
 #[derive(Clone, Debug)]
 pub enum OfferOutcome<V> {
-    /// The document is in force from now on.
+    /// The document has been put in force.
     Accepted(Arc<ConfigEntry<V>>),
-    /// The document is the one in force.
+    /// The document is already in force.
     InForce,
-    /// The document is sound, but its roster can't be judged before peers told
-    /// more; see [`ConfigTracker::retry_waiting`].
+    /// The document is valid, but its roster can't be checked before peers have
+    /// reported more; see [`ConfigTracker::retry_waiting`].
     Waiting,
-    /// The document is refused and the one before stays.
+    /// The document is refused; the previous one stays in force.
     Refused(ConfigRefusal),
 }
 
-/// The document in force, and what is known of others.
+/// Tracks the document in force and other known documents.
 ///
-/// Versions are whole numbers that only rise; there is no clock in it. `V` is what a
-/// document compiles to. Sources (a platform, a peer, a file) are told apart by
-/// [`ConfigSource`] for the log only: all of them are judged alike.
+/// Versions are integers that only increase; no clock is involved. `V` is the compiled
+/// form of a document. [`ConfigSource`] distinguishes sources (the platform, a peer)
+/// for the log only; documents from all sources are checked alike.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -50,36 +50,36 @@
 ///     Ok(CompiledCopy { version, digest: [0; 32], view: Arc::new(text.to_owned()) })
 /// };
 /// let copy = |version, body: &'static str| RawDocument { version, body: body.into() };
-/// let mut ledger = ConfigTracker::<String>::new();
+/// let mut tracker = ConfigTracker::<String>::new();
 ///
 /// let platform = ConfigSource::Platform;
 /// let admit = |_: &String| RosterAdmission::Admitted;
-/// let newer = ledger.offer(copy(2, "two"), platform.clone(), compile(2), admit);
-/// let stale = ledger.offer(copy(1, "one"), platform, compile(1), admit);
+/// let newer = tracker.offer(copy(2, "two"), platform.clone(), compile(2), admit);
+/// let stale = tracker.offer(copy(1, "one"), platform, compile(1), admit);
 ///
 /// assert!(matches!(newer, OfferOutcome::Accepted(_)));
 /// assert!(matches!(stale, OfferOutcome::Refused(_)), "an older version never comes back");
-/// assert_eq!(ledger.version(), 2);
+/// assert_eq!(tracker.version(), 2);
 /// ```
 #[derive(Debug)]
 pub struct ConfigTracker<V> {
     in_force: Option<Arc<ConfigEntry<V>>>,
     waiting: Option<Arc<ConfigEntry<V>>>,
-    /// The last document that was refused for its content: it is offered again
-    /// with each read, and judging a mebibyte each time would cost a core.
-    judged: Option<(RawDocument, ConfigRefusal)>,
+    /// The last document refused for its content. It is offered again with each read,
+    /// and checking 1 MiB each time would occupy a core.
+    refused_copy: Option<(RawDocument, ConfigRefusal)>,
     last_refusal: Option<ConfigRefusal>,
     refusals: u64,
     conflict: Option<(FleetVersion, ConfigDigest)>,
 }
 
 impl<V> ConfigTracker<V> {
-    /// Makes a ledger with nothing in force.
+    /// Creates a tracker without a document in force.
     pub const fn new() -> Self {
         Self {
             in_force: None,
             waiting: None,
-            judged: None,
+            refused_copy: None,
             last_refusal: None,
             refusals: 0,
             conflict: None,
@@ -91,7 +91,7 @@
         self.in_force.as_ref()
     }
 
-    /// Returns the version in force; 0 when there is none.
+    /// Returns the version in force; 0 if there is none.
     pub fn version(&self) -> FleetVersion {
         self.in_force.as_ref().map_or(0, |entry| entry.copy.version)
     }
@@ -101,14 +101,14 @@
         self.last_refusal.as_ref()
     }
 
-    /// Returns how many offers were refused for a reason that operators must see.
+    /// Returns the number of offers refused for a reason that operators must see.
     pub const fn refusals(&self) -> u64 {
         self.refusals
     }
 
-    /// Judges a document; what is wrong with it is the outcome's [`ConfigRefusal`].
-    /// `compile` checks it whole; `admit` judges its roster
-    /// and is asked last, since it may take the roster up.
+    /// Checks a document; the reason of a refusal is the outcome's [`ConfigRefusal`].
+    /// `compile` checks the whole document. `admit` checks its roster; it is called
+    /// last because it may adopt the roster.
     pub fn offer(
         &mut self,
         copy: RawDocument,
@@ -116,7 +116,7 @@
         compile: impl FnOnce(&[u8]) -> Result<CompiledCopy<V>, Vec<String>>,
         admit: impl FnOnce(&V) -> RosterAdmission,
     ) -> OfferOutcome<V> {
-        if let Some(outcome) = self.judge_unread(&copy) {
+        if let Some(outcome) = self.decide_by_bytes(&copy) {
             return outcome;
         }
         let compiled = match compile(&copy.body) {
@@ -134,7 +134,7 @@
             return self.refuse_content(copy, refusal);
         }
         if copy.version == self.version() {
-            return self.judge_same_version(copy, &compiled.digest);
+            return self.check_same_version(copy, &compiled.digest);
         }
         let entry = ConfigEntry {
             copy,
@@ -145,12 +145,13 @@
         self.admit_entry(Arc::new(entry), admit)
     }
 
-    /// Judges what can be judged by the version and the bytes alone.
-    fn judge_unread(&mut self, copy: &RawDocument) -> Option<OfferOutcome<V>> {
+    /// Decides offers for which the version and the bytes suffice.
+    fn decide_by_bytes(&mut self, copy: &RawDocument) -> Option<OfferOutcome<V>> {
         if let Some(entry) = &self.in_force {
             if copy.version < entry.copy.version {
-                // A stale read is no fault of a document: operators see it in no
-                // refusal, or each lagging read would hide the last real one.
+                // A stale read is not a fault of the document. It is not reported as a
+                // refusal, since each lagging read would otherwise hide the last real
+                // one.
                 return Some(OfferOutcome::Refused(ConfigRefusal::Older {
                     offered: copy.version,
                     in_force: entry.copy.version,
@@ -160,18 +161,18 @@
                 return Some(OfferOutcome::InForce);
             }
         }
-        match &self.judged {
-            Some((judged, refusal)) if judged == copy => {
+        match &self.refused_copy {
+            Some((refused_copy, refusal)) if refused_copy == copy => {
                 Some(OfferOutcome::Refused(refusal.clone()))
             }
             _ => None,
         }
     }
 
-    /// Two edits of one version raced at the platform, or somebody rewrote a
-    /// version. Hosts that took one and hosts that took the other would each
-    /// think that they agree; so whoever has one keeps it and raises the alarm.
-    fn judge_same_version(&mut self, copy: RawDocument, digest: &ConfigDigest) -> OfferOutcome<V> {
+    /// Two edits with the same version raced at the platform, or a version was
+    /// overwritten. Hosts that accepted different ones would consider themselves in
+    /// agreement, so each host keeps the one it has and reports the conflict.
+    fn check_same_version(&mut self, copy: RawDocument, digest: &ConfigDigest) -> OfferOutcome<V> {
         let same = self
             .in_force
             .as_ref()
@@ -191,7 +192,7 @@
         match admit(&entry.view) {
             RosterAdmission::Admitted => {
                 self.waiting = None;
-                self.judged = None;
+                self.refused_copy = None;
                 self.last_refusal = None;
                 self.in_force = Some(Arc::clone(&entry));
                 OfferOutcome::Accepted(entry)
@@ -201,15 +202,15 @@
                 OfferOutcome::Waiting
             }
             RosterAdmission::Refused { reason } => {
-                // Not remembered as judged: what the roster rules say may change
-                // as peers tell more.
+                // Not remembered: the result of the roster check may change as peers
+                // report more.
                 let version = entry.copy.version;
                 self.refuse(ConfigRefusal::Roster { version, reason })
             }
         }
     }
 
-    /// Keeps the newest document that waits.
+    /// Keeps the newest waiting document.
     fn keep_waiting(&mut self, entry: Arc<ConfigEntry<V>>) {
         let newer = self
             .waiting
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Asks again for the document that waits, after peers told something.
+    /// Offers the waiting document again, after peers have reported something.
     pub fn retry_waiting(
         &mut self,
         admit: impl FnOnce(&V) -> RosterAdmission,
@@ -232,12 +233,13 @@
         Some(self.admit_entry(entry, admit))
     }
 
-    /// Tells whether a document that a peer has in force should be fetched.
+    /// Returns whether a document that a peer has in force should be fetched.
     pub fn wants(&self, version: FleetVersion) -> bool {
         version > self.version() && !self.knows(version)
     }
 
-    /// Tells whether the content of a newer version was judged here, or waits.
+    /// Returns whether the content of a newer version has been checked here or is
+    /// waiting.
     fn knows(&self, version: FleetVersion) -> bool {
         let waits = self
             .waiting
@@ -246,16 +248,16 @@
         waits || self.has_refused(version)
     }
 
-    /// Tells whether the content of `version` was refused here.
+    /// Returns whether the content of `version` was refused here.
     pub fn has_refused(&self, version: FleetVersion) -> bool {
-        self.judged
+        self.refused_copy
             .as_ref()
             .is_some_and(|(copy, _)| copy.version == version)
     }
 
-    /// Compares with what a peer has in force; returns whether this is news of
-    /// a conflict, which must raise the alarm once.
-    pub fn note_peer(&mut self, version: FleetVersion, digest: &ConfigDigest) -> bool {
+    /// Compares with a peer's document in force; returns whether this reveals a new
+    /// conflict, which must be reported once.
+    pub fn compare_peer(&mut self, version: FleetVersion, digest: &ConfigDigest) -> bool {
         let conflicts = self
             .in_force
             .as_ref()
@@ -269,7 +271,7 @@
     }
 
     fn refuse_content(&mut self, copy: RawDocument, refusal: ConfigRefusal) -> OfferOutcome<V> {
-        self.judged = Some((copy, refusal.clone()));
+        self.refused_copy = Some((copy, refusal.clone()));
         self.refuse(refusal)
     }
 
--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -54,7 +54,7 @@
     claims: Arc<ClaimCoordinator>,
     work: Arc<WorkController>,
     suspects: Arc<PoisonGuard>,
-    hurry: Sender<()>,
+    trigger: Sender<()>,
     inbox: Mutex<DigestInbox>,
     outbox: Mutex<DigestOutbox>,
 }
@@ -75,22 +75,22 @@
         work: Arc<WorkController>,
         suspects: Arc<PoisonGuard>,
     ) -> Arc<Self> {
-        let (hurry, hurried) = async_channel::bounded(1);
+        let (trigger, triggered) = async_channel::bounded(1);
         let controller = Arc::new(Self {
             mesh,
             config,
             claims,
             work,
             suspects,
-            hurry,
+            trigger,
             inbox: Mutex::default(),
             outbox: Mutex::default(),
         });
-        let hurry = controller.hurry.clone();
-        controller.config.set_exchange(Box::new(move || {
-            hurry.try_send(()).ok();
+        let trigger = controller.trigger.clone();
+        controller.config.set_exchange_trigger(Box::new(move || {
+            trigger.try_send(()).ok();
         }));
-        task::spawn(exchange_forever(Arc::downgrade(&controller), hurried));
+        task::spawn(exchange_forever(Arc::downgrade(&controller), triggered));
         controller
     }
 
@@ -123,7 +123,8 @@
     fn hear(&self, from: &HostName, digest: PeerDigest) {
         let document = DocumentIdentity::of(&digest);
         self.learn(from, digest);
-        self.config.heard(from, document.version, document.digest);
+        self.config
+            .peer_announced(from, document.version, document.digest);
     }
 
     fn learn(&self, from: &HostName, digest: PeerDigest) {
@@ -142,7 +143,7 @@
     /// Brings the next exchange forward: something changed that peers wait for.
     pub(crate) fn exchange_soon(&self) {
         // A full channel says that an exchange is due already.
-        self.hurry.try_send(()).ok();
+        self.trigger.try_send(()).ok();
     }
 
     fn learn_roster(&self, from: &HostName, digest: RosterDigest) -> bool {
@@ -235,7 +236,7 @@
         };
         lock(&self.outbox).mark_confirmed(host, own, whole);
         self.config
-            .answered(host, document.version, document.digest, asked);
+            .peer_replied(host, document.version, document.digest, asked);
         true
     }
 
@@ -257,13 +258,13 @@
     }
 }
 
-async fn exchange_forever(controller: Weak<DigestController>, hurried: Receiver<()>) {
+async fn exchange_forever(controller: Weak<DigestController>, triggered: Receiver<()>) {
     while let Some(controller) = controller.upgrade() {
         let told = controller.exchange();
-        let hurry = async {
-            hurried.recv().await.ok();
+        let trigger = async {
+            triggered.recv().await.ok();
         };
-        or(hurry, controller.wait_for_news(&told)).await;
+        or(trigger, controller.wait_for_news(&told)).await;
     }
 }
 
--- a/src/controllers/platform_watch.rs
+++ b/src/controllers/platform_watch.rs
@@ -51,7 +51,7 @@
         let Some(controller) = controller.upgrade() else {
             return;
         };
-        controller.note_platform(asked, answer.is_ok());
+        controller.record_platform(asked, answer.is_ok());
         tell_change(&controller, &mut lost, answer.as_ref().err());
         let end = take_answer(&controller, answer);
         drop(controller);
--- a/tests/config_gossip_tracker.rs
+++ b/tests/config_gossip_tracker.rs
@@ -194,9 +194,9 @@
 fn peer_with_another_document_of_the_version_raises_the_alarm_once() {
     let mut ledger = ledger_at(7, "mine");
 
-    assert!(ledger.note_peer(7, &[9; 32]));
-    assert!(!ledger.note_peer(7, &[9; 32]));
-    assert!(!ledger.note_peer(8, &[9; 32]));
+    assert!(ledger.compare_peer(7, &[9; 32]));
+    assert!(!ledger.compare_peer(7, &[9; 32]));
+    assert!(!ledger.compare_peer(8, &[9; 32]));
     assert!(ledger.wants(8));
     assert_eq!(ledger.refusals(), 1);
 }
--- a/tests/config_support/mod.rs
+++ b/tests/config_support/mod.rs
@@ -49,7 +49,7 @@
             };
             let reply = match call {
                 PeerCall::Digest(digest) => {
-                    controller.heard(&from, digest.version, digest.digest);
+                    controller.peer_announced(&from, digest.version, digest.digest);
                     PeerReply::Digest(Box::new(own_digest(controller)))
                 }
                 PeerCall::Document => PeerReply::Document(controller.copy()),
@@ -107,11 +107,11 @@
             admit_roster: Box::new(|_| RosterAdmission::Admitted),
             accepted: Box::new(|_| {}),
         });
-        let (hurry, hurried) = async_channel::bounded(1);
-        controller.set_exchange(Box::new(move || {
-            hurry.try_send(()).ok();
+        let (trigger, triggered) = async_channel::bounded(1);
+        controller.set_exchange_trigger(Box::new(move || {
+            trigger.try_send(()).ok();
         }));
-        task::spawn(exchange_forever(mesh, controller.clone(), hurried));
+        task::spawn(exchange_forever(mesh, controller.clone(), triggered));
         assert!(self.handler.controller.set(controller).is_ok());
     }
 
@@ -142,7 +142,7 @@
 pub(crate) async fn exchange_forever(
     mesh: Arc<PeerMesh>,
     controller: Arc<ConfigController>,
-    hurried: Receiver<()>,
+    triggered: Receiver<()>,
 ) {
     loop {
         for host in mesh.connected_peers() {
@@ -150,10 +150,10 @@
             let asked = boot_now();
             let reply = mesh.call(&host, call, EXCHANGE_PERIOD).await;
             if let Ok(PeerReply::Digest(digest)) = reply {
-                controller.answered(&host, digest.version, digest.digest, asked);
+                controller.peer_replied(&host, digest.version, digest.digest, asked);
             }
         }
-        let pause = async_std::future::timeout(EXCHANGE_PERIOD, hurried.recv());
+        let pause = async_std::future::timeout(EXCHANGE_PERIOD, triggered.recv());
         pause.await.ok();
     }
 }
