--- a/src/controllers/config_controller.rs
+++ b/src/controllers/config_controller.rs
@@ -384,7 +384,7 @@
     }
 
     /// Logs a change of state.
-    pub(super) fn tell(&self, change: &StateChange) {
+    pub(super) fn log_state_change(&self, change: &StateChange) {
         self.parts.log.write(change);
     }
 
--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -1,5 +1,5 @@
-//! What the hosts tell each other: versions, rosters and load, each second and
-//! after each change.
+//! Exchanges digests between hosts: versions, rosters and load, every second and after
+//! each urgent change.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -35,17 +35,17 @@
 use crate::poison::PoisonGuard;
 use crate::roster::RosterDigest;
 
-/// How often digests are exchanged where nothing hurries. What peers do with them
-/// bears one to be lost: a view may be 3 s old, a peer's room and shed level 2 s.
-const PERIOD: Duration = Duration::from_secs(1);
-/// How often the host looks whether something changed that peers wait for; also
-/// the least time between two exchanges that load asks for.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
-/// How long a caller's answer waits for peers to know of a loss. A peer that is
-/// paused must not hold it longer; across zones a round trip takes two milliseconds.
-const TELL_LIMIT: Duration = Duration::from_millis(150);
-/// How long one exchange may take.
-const EXCHANGE_LIMIT: Duration = Duration::from_millis(450);
+/// Regular interval of digest exchanges. Peers tolerate the loss of one: a view may be
+/// 3 s old, a peer's free slots and shed level 2 s.
+const EXCHANGE_PERIOD: Duration = Duration::from_secs(1);
+/// How often the host checks for changes that peers wait for; also the minimum time
+/// between two exchanges triggered by load.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
+/// How long a caller's answer waits until peers know of a loss. A paused peer must not
+/// delay it for longer; a round trip across zones takes 2 ms.
+const BROADCAST_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time limit for one exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Exchanges digests with all peers.
 pub(crate) struct DigestController {
@@ -59,15 +59,15 @@
     outbox: Mutex<DigestOutbox>,
 }
 
-/// What peers are told at once when it changes.
+/// The state that is sent to peers immediately after it changes.
 #[derive(Debug, PartialEq)]
-struct UrgentNews {
+struct UrgentState {
     shed_levels: (TierRank, TierRank),
     suspects: Vec<PoisonEntry>,
 }
 
 impl DigestController {
-    /// Exchanges digests from now on.
+    /// Starts to exchange digests.
     pub(crate) fn spawn(
         mesh: Arc<PeerMesh>,
         config: Arc<ConfigController>,
@@ -94,23 +94,23 @@
         controller
     }
 
-    /// Takes what a peer says unasked, and returns what this host knows. The
-    /// policy's part stays out: slots that it lends must be told to all peers at
-    /// once, and the peer hears it from this host's own exchange.
+    /// Processes an unsolicited digest and returns this host's own, without the
+    /// policy's part: lent slots must be announced to all peers at once, which this
+    /// host's own exchange does.
     pub(crate) fn accept(&self, from: &HostName, digest: PeerDigest) -> PeerDigest {
         lock(&self.inbox).store(from, digest.clone());
-        self.hear(from, digest);
-        self.shared()
+        self.learn_announced(from, digest);
+        self.own_digest()
     }
 
-    /// Takes what changed at a peer since its last digest.
+    /// Processes the changes since a peer's last digest.
     pub(crate) fn accept_delta(&self, from: &HostName, delta: &DigestDelta) -> DigestReceipt {
         let taken = lock(&self.inbox).apply_delta(from, delta);
         let Some(digest) = taken else {
             return DigestReceipt::UnknownBase;
         };
         let theirs = DocumentIdentity::of(&digest);
-        self.hear(from, digest);
+        self.learn_announced(from, digest);
         let ours = self.document();
         match ours == theirs {
             true => DigestReceipt::SameDocument,
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Learns first: a document that waits for its roster is judged anew when a
-    /// peer's version is noted, and must find the roster known by then.
-    fn hear(&self, from: &HostName, digest: PeerDigest) {
+    /// Learns the digest before announcing its document version: the announcement makes
+    /// the controller check a waiting document again, which must find the new roster.
+    fn learn_announced(&self, from: &HostName, digest: PeerDigest) {
         let document = DocumentIdentity::of(&digest);
         self.learn(from, digest);
         self.config
@@ -131,7 +131,7 @@
         if let Some(roster) = digest.roster {
             let changed = self.learn_roster(from, roster);
             if changed {
-                self.exchange_soon();
+                self.trigger_exchange();
             }
         }
         if let Some(policy) = digest.policy {
@@ -140,9 +140,9 @@
         self.suspects.merge(&digest.suspects);
     }
 
-    /// Brings the next exchange forward: something changed that peers wait for.
-    pub(crate) fn exchange_soon(&self) {
-        // A full channel says that an exchange is due already.
+    /// Triggers an immediate exchange after a change that peers wait for.
+    pub(crate) fn trigger_exchange(&self) {
+        // If the channel is full, an exchange is already due.
         self.trigger.try_send(()).ok();
     }
 
@@ -156,8 +156,8 @@
         DocumentIdentity { version, digest }
     }
 
-    /// Returns what this host knows, without the policy's part.
-    fn shared(&self) -> PeerDigest {
+    /// Returns this host's digest without the policy's part.
+    fn own_digest(&self) -> PeerDigest {
         let document = self.document();
         PeerDigest {
             version: document.version,
@@ -168,31 +168,32 @@
         }
     }
 
-    /// Tells all peers and waits until they know, for a bounded time: a caller
-    /// that gets its answer after this finds the same knowledge on every host.
+    /// Sends the digest to all peers and waits, for a limited time, until they have it.
+    /// A caller that is answered afterwards finds the same state on every host.
     pub(crate) async fn broadcast_now(self: &Arc<Self>) {
-        let told = self.tell_all();
+        let sent = self.send_to_all();
         let all = async {
-            for peer in told {
+            for peer in sent {
                 peer.await;
             }
         };
-        timeout(TELL_LIMIT, all).await.ok();
+        timeout(BROADCAST_TIMEOUT, all).await.ok();
     }
 
-    /// Tells all peers, and returns what they wait for when it changes next.
-    fn exchange(self: &Arc<Self>) -> UrgentNews {
-        // Looked at first: what changes in between is told twice and not never.
-        let told = self.urgent_news();
-        // The tasks go on by themselves.
-        drop(self.tell_all());
-        told
+    /// Sends the digest to all peers and returns the urgent state that it contains.
+    fn exchange(self: &Arc<Self>) -> UrgentState {
+        // Read before sending: a change in between is sent twice rather than not at
+        // all.
+        let sent = self.urgent_state();
+        // The tasks continue when their handles are dropped.
+        drop(self.send_to_all());
+        sent
     }
 
-    fn tell_all(self: &Arc<Self>) -> Vec<JoinHandle<()>> {
+    fn send_to_all(self: &Arc<Self>) -> Vec<JoinHandle<()>> {
         let own = Arc::new(PeerDigest {
             policy: Some(self.work.digest()),
-            ..self.shared()
+            ..self.own_digest()
         });
         let peers = self.mesh.connected_peers();
         lock(&self.inbox).retain(&peers);
@@ -201,26 +202,26 @@
             .into_iter()
             .map(|host| {
                 let (controller, own) = (self.clone(), own.clone());
-                task::spawn(async move { controller.tell(&host, &own).await })
+                task::spawn(async move { controller.send_to(&host, &own).await })
             })
             .collect()
     }
 
-    /// Tells one peer what changed, or the whole where it holds nothing to start from.
-    async fn tell(&self, host: &HostName, own: &Arc<PeerDigest>) {
+    /// Sends a peer the changes, or the full digest if it has no base for them.
+    async fn send_to(&self, host: &HostName, own: &Arc<PeerDigest>) {
         let call = lock(&self.outbox).call_for(host, own);
         if !self.call_peer(host, own, call).await {
             lock(&self.outbox).forget(host);
-            let whole = PeerCall::Digest(Box::new(PeerDigest::clone(own)));
-            self.call_peer(host, own, whole).await;
+            let full = PeerCall::Digest(Box::new(PeerDigest::clone(own)));
+            self.call_peer(host, own, full).await;
         }
     }
 
-    /// Makes one call; returns false where the peer wants the whole digest.
+    /// Makes one call; returns false if the peer needs the full digest.
     async fn call_peer(&self, host: &HostName, own: &Arc<PeerDigest>, call: PeerCall) -> bool {
         let asked = boot_now();
-        let whole = matches!(call, PeerCall::Digest(_));
-        let document = match self.mesh.call(host, call, EXCHANGE_LIMIT).await {
+        let full = matches!(call, PeerCall::Digest(_));
+        let document = match self.mesh.call(host, call, EXCHANGE_TIMEOUT).await {
             Ok(PeerReply::Digest(digest)) => {
                 let document = DocumentIdentity::of(&digest);
                 self.learn(host, *digest);
@@ -234,24 +235,24 @@
                 return true;
             }
         };
-        lock(&self.outbox).mark_confirmed(host, own, whole);
+        lock(&self.outbox).mark_confirmed(host, own, full);
         self.config
             .peer_replied(host, document.version, document.digest, asked);
         true
     }
 
-    fn urgent_news(&self) -> UrgentNews {
-        UrgentNews {
+    fn urgent_state(&self) -> UrgentState {
+        UrgentState {
             shed_levels: self.work.shed_levels(),
             suspects: self.suspects.table().entries(),
         }
     }
 
-    /// Waits until a second has passed or peers wait for something that changed.
-    async fn wait_for_news(&self, told: &UrgentNews) {
-        for _ in 0..PERIOD.as_millis() / LOOK_PERIOD.as_millis() {
-            task::sleep(LOOK_PERIOD).await;
-            if self.work.wants_digest() || self.urgent_news() != *told {
+    /// Waits until a second has passed or a change occurs that peers wait for.
+    async fn wait_for_change(&self, sent: &UrgentState) {
+        for _ in 0..EXCHANGE_PERIOD.as_millis() / CHECK_PERIOD.as_millis() {
+            task::sleep(CHECK_PERIOD).await;
+            if self.work.wants_digest() || self.urgent_state() != *sent {
                 return;
             }
         }
@@ -260,11 +261,11 @@
 
 async fn exchange_forever(controller: Weak<DigestController>, triggered: Receiver<()>) {
     while let Some(controller) = controller.upgrade() {
-        let told = controller.exchange();
+        let sent = controller.exchange();
         let trigger = async {
             triggered.recv().await.ok();
         };
-        or(trigger, controller.wait_for_news(&told)).await;
+        or(trigger, controller.wait_for_change(&sent)).await;
     }
 }
 
--- a/src/controllers/drain_state.rs
+++ b/src/controllers/drain_state.rs
@@ -1,4 +1,4 @@
-//! Whether the host leaves, and how many requests still run.
+//! Whether the host is leaving, and the number of running requests.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::AtomicUsize;
@@ -7,48 +7,48 @@
 
 use async_std::task;
 
-/// How often the end of the last request is looked for.
-const POLL: Duration = Duration::from_millis(20);
+/// Poll interval of [`DrainState::wait_idle`].
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// Whether the host leaves, and how many requests still run.
+/// Whether the host is leaving, and the number of running requests.
 #[derive(Debug, Default)]
 pub(crate) struct DrainState {
     leaving: AtomicBool,
     running: AtomicUsize,
 }
 
-/// Counts one request for as long as it lives.
+/// Counts a request as running until dropped.
 #[derive(Debug)]
 pub(crate) struct RunningGuard<'s> {
     state: &'s DrainState,
 }
 
 impl DrainState {
-    /// Says that the host leaves; there is no way back.
+    /// Marks the host as leaving; this can't be undone.
     pub(crate) fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
-    /// Tells whether the host leaves.
+    /// Returns whether the host is leaving.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Counts a request in until the guard is dropped.
+    /// Counts a request as running until the guard is dropped.
     pub(crate) fn enter(&self) -> RunningGuard<'_> {
         self.running.fetch_add(1, Ordering::AcqRel);
         RunningGuard { state: self }
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub(crate) fn running(&self) -> usize {
         self.running.load(Ordering::Acquire)
     }
 
-    /// Waits until no request runs.
+    /// Waits until no request is running.
     pub(crate) async fn wait_idle(&self) {
         while self.running() > 0 {
-            task::sleep(POLL).await;
+            task::sleep(POLL_PERIOD).await;
         }
     }
 }
--- a/src/controllers/host_list_watch.rs
+++ b/src/controllers/host_list_watch.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of live and leaving hosts, again and again.
+//! Polls the platform's list of live and leaving hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,22 +11,23 @@
 use crate::documents::DocumentClient;
 use crate::documents::HostList;
 
-/// How often the list is read. 320 daemons make 320 calls a second of the
-/// platform's 2,000; a target that leaves is seen 1 s after the list says so.
-const PERIOD: Duration = Duration::from_secs(1);
-/// How far one period is spread, so that hosts started together do not read together.
+/// Poll interval. 320 daemons make 320 calls/s, out of the platform's 2,000; a leaving
+/// target is noticed 1 s after it appears in the list.
+const POLL_PERIOD: Duration = Duration::from_secs(1);
+/// Width of the random spread of a poll interval, so that hosts started together do not
+/// poll together.
 const SPREAD: Duration = Duration::from_millis(200);
-/// The longest wait after failures.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+/// Maximum delay after failures.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// A running reader of the list; dropping it ends it.
+/// A running poller of the list; stops when dropped.
 pub struct HostListWatch {
     stop: Sender<()>,
 }
 
 impl HostListWatch {
-    /// Reads the list each second from now on and hands each one to `listener`.
-    /// The list lags and may come in the wrong order; see [`super::LeavingTracker`].
+    /// Polls the list every second and passes each one to `listener`. The list lags and
+    /// lists may arrive out of order; see [`super::LeavingTracker`].
     pub fn spawn(
         platform: Arc<DocumentClient>,
         listener: impl Fn(HostList) + Send + 'static,
@@ -35,7 +36,7 @@
         let stop_signal = async move {
             stopped.recv().await.ok();
         };
-        task::spawn(or(stop_signal, read_forever(platform, listener)));
+        task::spawn(or(stop_signal, poll_forever(platform, listener)));
         Self { stop }
     }
 }
@@ -46,15 +47,15 @@
     }
 }
 
-async fn read_forever(platform: Arc<DocumentClient>, listener: impl Fn(HostList)) {
-    let mut backoff = RetryBackoff::new(PERIOD, LONGEST_RETRY);
+async fn poll_forever(platform: Arc<DocumentClient>, listener: impl Fn(HostList)) {
+    let mut backoff = RetryBackoff::new(POLL_PERIOD, MAX_RETRY_DELAY);
     loop {
         match platform.list_hosts().await {
             Ok(list) => {
                 backoff.reset();
                 listener(list);
                 let spread: f64 = rand::random();
-                task::sleep(PERIOD - SPREAD / 2 + SPREAD.mul_f64(spread)).await;
+                task::sleep(POLL_PERIOD - SPREAD / 2 + SPREAD.mul_f64(spread)).await;
             }
             Err(_) => task::sleep(backoff.next_wait(rand::random())).await,
         }
--- a/src/controllers/host_tracker.rs
+++ b/src/controllers/host_tracker.rs
@@ -1,28 +1,29 @@
-//! What operators are told when a host's own state changes.
+//! Detects changes of a host's own state for the log.
 
 use crate::ids::RosterNumber;
 use crate::logs::StateChange;
 
-/// How a host stands at one moment.
+/// The state of a host at one moment.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct HostSnapshot {
-    /// Why the host takes no requests; nothing when it does.
+    /// The reason that the host accepts no requests; `None` if it accepts them.
     pub unready: Option<String>,
-    /// Whether a majority of seats with a voice is connected.
+    /// Whether a majority of voting seats is connected.
     pub majority: bool,
-    /// The newest roster that is known to be active.
+    /// The newest roster known to be active.
     pub roster: Option<RosterNumber>,
 }
 
-/// How a host stood at the last look.
+/// Remembers the last snapshot of a host.
 #[derive(Debug, Default)]
 pub struct HostTracker {
     last: Option<HostSnapshot>,
 }
 
 impl HostTracker {
-    /// Takes how the host stands now and returns what changed. A host that starts
-    /// has lost no majority yet: until it first has one, only its readiness is told.
+    /// Records a snapshot and returns the changes since the last one. A starting host
+    /// has not lost a majority yet: until it first has one, only its readiness is
+    /// reported.
     pub fn update(&mut self, now: HostSnapshot) -> Vec<StateChange> {
         let last = self.last.as_ref();
         let mut changes = Vec::new();
--- a/src/controllers/leaving_tracker.rs
+++ b/src/controllers/leaving_tracker.rs
@@ -1,46 +1,46 @@
-//! Which targets and hosts are leaving, by everybody who says so.
+//! Tracks which targets and hosts are leaving according to all sources.
 
 use crate::documents::HostList;
 use crate::fleet::TargetState;
 use crate::ids::UnixMillis;
 use crate::sorted::SortedMap;
 
-/// Who says that something is live or leaving.
+/// A source that reports something as live or leaving.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum StateVoice {
+enum StateSource {
     /// The platform's list.
     List,
-    /// The target itself: its load report or its answer to a request.
+    /// The target itself, through its load report or its answer to a request.
     Target,
 }
 
-/// The last thing that one voice said.
+/// The last report of one source.
 #[derive(Clone, Copy, Debug)]
-struct StateClaim {
+struct StateReport {
     state: TargetState,
     taken: UnixMillis,
 }
 
-/// What each voice last said of each name.
+/// Tracks the last report of each source for each name.
 ///
-/// Leaving is sticky. The list lags: it goes on saying live for a while after a
-/// target began to leave, and a list that was taken earlier may arrive later. If
-/// the last word won, a draining target would get new work that its end cuts.
-/// So each voice is heard apart and only forward in its own time, and one voice
-/// that says leaving is enough; it has to take its word back itself, by a
-/// newer one. The configuration's own state is held beside it by the caller.
+/// Leaving takes precedence. The platform's list lags: it shows a target as live for a
+/// while after it started to leave, and an earlier list may arrive later. If the last
+/// report took effect, a draining target would get new work that is cut off when it
+/// ends. Therefore the sources are kept apart, reports of one source take effect only
+/// in the order of their own times, and one source that reports leaving is enough until
+/// it reports otherwise itself. The state in the configuration is kept by the caller.
 #[derive(Debug, Default)]
 pub struct LeavingTracker {
-    claims: SortedMap<String, [Option<StateClaim>; 2]>,
+    reports: SortedMap<String, [Option<StateReport>; 2]>,
     /// The newest list.
     list: Option<HostList>,
 }
 
 impl LeavingTracker {
-    /// Takes the platform's list.
-    pub fn take_list(&mut self, list: HostList) {
+    /// Applies the platform's list.
+    pub fn apply_list(&mut self, list: HostList) {
         for listed in &list.hosts {
-            self.list_says(&listed.name, listed.state, list.taken_ms);
+            self.record_list_state(&listed.name, listed.state, list.taken_ms);
         }
         let known = self.list.as_ref();
         if known.is_none_or(|known| known.taken_ms <= list.taken_ms) {
@@ -48,63 +48,70 @@
         }
     }
 
-    /// Takes one line of the platform's list; returns whether this changed the state.
-    pub fn list_says(&mut self, name: &str, state: TargetState, taken: UnixMillis) -> bool {
-        self.note(name, StateVoice::List, StateClaim { state, taken })
+    /// Records one entry of the platform's list; returns whether this changed the
+    /// state.
+    pub fn record_list_state(&mut self, name: &str, state: TargetState, taken: UnixMillis) -> bool {
+        self.record(name, StateSource::List, StateReport { state, taken })
     }
 
-    /// Takes what a target says of itself; returns whether this changed the state.
-    pub fn target_says(&mut self, name: &str, state: TargetState, taken: UnixMillis) -> bool {
-        self.note(name, StateVoice::Target, StateClaim { state, taken })
+    /// Records what a target reports about itself; returns whether this changed the
+    /// state.
+    pub fn record_target_state(
+        &mut self,
+        name: &str,
+        state: TargetState,
+        taken: UnixMillis,
+    ) -> bool {
+        self.record(name, StateSource::Target, StateReport { state, taken })
     }
 
-    /// Tells whether any voice calls the name leaving.
+    /// Returns whether any source reports the name as leaving.
     pub fn is_leaving(&self, name: &str) -> bool {
-        self.claims
+        self.reports
             .get(name)
-            .is_some_and(|claims| claims.iter().flatten().any(StateClaim::is_leaving))
+            .is_some_and(|reports| reports.iter().flatten().any(StateReport::is_leaving))
     }
 
-    /// Follows a new document: forgets all names but these, which stand in it, so
-    /// that a target that operators take out and put in again starts afresh.
+    /// Applies the names of a new document and removes all others, so that a target
+    /// that operators remove and add again starts afresh.
     ///
-    /// The newest list is heard again. A target that the document just added may
-    /// stand in it as leaving, from a time at which no document named it; while the
-    /// platform is down no other list comes, and the target would get work until it
-    /// ends.
-    pub fn follow(&mut self, names: &[String]) {
+    /// The newest list is applied again. It may show a target that the document just
+    /// added as leaving, from a time when no document named it. While the platform is
+    /// down no other list arrives, and the target would get work until it ends.
+    pub fn set_names(&mut self, names: &[String]) {
         self.retain(names);
         if let Some(list) = self.list.take() {
-            self.take_list(list);
+            self.apply_list(list);
         }
     }
 
-    /// Forgets all names but these.
+    /// Removes all names but these.
     pub fn retain(&mut self, names: &[String]) {
-        self.claims.retain(|name, _| names.contains(name));
+        self.reports.retain(|name, _| names.contains(name));
     }
 
-    fn note(&mut self, name: &str, voice: StateVoice, claim: StateClaim) -> bool {
+    fn record(&mut self, name: &str, source: StateSource, report: StateReport) -> bool {
         let before = self.is_leaving(name);
-        if !self.claims.contains_key(name) {
-            self.claims.insert(name.to_owned(), [None, None]);
+        if !self.reports.contains_key(name) {
+            self.reports.insert(name.to_owned(), [None, None]);
         }
-        if let Some(claims) = self.claims.get_mut(name) {
-            let known = &mut claims[voice as usize];
-            if known.is_none_or(|known| claim.replaces(known)) {
-                *known = Some(claim);
+        if let Some(reports) = self.reports.get_mut(name) {
+            let known = &mut reports[source as usize];
+            if known.is_none_or(|known| report.replaces(known)) {
+                *known = Some(report);
             }
         }
         self.is_leaving(name) != before
     }
 }
 
-impl StateClaim {
+impl StateReport {
     fn is_leaving(&self) -> bool {
         self.state == TargetState::Leaving
     }
 
-    /// Only a newer word replaces; of two words of one moment, leaving stays.
+    /// Only a newer report replaces the last one; of two reports of one time, leaving
+    /// stays.
     fn replaces(&self, known: Self) -> bool {
         self.taken > known.taken || (self.taken == known.taken && self.is_leaving())
     }
--- a/src/controllers/mod.rs
+++ b/src/controllers/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers of state: each owns one thing and replaces it whole.
+//! Controllers: each owns one kind of state and replaces it atomically.
 
 mod claim_coordinator;
 mod config_controller;
@@ -42,10 +42,10 @@
 pub use peer_watch::PeerWatch;
 pub(crate) use target_controller::TargetController;
 pub(crate) use target_controller::TargetStatus;
-pub use view_freshness::PEERS_FIRST;
-pub use view_freshness::READY_BOUND;
+pub use view_freshness::MAX_VIEW_AGE;
+pub use view_freshness::PEER_WAIT;
+pub use view_freshness::READY_MAX_AGE;
 pub use view_freshness::UnreadyReason;
-pub use view_freshness::VIEW_AGE_BOUND;
 pub use view_freshness::ViewFreshness;
 pub(crate) use work_controller::WorkController;
 pub(crate) use work_controller::WorkPlacement;
--- a/src/controllers/peer_tracker.rs
+++ b/src/controllers/peer_tracker.rs
@@ -1,18 +1,18 @@
-//! Which peers are connected, and what changed since the last look.
+//! Detects changes of the connected peers for the log.
 
 use crate::ids::HostName;
 use crate::logs::StateChange;
 use crate::peers::LinkStatus;
 
-/// The peers that were connected at the last look.
+/// The peers connected at the last update.
 #[derive(Debug, Default)]
 pub struct PeerTracker {
     connected: Vec<HostName>,
 }
 
 impl PeerTracker {
-    /// Takes how the links stand now and returns what changed. A peer that the
-    /// roster no longer names has left and is not told as lost.
+    /// Records the state of the links and returns the changes. A peer that the roster
+    /// no longer names has left and is not reported as lost.
     pub fn update(&mut self, links: &[LinkStatus]) -> Vec<StateChange> {
         let mut now: Vec<HostName> = links
             .iter()
@@ -21,16 +21,16 @@
             .collect();
         now.sort();
         now.dedup();
-        let came = now
+        let connected_changes = now
             .iter()
             .filter(|host| self.connected.binary_search(host).is_err())
             .map(|host| StateChange::PeerConnected { host: host.clone() });
-        let went = self
+        let lost_changes = self
             .connected
             .iter()
             .filter(|host| now.binary_search(host).is_err())
             .filter_map(|host| lost_change(host, links));
-        let changes = came.chain(went).collect();
+        let changes = connected_changes.chain(lost_changes).collect();
         self.connected = now;
         changes
     }
--- a/src/controllers/peer_watch.rs
+++ b/src/controllers/peer_watch.rs
@@ -1,4 +1,4 @@
-//! Tells operators which peers come and go, and counts who was refused.
+//! Logs peers that connect or are lost, and counts refused peers.
 
 use std::sync::Arc;
 use std::sync::Weak;
@@ -17,18 +17,18 @@
 use crate::peers::ListenerCounters;
 use crate::peers::PeerMesh;
 
-/// How often the links and counters are looked at; the pace of the pings that
-/// notice a loss.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Poll interval of links and counters; equal to the interval of the pings that detect
+/// a loss.
+const POLL_PERIOD: Duration = Duration::from_secs(1);
 
-/// A running watch of links and refusals; dropping it ends it.
+/// A running watch of links and refusals; stops when dropped.
 pub struct PeerWatch {
     stop: Sender<()>,
 }
 
 impl PeerWatch {
-    /// Writes a line for each peer that comes or goes, and shows the listener's
-    /// refusals as metrics, from now on.
+    /// Starts to log each peer that connects or is lost, and to export the listener's
+    /// refusals as metrics.
     pub fn spawn(
         mesh: &Arc<PeerMesh>,
         counters: Arc<ListenerCounters>,
@@ -57,30 +57,30 @@
     log: Arc<StateLog>,
     metrics: Arc<RequestMetrics>,
 ) {
-    let mut roll = PeerTracker::default();
-    let mut shown = [0; 3];
+    let mut tracker = PeerTracker::default();
+    let mut exported = [0; 3];
     while let Some(mesh) = mesh.upgrade() {
-        for change in roll.update(&mesh.links()) {
+        for change in tracker.update(&mesh.links()) {
             log.write(&change);
         }
         drop(mesh);
-        show_refusals(&counters, &mut shown, &metrics);
-        task::sleep(PERIOD).await;
+        export_refusals(&counters, &mut exported, &metrics);
+        task::sleep(POLL_PERIOD).await;
     }
 }
 
-/// Adds to the metrics what was refused since the last look.
-fn show_refusals(counters: &ListenerCounters, shown: &mut [u64; 3], metrics: &RequestMetrics) {
+/// Adds the refusals since the last update to the metrics.
+fn export_refusals(counters: &ListenerCounters, exported: &mut [u64; 3], metrics: &RequestMetrics) {
     let sources: [(&AtomicU64, RefusedPeer); 3] = [
         (&counters.not_authentic, RefusedPeer::Authentication),
         (&counters.malformed_calls, RefusedPeer::Malformed),
         (&counters.unknown_version, RefusedPeer::Version),
     ];
-    for ((counter, reason), shown) in sources.into_iter().zip(shown) {
+    for ((counter, reason), exported) in sources.into_iter().zip(exported) {
         let count = counter.load(Ordering::Relaxed);
-        for _ in *shown..count {
+        for _ in *exported..count {
             metrics.count_refused_peer(reason);
         }
-        *shown = count;
+        *exported = count;
     }
 }
--- a/src/controllers/platform_watch.rs
+++ b/src/controllers/platform_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the platform: one waiting watch a host.
+//! Follows the platform with one long-polling watch per host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,30 +17,30 @@
 use crate::logs::StateChange;
 use crate::peers::RawDocument;
 
-/// The first wait after a failure or a refused document.
-const FIRST_RETRY: Duration = Duration::from_millis(200);
-/// The longest wait: 320 daemons that all retry make some 85 calls a second of
-/// the platform's 2,000, and a platform that comes back is found soon.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
-/// The longest advice that is followed; a platform that says "in an hour" by
-/// mistake must not cut the host from it for that hour.
-const LONGEST_ADVICE: Duration = Duration::from_secs(30);
+/// The first delay after a failure or a refused document.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The maximum delay: 320 retrying daemons make about 85 calls/s, out of the platform's
+/// 2,000, and the platform's recovery is noticed soon.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// The maximum delay that the platform may advise. A platform that advises an hour by
+/// mistake must not keep the host away for an hour.
+const MAX_ADVISED_DELAY: Duration = Duration::from_secs(30);
 
-/// How one turn ended.
-enum TurnEnd {
-    /// Watch on at once.
-    GoOn,
-    /// Wait before the next turn, at least for the time that the platform advised.
+/// The next step of the watch.
+enum NextStep {
+    /// Watch again at once.
+    Continue,
+    /// Wait before the next watch, at least for the time that the platform advised.
     BackOff(Option<Duration>),
 }
 
-/// Watches until the controller is gone.
+/// Watches the platform until the controller is dropped.
 ///
-/// A refused document stands at the platform and would answer each watch at
-/// once, so a refusal backs off like a failure: otherwise one bad edit turns
-/// every host into a busy loop against the platform.
+/// A refused document stays at the platform and would answer each watch immediately, so
+/// a refusal backs off like a failure. Otherwise one invalid edit would make every host
+/// poll the platform in a busy loop.
 pub(super) async fn follow(controller: WeakController, platform: Arc<DocumentClient>) {
-    let mut backoff = RetryBackoff::new(FIRST_RETRY, LONGEST_RETRY);
+    let mut backoff = RetryBackoff::new(FIRST_RETRY_DELAY, MAX_RETRY_DELAY);
     let mut lost = false;
     loop {
         let Some(after) = controller.upgrade().map(|held| held.version_digest().0) else {
@@ -52,21 +52,21 @@
             return;
         };
         controller.record_platform(asked, answer.is_ok());
-        tell_change(&controller, &mut lost, answer.as_ref().err());
-        let end = take_answer(&controller, answer);
+        log_change(&controller, &mut lost, answer.as_ref().err());
+        let end = process_answer(&controller, answer);
         drop(controller);
         match end {
-            TurnEnd::GoOn => backoff.reset(),
-            TurnEnd::BackOff(advice) => {
+            NextStep::Continue => backoff.reset(),
+            NextStep::BackOff(advice) => {
                 let wait = backoff.next_wait(rand::random());
-                let advice = advice.unwrap_or_default().min(LONGEST_ADVICE);
+                let advice = advice.unwrap_or_default().min(MAX_ADVISED_DELAY);
                 task::sleep(wait.max(advice)).await;
             }
         }
     }
 }
 
-/// Reads the document when none is known, and watches for a newer one otherwise.
+/// Reads the document if none is known, and watches for a newer one otherwise.
 async fn read_newer(
     platform: &DocumentClient,
     after: u64,
@@ -80,31 +80,31 @@
     }
 }
 
-fn take_answer(
+fn process_answer(
     controller: &ConfigController,
     answer: Result<Option<RawDocument>, DocumentError>,
-) -> TurnEnd {
+) -> NextStep {
     match answer {
-        Ok(None) => TurnEnd::GoOn,
+        Ok(None) => NextStep::Continue,
         Ok(Some(copy)) => match controller.offer(copy, ConfigSource::Platform) {
-            OfferOutcome::Accepted(_) => TurnEnd::GoOn,
+            OfferOutcome::Accepted(_) => NextStep::Continue,
             OfferOutcome::InForce | OfferOutcome::Waiting | OfferOutcome::Refused(_) => {
-                TurnEnd::BackOff(None)
+                NextStep::BackOff(None)
             }
         },
-        Err(DocumentError::Refused { retry_after, .. }) => TurnEnd::BackOff(retry_after),
-        Err(_) => TurnEnd::BackOff(None),
+        Err(DocumentError::Refused { retry_after, .. }) => NextStep::BackOff(retry_after),
+        Err(_) => NextStep::BackOff(None),
     }
 }
 
-/// Writes a line when the platform goes or comes back, not for each failure.
-fn tell_change(controller: &ConfigController, lost: &mut bool, error: Option<&DocumentError>) {
+/// Logs when the platform is lost or comes back, but not each failure.
+fn log_change(controller: &ConfigController, lost: &mut bool, error: Option<&DocumentError>) {
     let was_lost = std::mem::replace(lost, error.is_some());
     match error {
-        Some(error) if !was_lost => controller.tell(&StateChange::PlatformLost {
+        Some(error) if !was_lost => controller.log_state_change(&StateChange::PlatformLost {
             reason: error.to_string(),
         }),
-        None if was_lost => controller.tell(&StateChange::PlatformBack),
+        None if was_lost => controller.log_state_change(&StateChange::PlatformBack),
         _ => {}
     }
 }
--- a/src/controllers/target_controller.rs
+++ b/src/controllers/target_controller.rs
@@ -1,4 +1,4 @@
-//! What is known of the targets: configured, reported, leaving, lost.
+//! Tracks the targets: configured, reported, leaving or lost.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -35,14 +35,14 @@
 use crate::policy::TargetFacts;
 use crate::sorted::SortedMap;
 
-/// How often each target is asked for its load.
-const PERIOD: Duration = Duration::from_secs(1);
-/// How long one report may take.
-const REPORT_LIMIT: Duration = Duration::from_millis(800);
-/// The largest report, in bytes.
+/// Poll interval of each target's load.
+const POLL_PERIOD: Duration = Duration::from_secs(1);
+/// Time limit for one report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
+/// The maximum size of a report, in bytes.
 const MAX_REPORT_BYTES: usize = 16 << 10;
 
-/// A target's own report (`GET /v1/load`).
+/// The body of a target's load report (`GET /v1/load`).
 #[derive(Debug, Deserialize)]
 struct ReportBody {
     taken_ms: UnixMillis,
@@ -52,29 +52,29 @@
     state: TargetState,
 }
 
-/// What `/status` tells of a target.
+/// A target's entry in `/status`.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct TargetStatus {
     /// The target's name.
     pub(crate) target: TargetName,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub(crate) state: TargetState,
-    /// Whether its last report came.
+    /// Whether its last report was received.
     pub(crate) reports: bool,
 }
 
-/// What is known of the targets.
+/// Tracks the state of the targets.
 pub(crate) struct TargetController {
     config: Arc<ConfigController>,
     work: Arc<WorkController>,
     log: Arc<StateLog>,
-    state: Mutex<TargetKnowledge>,
-    /// Ends with the controller.
+    state: Mutex<TargetStates>,
+    /// Stops when the controller is dropped.
     list: OnceLock<HostListWatch>,
 }
 
 #[derive(Debug, Default)]
-struct TargetKnowledge {
+struct TargetStates {
     leaving: LeavingTracker,
     /// Targets that could not be connected to since their last report.
     unreachable: SortedMap<TargetName, ()>,
@@ -82,7 +82,7 @@
 }
 
 impl TargetController {
-    /// Asks the targets for their load from now on.
+    /// Starts to poll the targets for their load.
     pub(crate) fn spawn(
         config: Arc<ConfigController>,
         work: Arc<WorkController>,
@@ -99,7 +99,7 @@
         let listening = Arc::downgrade(&controller);
         let watch = HostListWatch::spawn(platform, move |list| {
             if let Some(controller) = listening.upgrade() {
-                controller.note_list(list);
+                controller.apply_list(list);
             }
         });
         controller.list.set(watch).ok();
@@ -107,28 +107,28 @@
         controller
     }
 
-    /// Tells whether any source calls a target leaving.
+    /// Returns whether any source reports a target as leaving.
     pub(crate) fn is_leaving(&self, target: &str) -> bool {
         self.lock().leaving.is_leaving(target)
     }
 
-    /// Notes that a target could not be connected to.
+    /// Records that a target could not be connected to.
     ///
-    /// Until its next report it gets no work: each request that tries it first
-    /// loses time, and a few dead targets in a row would use up its tries.
+    /// It gets no work until its next report: each request that tried it first would
+    /// lose time, and a few dead targets in a row would use up the request's attempts.
     pub(crate) fn mark_unreachable(&self, target: &TargetName) {
         if self.lock().unreachable.insert(target.clone(), ()).is_none() {
             self.apply();
         }
     }
 
-    /// Notes that a target itself said that it leaves.
+    /// Records that a target reported itself as leaving.
     pub(crate) fn mark_leaving(&self, target: &TargetName) {
-        let news = self
-            .lock()
-            .leaving
-            .target_says(target, TargetState::Leaving, unix_now());
-        if news {
+        let changed =
+            self.lock()
+                .leaving
+                .record_target_state(target, TargetState::Leaving, unix_now());
+        if changed {
             self.log.write(&StateChange::TargetLeaving {
                 target: target.clone(),
             });
@@ -136,19 +136,19 @@
         }
     }
 
-    /// Takes the platform's lagging list.
-    fn note_list(&self, list: HostList) {
-        self.lock().leaving.take_list(list);
+    /// Applies the platform's list, which may lag.
+    fn apply_list(&self, list: HostList) {
+        self.lock().leaving.apply_list(list);
         self.apply();
     }
 
-    /// Follows a new document: forgets the targets that it does not name.
+    /// Applies a new document: removes the targets that it does not name.
     pub(crate) fn follow(&self, view: &FleetView) {
-        self.lock().keep_targets(view);
+        self.lock().retain_targets(view);
         self.apply();
     }
 
-    /// Brings the policy up to what is known now.
+    /// Passes the current state of the targets to the policy.
     pub(crate) fn apply(&self) {
         let Some(view) = self.config.view() else {
             return;
@@ -157,7 +157,7 @@
         self.work.set_targets(facts);
     }
 
-    /// Returns what `/status` tells.
+    /// Returns the targets' entries in `/status`.
     pub(crate) fn statuses(&self) -> Vec<TargetStatus> {
         let Some(view) = self.config.view() else {
             return Vec::new();
@@ -204,7 +204,7 @@
 
     async fn poll_one(&self, target: FleetTarget) {
         let report = fetch_report(&target).await;
-        self.note_report(&target.name, report.is_ok());
+        self.record_report(&target.name, report.is_ok());
         let report = match report {
             Ok(report) => report,
             Err(ExchangeError::Unreachable) => return self.mark_unreachable(&target.name),
@@ -223,45 +223,45 @@
             let mut state = self.lock();
             state
                 .leaving
-                .target_says(&target.name, TargetState::Live, report.taken_ms);
+                .record_target_state(&target.name, TargetState::Live, report.taken_ms);
         }
     }
 
-    fn note_report(&self, target: &TargetName, came: bool) {
+    fn record_report(&self, target: &TargetName, received: bool) {
         let before = {
             let mut state = self.lock();
-            if came {
+            if received {
                 state.unreachable.remove(target);
             }
-            state.reports.insert(target.clone(), came)
+            state.reports.insert(target.clone(), received)
         };
-        if before != Some(true) && came {
+        if before != Some(true) && received {
             let target = target.clone();
             self.log.write(&StateChange::TargetLive { target });
-        } else if before == Some(true) && !came {
+        } else if before == Some(true) && !received {
             self.log.write(&StateChange::TargetLost {
                 target: target.clone(),
-                reason: "its load report did not come".to_string(),
+                reason: "its load report was not received".to_string(),
             });
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, TargetKnowledge> {
+    fn lock(&self) -> MutexGuard<'_, TargetStates> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl TargetKnowledge {
-    /// Forgets the targets that the document does not name.
-    fn keep_targets(&mut self, view: &FleetView) {
+impl TargetStates {
+    /// Removes the targets that the document does not name.
+    fn retain_targets(&mut self, view: &FleetView) {
         let targets = view.targets().iter();
         let names: Vec<TargetName> = targets.map(|target| target.target.name.clone()).collect();
-        self.leaving.follow(&names);
+        self.leaving.set_names(&names);
         self.reports.retain(|name, _| names.contains(name));
     }
 
-    /// A target leaves when any source says so: a lagging list never adds work
-    /// to a target that another source calls leaving.
+    /// A target is leaving if any source says so; a lagging list never adds work to a
+    /// target that another source reports as leaving.
     fn state_of(&self, target: &FleetTarget) -> TargetState {
         let leaves = target.state == TargetState::Leaving || self.leaving.is_leaving(&target.name);
         match leaves || self.unreachable.contains_key(&target.name) {
@@ -276,22 +276,22 @@
         controller.apply();
         controller.poll_all();
         drop(controller);
-        task::sleep(PERIOD).await;
+        task::sleep(POLL_PERIOD).await;
     }
 }
 
 async fn fetch_report(target: &FleetTarget) -> Result<ReportBody, ExchangeError> {
-    let connection = TargetConnection::open(target.address, REPORT_LIMIT).await?;
+    let connection = TargetConnection::open(target.address, REPORT_TIMEOUT).await?;
     let head = RequestHead {
         method: "GET".to_string(),
         path: "/v1/load".to_string(),
         query: None,
         headers: HeaderMap::new(),
     };
-    let exchange = connection.send(&head, Vec::new(), REPORT_LIMIT).await?;
-    let mut answer = exchange.read_answer(REPORT_LIMIT).await?;
+    let exchange = connection.send(&head, Vec::new(), REPORT_TIMEOUT).await?;
+    let mut answer = exchange.read_answer(REPORT_TIMEOUT).await?;
     let mut body = Vec::new();
-    while let Some(piece) = answer.next_piece(REPORT_LIMIT).await? {
+    while let Some(piece) = answer.next_piece(REPORT_TIMEOUT).await? {
         body.extend_from_slice(&piece);
         if body.len() > MAX_REPORT_BYTES {
             return Err(ExchangeError::Broken);
--- a/src/controllers/tests.rs
+++ b/src/controllers/tests.rs
@@ -1,4 +1,4 @@
-//! Claims of one host at seats whose connections lose messages.
+//! Tests of one host's claims at seats whose connections lose messages.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -33,14 +33,15 @@
 use crate::roster::SeatIncarnation;
 
 const HOSTS: [&str; 3] = ["a", "b", "c"];
-const LIMIT: Duration = Duration::from_secs(30);
-/// How long before the test its seats were founded: they speak for new ids.
-const FOUNDED_AGO_MS: u64 = 10_000;
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// How long before the test the seats' roster was bootstrapped, so that they may vote
+/// on new ids.
+const BOOTSTRAP_AGE_MS: u64 = 10_000;
 
-/// A seat that loses its first releases.
+/// A seat that drops its first releases.
 struct LossySeat {
     seat: Mutex<SeatRegister>,
-    losses: AtomicUsize,
+    drops: AtomicUsize,
 }
 
 impl LossySeat {
@@ -55,12 +56,12 @@
             let PeerCall::Claim(call) = call else {
                 return;
             };
-            let lost = |left: usize| left.checked_sub(1);
+            let count_drop = |left: usize| left.checked_sub(1);
             let is_release = call.operation == ClaimOperation::Release;
             if is_release
                 && self
-                    .losses
-                    .fetch_update(Ordering::SeqCst, Ordering::SeqCst, lost)
+                    .drops
+                    .fetch_update(Ordering::SeqCst, Ordering::SeqCst, count_drop)
                     .is_ok()
             {
                 return;
@@ -78,9 +79,9 @@
     }
 }
 
-/// Makes the seats of a fleet that was founded a while ago.
-fn founded_seats() -> Vec<SeatRegister> {
-    let founded = unix_now() - FOUNDED_AGO_MS;
+/// Creates the seats of a fleet that was bootstrapped a while ago.
+fn bootstrapped_seats() -> Vec<SeatRegister> {
+    let bootstrapped_at = unix_now() - BOOTSTRAP_AGE_MS;
     let seat = |host: &&str| serde_json::json!({"host": host, "address": "127.0.0.1:1", "availability_zone": "z"});
     let seats: Vec<_> = HOSTS.iter().map(seat).collect();
     let roster = serde_json::from_value(serde_json::json!({"number": 1, "seats": seats})).unwrap();
@@ -89,14 +90,17 @@
         .zip(HOSTS)
         .map(|(incarnation, host)| {
             let incarnation = SeatIncarnation {
-                started: founded,
+                started: bootstrapped_at,
                 id: incarnation,
             };
             SeatRegister::open(host.into(), incarnation, RegisterSettings::default())
         })
         .collect();
     for register in &mut registers {
-        register.roster_mut().offer(plan.clone(), founded).unwrap();
+        register
+            .roster_mut()
+            .offer(plan.clone(), bootstrapped_at)
+            .unwrap();
     }
     for _ in 0..HOSTS.len() {
         for from in 0..HOSTS.len() {
@@ -105,17 +109,17 @@
                 let name = HOSTS[from].to_owned();
                 registers[to]
                     .roster_mut()
-                    .learn(&name, digest.clone(), founded);
+                    .learn(&name, digest.clone(), bootstrapped_at);
             }
         }
     }
     registers
 }
 
-async fn bind(host: &str, seat: SeatRegister, losses: usize) -> (PeerListener, Arc<LossySeat>) {
+async fn bind(host: &str, seat: SeatRegister, drops: usize) -> (PeerListener, Arc<LossySeat>) {
     let seat = Arc::new(LossySeat {
         seat: Mutex::new(seat),
-        losses: AtomicUsize::new(losses),
+        drops: AtomicUsize::new(drops),
     });
     let address = ([127, 0, 0, 1], 0).into();
     let listener = PeerListener::bind(address, identity(host), seat.clone())
@@ -144,12 +148,13 @@
     }
 }
 
-/// Host a loses an id to host c; its release of the grant that seat b gave it is lost
-/// on the way. Host c gives the id up and seat c dies: a and b are a majority, but b
-/// named a as the holder for ten minutes, and each resend was told `unknown`.
+/// Guards against a release that is count_drop on its way. Host a loses an id to host c, and
+/// its release of seat b's grant is count_drop. Host c gives up the id and seat c fails: a
+/// and b form a majority, but b would name a as the holder for ten minutes, and each
+/// resend would be answered `unknown`.
 #[async_std::test]
 async fn a_lost_release_is_sent_again() {
-    let seats: [SeatRegister; 3] = founded_seats().try_into().ok().unwrap();
+    let seats: [SeatRegister; 3] = bootstrapped_seats().try_into().ok().unwrap();
     let [mut own, seat_b, seat_c] = seats;
     let roster = own.roster().active_tag().unwrap();
     let id = RequestId::generate(unix_now());
@@ -164,21 +169,21 @@
     ]);
     let began = Instant::now();
     while mesh.connected_peers().len() < 2 {
-        assert!(began.elapsed() < LIMIT, "the peers did not connect");
+        assert!(began.elapsed() < TIMEOUT, "the peers did not connect");
         task::sleep(Duration::from_millis(5)).await;
     }
-    let desk = ClaimCoordinator::open("a".into(), 1, own, mesh);
+    let coordinator = ClaimCoordinator::open("a".into(), 1, own, mesh);
 
-    let verdict = desk.claim(id, 1).await;
+    let verdict = coordinator.claim(id, 1).await;
 
     assert!(matches!(verdict, ClaimOutcome::Held(holder) if holder.host == "c"));
     let began = Instant::now();
     loop {
         let answer = b.ask(call(id, ClaimOperation::Bar, 2, roster)).answer;
-        if b.losses.load(Ordering::SeqCst) == 0 && matches!(answer, SeatAnswer::Barred { .. }) {
+        if b.drops.load(Ordering::SeqCst) == 0 && matches!(answer, SeatAnswer::Barred { .. }) {
             break;
         }
-        assert!(began.elapsed() < LIMIT, "seat b still says {answer:?}");
+        assert!(began.elapsed() < TIMEOUT, "seat b still says {answer:?}");
         task::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/src/controllers/view_freshness.rs
+++ b/src/controllers/view_freshness.rs
@@ -1,9 +1,9 @@
-//! How old this process's view of the fleet is, and whether it may serve.
+//! The age of this process's view of the fleet, and whether the process may serve.
 //!
-//! A process that was paused wakes up with an old view and does not feel it.
-//! Its sockets may even hold answers that peers sent before the pause. So a
-//! confirmation counts from the moment at which the peer was *asked*, by a clock
-//! that goes on through a suspension, never from the moment it was read.
+//! A process that was paused resumes with an old view without noticing. Its sockets may
+//! even hold answers that peers sent before the pause. Therefore a confirmation counts
+//! from the time at which the peer was *asked*, by a clock that includes suspension,
+//! and never from the time at which the answer was read.
 
 use std::time::Duration;
 
@@ -13,48 +13,49 @@
 use crate::ids::HostName;
 use crate::sorted::SortedMap;
 
-/// How old a view may be when a request is dispatched by it. Three exchanges of
-/// a second: one may be lost, and a target that leaves still gets nothing after 3 s.
-pub const VIEW_AGE_BOUND: Duration = Duration::from_secs(3);
-/// How old the platform's last answer may be where no peers are to be asked: a
-/// watch waits 5 s and is given up after 7 s.
-const PLATFORM_AGE_BOUND: Duration = Duration::from_secs(9);
-/// How long a host stays ready while it reaches neither its peers nor the
-/// platform; shorter, and each hiccup of a switch would empty the balancer.
-pub const READY_BOUND: Duration = Duration::from_secs(10);
-/// How long a fresh process waits for its peers before the platform's word
-/// alone is enough: the platform may be stale and the peers know better.
-pub const PEERS_FIRST: Duration = Duration::from_secs(2);
-
-/// Why a host does not serve.
+/// The maximum age of the view by which a request is dispatched. It covers three
+/// exchanges of 1 s: one may be lost, and a leaving target still gets no work after 3
+/// s.
+pub const MAX_VIEW_AGE: Duration = Duration::from_secs(3);
+/// The maximum age of the platform's last answer if there are no peers to ask: a watch
+/// lasts 5 s and is aborted after 7 s.
+const MAX_PLATFORM_AGE: Duration = Duration::from_secs(9);
+/// How long a host stays ready while it reaches neither its peers nor the platform;
+/// with a shorter time, each short network fault would empty the load balancer.
+pub const READY_MAX_AGE: Duration = Duration::from_secs(10);
+/// How long a new process waits for its peers before the platform's answer alone is
+/// sufficient: the platform may be stale and the peers may have a newer document.
+pub const PEER_WAIT: Duration = Duration::from_secs(2);
+
+/// The reason that a host does not serve.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum UnreadyReason {
-    /// No document came yet, from the platform or a peer.
+    /// No document has been received yet, from the platform or a peer.
     #[display("no configuration yet, from the platform or a peer")]
     NoDocument,
-    /// Peers have not answered yet and may know a newer document.
+    /// Peers have not answered yet and may have a newer document.
     #[display("peers are being asked for a newer configuration")]
     AskingPeers,
-    /// The host is alone.
-    #[display("{heard} of {needed} needed peers answer, and the platform does not")]
-    Alone {
+    /// The host reaches too few peers, and not the platform.
+    #[display("{responding} of {needed} needed peers answer, and the platform does not")]
+    Isolated {
         /// Peers that answered.
-        heard: usize,
-        /// Peers that make a majority with this host.
+        responding: usize,
+        /// Peers needed for a majority that includes this host.
         needed: usize,
     },
 }
 
-/// When which source last confirmed that it knows nothing newer.
+/// When each source last confirmed that it has nothing newer.
 ///
-/// All times are of the boot clock.
+/// All times are readings of the boot clock.
 #[derive(Debug)]
 pub struct ViewFreshness {
     started: Duration,
     has_document: bool,
     /// The other seats of the roster.
     seats: Vec<HostName>,
-    /// How many of them make a majority together with this host.
+    /// How many of them are needed for a majority with this host.
     needed: usize,
     confirmed: SortedMap<HostName, Duration>,
     platform_answered: Option<Duration>,
@@ -62,7 +63,7 @@
 }
 
 impl ViewFreshness {
-    /// Makes the state of a process that started now and heard nobody.
+    /// Creates the state of a process that started now and has received nothing.
     pub const fn new(started: Duration) -> Self {
         Self {
             started,
@@ -75,18 +76,18 @@
         }
     }
 
-    /// Takes the seats of the document in force.
+    /// Sets the seats of the document in force.
     pub fn set_seats(&mut self, own: &str, seats: &[HostName]) {
         let majority = seats.len() / 2 + 1;
         let seated = seats.iter().any(|seat| seat == own);
         self.needed = majority - usize::from(seated);
         self.seats = seats.iter().filter(|seat| *seat != own).cloned().collect();
-        // Replaced hosts bear new names; kept, the old ones would only add up.
+        // Replacement hosts have new names, so old names would accumulate.
         self.confirmed.retain(|host, _| seats.contains(host));
         self.has_document = true;
     }
 
-    /// Notes that a peer, asked at `asked`, knew nothing newer than this process.
+    /// Records that a peer, asked at `asked`, has nothing newer than this process.
     pub fn peer_confirmed(&mut self, host: &HostName, asked: Duration) {
         let newer = self.confirmed.get(host).is_none_or(|known| *known < asked);
         if newer {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Notes that the platform was asked at `asked`, and whether it answered.
+    /// Records that the platform was asked at `asked`, and whether it answered.
     pub fn platform_asked(&mut self, asked: Duration, answered: bool) {
         self.platform_asked = self.platform_asked.max(Some(asked));
         if answered {
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Returns since when a majority confirms the view: the time at which the
-    /// last peer that it takes was asked.
+    /// Returns the time since which a majority confirms the view: the oldest of the
+    /// `needed` most recent confirmations.
     fn confirmed_by_peers(&self) -> Option<Duration> {
         let mut times = self.confirmed_times();
         times.sort_unstable();
@@ -118,9 +119,9 @@
             .collect()
     }
 
-    /// Returns the time of the last confirmation that counts. Where other seats
-    /// make the majority only they count: the platform may be stale. A host
-    /// whose seat is the only one asks the platform, whether it answers or not.
+    /// Returns the time of the last valid confirmation. If other seats are needed for
+    /// the majority, only they count, since the platform may be stale. A host with the
+    /// only seat asks the platform, whether or not it answers.
     fn confirmed_at(&self) -> Option<Duration> {
         if self.needed == 0 {
             self.platform_asked
@@ -129,53 +130,54 @@
         }
     }
 
-    /// Returns how long ago the view was confirmed; nothing before the first time.
+    /// Returns the time since the view was confirmed; `None` before the first
+    /// confirmation.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         Some(now.saturating_sub(self.confirmed_at()?))
     }
 
-    /// Returns until when the view is fresh enough to dispatch by.
+    /// Returns the time until which the view is fresh enough for dispatching.
     pub fn fresh_until(&self) -> Duration {
         if !self.has_document {
             return Duration::ZERO;
         }
         let bound = if self.needed == 0 {
-            PLATFORM_AGE_BOUND
+            MAX_PLATFORM_AGE
         } else {
-            VIEW_AGE_BOUND
+            MAX_VIEW_AGE
         };
         self.confirmed_at()
             .map_or(Duration::ZERO, |time| time + bound)
     }
 
-    /// Tells whether the view is fresh enough to dispatch by.
+    /// Returns whether the view is fresh enough for dispatching.
     pub fn is_fresh(&self, now: Duration) -> bool {
         now < self.fresh_until()
     }
 
-    /// Tells whether the host may serve, and why not.
+    /// Checks whether the host may serve.
     ///
     /// # Errors
     ///
-    /// What is missing.
+    /// The reason why it may not.
     pub fn readiness(&self, now: Duration) -> Result<(), UnreadyReason> {
         if !self.has_document {
             return Err(UnreadyReason::NoDocument);
         }
-        let recent = |time: &Duration| now.saturating_sub(*time) < READY_BOUND;
-        let heard = self
+        let recent = |time: &Duration| now.saturating_sub(*time) < READY_MAX_AGE;
+        let responding = self
             .confirmed_times()
             .iter()
             .filter(|time| recent(time))
             .count();
-        if heard >= self.needed {
+        if responding >= self.needed {
             return Ok(());
         }
         if !self.platform_answered.as_ref().is_some_and(recent) {
             let needed = self.needed;
-            return Err(UnreadyReason::Alone { heard, needed });
+            return Err(UnreadyReason::Isolated { responding, needed });
         }
-        if now.saturating_sub(self.started) < PEERS_FIRST {
+        if now.saturating_sub(self.started) < PEER_WAIT {
             return Err(UnreadyReason::AskingPeers);
         }
         Ok(())
--- a/src/controllers/work_controller.rs
+++ b/src/controllers/work_controller.rs
@@ -1,4 +1,4 @@
-//! Runs the dispatch policy of one host: requests wait here and get their places.
+//! Runs the dispatch policy of one host: queues requests and assigns them to targets.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -28,38 +28,38 @@
 use crate::policy::WorkOutcome;
 use crate::sorted::SortedMap;
 
-/// How often the policy is told that time passes.
+/// Interval of the policy's timer ticks.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Where a piece of work came from.
+/// The source of a work item.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum WorkSource {
-    /// A caller sent it.
+    /// Received from a caller.
     Caller,
-    /// A peer handed it over; it is not handed on.
+    /// Handed over by a peer; it is not handed over again.
     Peer,
 }
 
-/// Where a piece of work goes.
+/// The placement of a work item.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum WorkPlacement {
-    /// To this target, whose slot is taken.
+    /// On this target, whose slot is taken.
     Target(TargetName),
-    /// To this peer.
+    /// On this peer.
     Peer(HostName),
-    /// Nowhere.
+    /// Refused.
     Refused {
-        /// Why.
+        /// The reason.
         kind: ErrorKind,
-        /// When the caller should come back.
+        /// When the caller should retry.
         retry_after: Duration,
     },
 }
 
 /// Runs the dispatch policy of one host.
 ///
-/// The policy stands behind a mutex that is held for one decision and never
-/// over an await; what it decides is handed to the waiting tasks by channels.
+/// The policy is behind a mutex that is held for one decision and never across an
+/// await; decisions are sent to the waiting tasks over channels.
 #[derive(Debug)]
 pub(crate) struct WorkController {
     policy: Mutex<DispatchPolicy>,
@@ -67,12 +67,12 @@
     next_work: AtomicU64,
 }
 
-/// Work that waits for its place, or runs; dropping it gives the place back.
+/// A work item that waits for its placement or runs; dropping it releases its slot.
 #[derive(Debug)]
 pub(crate) struct WorkTicket {
     controller: Arc<WorkController>,
     work: WorkId,
-    places: Receiver<WorkPlacement>,
+    placements: Receiver<WorkPlacement>,
     stage: TicketStage,
 }
 
@@ -84,7 +84,7 @@
 }
 
 impl WorkController {
-    /// Makes a controller and starts its ticking.
+    /// Creates a controller and starts its timer.
     pub(crate) fn spawn(host: HostName, limits: PolicySettings) -> Arc<Self> {
         let controller = Arc::new(Self {
             policy: Mutex::new(DispatchPolicy::new(host, limits)),
@@ -102,14 +102,14 @@
         controller
     }
 
-    /// Lets work arrive; `describe` gets the id that the work has here.
+    /// Submits a work item; `describe` receives the id that the item has on this host.
     pub(crate) fn submit(
         self: &Arc<Self>,
         source: WorkSource,
         describe: impl FnOnce(WorkId) -> WorkItem,
     ) -> WorkTicket {
         let work = self.next_work.fetch_add(1, Ordering::Relaxed);
-        let (sender, places) = async_channel::unbounded();
+        let (sender, placements) = async_channel::unbounded();
         lock(&self.waiters).insert(work, sender);
         let item = describe(work);
         self.decide(|policy| match source {
@@ -119,66 +119,66 @@
         WorkTicket {
             controller: self.clone(),
             work,
-            places,
+            placements,
             stage: TicketStage::Waiting,
         }
     }
 
-    /// Tells the policy which targets there are.
+    /// Sets the policy's targets.
     pub(crate) fn set_targets(&self, targets: Vec<TargetFacts>) {
         lock(&self.policy).set_targets(boot_now(), targets);
     }
 
-    /// Tells the policy which hosts hold seats.
+    /// Sets the hosts that hold seats.
     pub(crate) fn set_hosts(&self, hosts: Vec<HostName>) {
         lock(&self.policy).set_hosts(boot_now(), hosts);
     }
 
-    /// Tells the policy how many requests may wait.
+    /// Sets how many requests may wait.
     pub(crate) fn set_max_waiting(&self, max_waiting: u32) {
         lock(&self.policy).set_max_waiting(max_waiting);
     }
 
-    /// Passes a target's load report on.
+    /// Passes a target's load report to the policy.
     pub(crate) fn report(&self, target: &TargetName, report: LoadReport) {
         lock(&self.policy).report(boot_now(), target, report);
     }
 
-    /// Passes a peer's digest on.
+    /// Passes a peer's digest to the policy.
     pub(crate) fn apply_peer_digest(&self, host: &HostName, digest: HostDigest) {
         lock(&self.policy).apply_peer_digest(boot_now(), host, digest);
     }
 
-    /// Returns what the peers should know.
+    /// Returns the policy's digest for the peers.
     pub(crate) fn digest(&self) -> HostDigest {
         lock(&self.policy).digest(boot_now())
     }
 
-    /// Tells whether peers wait for a digest: the division of slots depends on it.
+    /// Returns whether peers wait for a digest because the division of slots depends on
+    /// it.
     pub(crate) fn wants_digest(&self) -> bool {
         lock(&self.policy).wants_digest()
     }
 
-    /// Returns the lowest tiers that this host's own load lets in to engines and
-    /// to services.
+    /// Returns the lowest tiers that this host's own load admits to engines and to
+    /// services.
     pub(crate) fn shed_levels(&self) -> (TierRank, TierRank) {
         lock(&self.policy).shed_levels(boot_now())
     }
 
-    /// Gives up all waiting work: the host leaves.
+    /// Gives up all waiting work, because the host is leaving.
     pub(crate) fn drain(&self) {
         self.decide(|policy| policy.drain(boot_now()));
     }
 
-    /// Returns how much work waits and runs, by tier.
+    /// Returns the number of waiting and running work items, by tier.
     pub(crate) fn counts(&self) -> (SortedMap<TierRank, u32>, SortedMap<TierRank, u32>) {
         let policy = lock(&self.policy);
         (policy.waiting(), policy.running())
     }
 
-    /// Lets the policy decide and hands its actions out, all under its lock: a
-    /// place that reached its ticket after the ticket's withdrawal would never
-    /// be given back.
+    /// Lets the policy decide and delivers its actions, all under its lock: a placement
+    /// that reached its ticket after the ticket was withdrawn would never be released.
     fn decide(&self, decision: impl FnOnce(&mut DispatchPolicy) -> Vec<PolicyAction>) {
         let mut policy = lock(&self.policy);
         let actions = decision(&mut policy);
@@ -187,47 +187,51 @@
         }
         let waiters = lock(&self.waiters);
         for action in actions {
-            let (work, place) = place_of(action);
+            let (work, placement) = placement_of(action);
             if let Some(sender) = waiters.get(&work) {
-                // A ticket that is gone gives its place back as it is dropped.
-                sender.try_send(place).ok();
+                // A dropped ticket releases its placement itself.
+                sender.try_send(placement).ok();
             }
         }
     }
 }
 
 impl WorkTicket {
-    /// Waits for the work's place.
+    /// Waits for the placement of the work item.
     pub(crate) async fn placement(&mut self) -> WorkPlacement {
-        let place = self.places.recv().await.unwrap_or(WorkPlacement::Refused {
-            kind: ErrorKind::Internal,
-            retry_after: Duration::ZERO,
-        });
-        self.stage = match place {
+        let placement = self
+            .placements
+            .recv()
+            .await
+            .unwrap_or(WorkPlacement::Refused {
+                kind: ErrorKind::Internal,
+                retry_after: Duration::ZERO,
+            });
+        self.stage = match placement {
             WorkPlacement::Target(_) => TicketStage::Placed,
             WorkPlacement::Peer(_) | WorkPlacement::Refused { .. } => TicketStage::Ended,
         };
-        place
+        placement
     }
 
-    /// Notes that the first byte was handed to the target.
+    /// Records that the first byte was sent to the target.
     pub(crate) fn started(&self) {
         lock(&self.controller.policy).started(boot_now(), self.work);
     }
 
-    /// Notes how many tokens have come.
+    /// Records how many tokens have been received.
     pub(crate) fn progressed(&self, tokens: TokenCount) {
         lock(&self.controller.policy).progressed(boot_now(), self.work, tokens);
     }
 
-    /// Gives the place back unused; the work waits for another.
+    /// Releases the slot unused; the work item waits for another placement.
     pub(crate) fn not_sent(&mut self) {
         self.stage = TicketStage::Waiting;
         self.controller
             .decide(|policy| policy.ended(boot_now(), self.work, WorkOutcome::NotSent));
     }
 
-    /// Ends the work.
+    /// Ends the work item.
     pub(crate) fn end(mut self, end: WorkOutcome) {
         self.finish(end);
     }
@@ -239,7 +243,7 @@
             TicketStage::Waiting => {
                 self.controller
                     .decide(|policy| policy.withdraw(boot_now(), work));
-                self.give_back_unread_place(end);
+                self.release_unread_placement(end);
             }
             TicketStage::Placed => {
                 self.controller
@@ -249,10 +253,10 @@
         }
     }
 
-    /// A place may have been given just before the work was withdrawn; nobody
-    /// else would ever give its slot back.
-    fn give_back_unread_place(&self, end: WorkOutcome) {
-        if let Ok(WorkPlacement::Target(_)) = self.places.try_recv() {
+    /// A placement may have been sent just before the work was withdrawn; nothing else
+    /// would release its slot.
+    fn release_unread_placement(&self, end: WorkOutcome) {
+        if let Ok(WorkPlacement::Target(_)) = self.placements.try_recv() {
             self.controller
                 .decide(|policy| policy.ended(boot_now(), self.work, end));
         }
@@ -266,7 +270,7 @@
     }
 }
 
-fn place_of(action: PolicyAction) -> (WorkId, WorkPlacement) {
+fn placement_of(action: PolicyAction) -> (WorkId, WorkPlacement) {
     match action {
         PolicyAction::Dispatch { work, target } => (work, WorkPlacement::Target(target)),
         PolicyAction::HandOver { work, host } => (work, WorkPlacement::Peer(host)),
--- a/tests/config_gossip_freshness.rs
+++ b/tests/config_gossip_freshness.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use cardamomgw::controllers::PEERS_FIRST;
-use cardamomgw::controllers::READY_BOUND;
+use cardamomgw::controllers::MAX_VIEW_AGE;
+use cardamomgw::controllers::PEER_WAIT;
+use cardamomgw::controllers::READY_MAX_AGE;
 use cardamomgw::controllers::UnreadyReason;
-use cardamomgw::controllers::VIEW_AGE_BOUND;
 use cardamomgw::controllers::ViewFreshness;
 
 /// When the process under test started, on the boot clock.
@@ -43,7 +43,7 @@
     assert!(!one);
     assert!(freshness.is_fresh(after(11)));
     assert_eq!(freshness.age(after(12)), Some(Duration::from_secs(2)));
-    assert!(!freshness.is_fresh(after(10) + VIEW_AGE_BOUND));
+    assert!(!freshness.is_fresh(after(10) + MAX_VIEW_AGE));
 }
 
 /// A host is paused for ten minutes. When it wakes, its sockets hold answers
@@ -129,7 +129,7 @@
     freshness.platform_asked(START, true);
 
     let early = freshness.readiness(START);
-    let late = freshness.readiness(START + PEERS_FIRST);
+    let late = freshness.readiness(START + PEER_WAIT);
     confirm(&mut freshness, &["b"], START);
     let heard = freshness.readiness(START);
 
@@ -147,11 +147,11 @@
     confirm(&mut freshness, &["b"], after(15));
 
     let before = freshness.readiness(after(15));
-    let alone = freshness.readiness(after(10) + READY_BOUND);
+    let alone = freshness.readiness(after(10) + READY_MAX_AGE);
 
     assert_eq!(before, Ok(()));
-    let (heard, needed) = (1, 2);
-    assert_eq!(alone, Err(UnreadyReason::Alone { heard, needed }));
+    let (responding, needed) = (1, 2);
+    assert_eq!(alone, Err(UnreadyReason::Isolated { responding, needed }));
 }
 
 #[test]
--- a/tests/config_gossip_leaving.rs
+++ b/tests/config_gossip_leaving.rs
@@ -20,8 +20,8 @@
 fn list_does_not_bring_back_a_target_that_says_itself_it_leaves() {
     let mut ledger = LeavingTracker::default();
 
-    let news = ledger.target_says("e1", Leaving, 100);
-    let back = ledger.list_says("e1", Live, 200);
+    let news = ledger.record_target_state("e1", Leaving, 100);
+    let back = ledger.record_list_state("e1", Live, 200);
 
     assert!(news);
     assert!(!back);
@@ -33,8 +33,8 @@
 fn target_does_not_take_back_what_the_list_says() {
     let mut ledger = LeavingTracker::default();
 
-    ledger.list_says("e1", Leaving, 100);
-    ledger.target_says("e1", Live, 200);
+    ledger.record_list_state("e1", Leaving, 100);
+    ledger.record_target_state("e1", Live, 200);
 
     assert!(ledger.is_leaving("e1"));
 }
@@ -44,9 +44,9 @@
 fn older_word_of_the_same_voice_changes_nothing() {
     let mut ledger = LeavingTracker::default();
 
-    ledger.list_says("e1", Leaving, 200);
-    let older = ledger.list_says("e1", Live, 100);
-    let same = ledger.list_says("e1", Live, 200);
+    ledger.record_list_state("e1", Leaving, 200);
+    let older = ledger.record_list_state("e1", Live, 100);
+    let same = ledger.record_list_state("e1", Live, 200);
 
     assert!(!older);
     assert!(!same);
@@ -56,11 +56,11 @@
 #[test]
 fn voice_takes_its_own_word_back_by_a_newer_one() {
     let mut ledger = LeavingTracker::default();
-    ledger.list_says("e1", Leaving, 100);
-    ledger.target_says("e1", Leaving, 100);
+    ledger.record_list_state("e1", Leaving, 100);
+    ledger.record_target_state("e1", Leaving, 100);
 
-    let first = ledger.list_says("e1", Live, 101);
-    let second = ledger.target_says("e1", Live, 101);
+    let first = ledger.record_list_state("e1", Live, 101);
+    let second = ledger.record_target_state("e1", Live, 101);
 
     assert!(!first);
     assert!(second);
@@ -70,8 +70,8 @@
 #[test]
 fn target_that_is_put_in_again_starts_afresh() {
     let mut ledger = LeavingTracker::default();
-    ledger.target_says("e1", Leaving, 100);
-    ledger.target_says("e2", Leaving, 100);
+    ledger.record_target_state("e1", Leaving, 100);
+    ledger.record_target_state("e2", Leaving, 100);
 
     ledger.retain(&["e2".to_owned()]);
 
@@ -104,9 +104,9 @@
 fn tell(ledger: &mut LeavingTracker, (by_list, leaves, taken): (bool, bool, u64)) {
     let state = if leaves { Leaving } else { Live };
     if by_list {
-        ledger.list_says("e1", state, taken);
+        ledger.record_list_state("e1", state, taken);
     } else {
-        ledger.target_says("e1", state, taken);
+        ledger.record_target_state("e1", state, taken);
     }
 }
 
@@ -116,7 +116,7 @@
 #[test]
 fn listed_as_leaving_before_a_document_names_it_is_not_forgotten() {
     let mut ledger = LeavingTracker::default();
-    ledger.take_list(HostList {
+    ledger.apply_list(HostList {
         taken_ms: 100,
         hosts: vec![ListedHost {
             name: "e2".to_owned(),
@@ -124,8 +124,8 @@
         }],
     });
 
-    ledger.follow(&["e1".to_owned()]);
-    ledger.follow(&["e1".to_owned(), "e2".to_owned()]);
+    ledger.set_names(&["e1".to_owned()]);
+    ledger.set_names(&["e1".to_owned(), "e2".to_owned()]);
 
     assert!(ledger.is_leaving("e2"));
 }
@@ -134,10 +134,10 @@
 #[test]
 fn target_that_was_taken_out_starts_afresh() {
     let mut ledger = LeavingTracker::default();
-    ledger.target_says("e1", Leaving, 100);
+    ledger.record_target_state("e1", Leaving, 100);
 
-    ledger.follow(&[]);
-    ledger.follow(&["e1".to_owned()]);
+    ledger.set_names(&[]);
+    ledger.set_names(&["e1".to_owned()]);
 
     assert!(!ledger.is_leaving("e1"));
 }
