--- a/src/answers/answer_buffer.rs
+++ b/src/answers/answer_buffer.rs
@@ -122,11 +122,11 @@
     /// Returns what the caller was told about whether its request ran.
     pub(crate) fn outcome(&self) -> RequestOutcome {
         let state = self.lock();
-        let told = state
+        let reported = state
             .head
             .as_ref()
             .and_then(|head| head.headers.get("request-outcome"));
-        match (state.end, told.map(String::as_str)) {
+        match (state.end, reported.map(String::as_str)) {
             (Some(AnswerEnd::Complete), Some("done")) => RequestOutcome::Done,
             (Some(AnswerEnd::Complete), Some("not-run")) => RequestOutcome::NotRun,
             _ => RequestOutcome::Unknown,
--- a/src/claim/quorum_tally.rs
+++ b/src/claim/quorum_tally.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Returns the ticket named as holder by most seats, and whether it can still majority_state
+    /// Returns the ticket named as holder by most seats, and whether it can still reach
     /// a majority of the roster according to the answers so far.
     pub(super) fn holder(&self) -> Option<(ClaimTicket, bool)> {
         let held: Vec<&ClaimTicket> = self.answers().filter_map(holder_in).collect();
--- a/src/controllers/claim_coordinator.rs
+++ b/src/controllers/claim_coordinator.rs
@@ -191,10 +191,10 @@
     /// referred to a holder that has no claim.
     async fn finish_release(self: &Arc<Self>, mut round: BarRound) -> BarOutcome {
         self.run_round(&mut round).await;
-        let verdict = bar_outcome(&round);
+        let outcome = bar_outcome(&round);
         let coordinator = self.clone();
         task::spawn(async move { coordinator.retry_release(round).await });
-        verdict
+        outcome
     }
 
     async fn retry_release(self: Arc<Self>, mut round: BarRound) {
--- a/src/controllers/tests.rs
+++ b/src/controllers/tests.rs
@@ -148,8 +148,8 @@
     }
 }
 
-/// Guards against a release that is count_drop on its way. Host a loses an id to host c, and
-/// its release of seat b's grant is count_drop. Host c gives up the id and seat c fails: a
+/// Guards against a release that is lost on its way. Host a loses an id to host c, and
+/// its release of seat b's grant is lost. Host c gives up the id and seat c fails: a
 /// and b form a majority, but b would name a as the holder for ten minutes, and each
 /// resend would be answered `unknown`.
 #[async_std::test]
@@ -174,9 +174,9 @@
     }
     let coordinator = ClaimCoordinator::open("a".into(), 1, own, mesh);
 
-    let verdict = coordinator.claim(id, 1).await;
+    let outcome = coordinator.claim(id, 1).await;
 
-    assert!(matches!(verdict, ClaimOutcome::Held(holder) if holder.host == "c"));
+    assert!(matches!(outcome, ClaimOutcome::Held(holder) if holder.host == "c"));
     let began = Instant::now();
     loop {
         let answer = b.ask(call(id, ClaimOperation::Bar, 2, roster)).answer;
