--- a/src/answers/tests.rs
+++ b/src/answers/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[async_std::test]
-async fn late_reader_gets_the_whole_answer() {
+async fn late_reader_gets_the_complete_answer() {
     let buffer = Arc::new(AnswerBuffer::default());
     buffer.put_bytes(Bytes::from_static(b"first "));
     let mut late = AnswerReader::open(buffer.clone());
@@ -41,7 +41,7 @@
 }
 
 #[async_std::test]
-async fn cut_answer_ends_with_an_error() {
+async fn truncated_answer_ends_with_an_error() {
     let buffer = Arc::new(AnswerBuffer::default());
     let mut reader = AnswerReader::open(buffer.clone());
     buffer.put_bytes(Bytes::from_static(b"half"));
--- a/tests/claim_rules/fixture.rs
+++ b/tests/claim_rules/fixture.rs
@@ -1,4 +1,5 @@
-//! Fixtures of the focused claim tests: seats whose messages the test carries itself.
+//! Fixtures of the focused claim tests: seats whose messages are delivered by the test
+//! itself.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -44,7 +45,7 @@
     SeatRegister::open(host.into(), incarnation, settings)
 }
 
-/// A seat of a test, with its name.
+/// A seat with its name.
 pub(crate) struct TestSeat {
     pub(crate) name: String,
     pub(crate) seat: SeatRegister,
@@ -78,13 +79,13 @@
     }
 }
 
-/// Carries `from`'s digest to `to`.
-pub(crate) fn tell(from: &TestSeat, to: &mut TestSeat, now: UnixMillis) {
+/// Delivers `from`'s digest to `to`.
+pub(crate) fn send_digest(from: &TestSeat, to: &mut TestSeat, now: UnixMillis) {
     let digest = from.seat.roster().digest();
     to.seat.roster_mut().learn(&from.name, digest, now);
 }
 
-/// Exchanges digests between all until nothing more can be learned.
+/// Exchanges digests between all seats until nothing more can be learned.
 pub(crate) fn exchange(seats: &mut [&mut TestSeat], now: UnixMillis) {
     for _ in 0..4 {
         for from in 0..seats.len() {
@@ -99,8 +100,8 @@
     }
 }
 
-/// Founds roster 1 of `hosts` at `now`.
-pub(crate) fn found(hosts: &[&str], now: UnixMillis, rules: ClaimRules) -> Vec<TestSeat> {
+/// Bootstraps roster 1 of `hosts` at `now`.
+pub(crate) fn bootstrap(hosts: &[&str], now: UnixMillis, rules: ClaimRules) -> Vec<TestSeat> {
     let first = plan(1, hosts, None);
     let mut seats: Vec<TestSeat> = hosts.iter().map(|host| open(host, now, rules)).collect();
     for seat in &mut seats {
@@ -124,8 +125,9 @@
     }
 }
 
-/// Carries a claim round's calls to `seats` and their replies back; the others fail.
-pub(crate) fn carry(round: &mut ClaimRound, seats: &mut [&mut TestSeat], now: UnixMillis) {
+/// Delivers a claim round's calls to `seats` and their replies back; calls to other
+/// hosts fail.
+pub(crate) fn run_claim(round: &mut ClaimRound, seats: &mut [&mut TestSeat], now: UnixMillis) {
     loop {
         let calls = round.calls();
         if calls.is_empty() {
@@ -140,8 +142,8 @@
     }
 }
 
-/// The same for a round that releases or bars.
-pub(crate) fn carry_bar(round: &mut BarRound, seats: &mut [&mut TestSeat], now: UnixMillis) {
+/// Does the same for a round that releases or bars.
+pub(crate) fn run_bar(round: &mut BarRound, seats: &mut [&mut TestSeat], now: UnixMillis) {
     loop {
         let calls = round.calls();
         if calls.is_empty() {
@@ -156,8 +158,8 @@
     }
 }
 
-/// Claims `id` for `caller` from `seats` alone; tells whether it was granted.
-pub(crate) fn wins(
+/// Claims `id` for `caller` from `seats` alone; returns whether it was granted.
+pub(crate) fn is_granted(
     request: RequestId,
     caller: &str,
     view: Arc<RosterView>,
@@ -165,6 +167,6 @@
     now: UnixMillis,
 ) -> bool {
     let mut round = ClaimRound::begin(request, ticket(caller, 1, 1), view);
-    carry(&mut round, seats, now);
+    run_claim(&mut round, seats, now);
     round.win().is_ok()
 }
--- a/tests/claim_rules/main.rs
+++ b/tests/claim_rules/main.rs
@@ -1,4 +1,4 @@
-//! Focused tests of the claim rules, each with its story where it guards a failure.
+//! Focused tests of the claim rules; each describes the failure that it guards against.
 
 mod fixture;
 mod register;
--- a/tests/claim_rules/register.rs
+++ b/tests/claim_rules/register.rs
@@ -3,13 +3,13 @@
 use crate::fixture::SKEW_MS;
 use crate::fixture::TestSeat;
 use crate::fixture::WINDOW_MS;
-use crate::fixture::carry;
-use crate::fixture::carry_bar;
+use crate::fixture::bootstrap;
 use crate::fixture::exchange;
-use crate::fixture::found;
 use crate::fixture::id;
 use crate::fixture::open;
 use crate::fixture::plan;
+use crate::fixture::run_bar;
+use crate::fixture::run_claim;
 use crate::fixture::ticket;
 use cardamomgw::claim::BarRound;
 use cardamomgw::claim::BarStatus;
@@ -21,12 +21,12 @@
 use cardamomgw::claim::ClaimStatus;
 use cardamomgw::claim::SeatAnswer;
 
-const FOUNDED_MS: u64 = 1_000_000;
-const NOW_MS: u64 = FOUNDED_MS + 1_000;
+const BOOTSTRAPPED_MS: u64 = 1_000_000;
+const NOW_MS: u64 = BOOTSTRAPPED_MS + 1_000;
 const HOSTS: [&str; 4] = ["a", "b", "c", "d"];
 
 fn fleet(size: usize) -> Vec<TestSeat> {
-    found(&HOSTS[..size], FOUNDED_MS, ClaimRules::default())
+    bootstrap(&HOSTS[..size], BOOTSTRAPPED_MS, ClaimRules::default())
 }
 
 fn all(seats: &mut [TestSeat]) -> Vec<&mut TestSeat> {
@@ -36,7 +36,7 @@
 fn claim(seats: &mut [TestSeat], host: &str, round: u64, attempt: u32) -> ClaimRound {
     let view = seats[0].view();
     let mut round = ClaimRound::begin(id(NOW_MS, 0), ticket(host, round, attempt), view);
-    carry(&mut round, &mut all(seats), NOW_MS);
+    run_claim(&mut round, &mut all(seats), NOW_MS);
     round
 }
 
@@ -51,22 +51,22 @@
 }
 
 #[test]
-fn the_first_claim_wins_and_the_second_is_told_the_holder() {
+fn the_first_claim_wins_and_the_second_learns_the_holder() {
     let mut seats = fleet(3);
     assert_eq!(claim(&mut seats, "a", 1, 1).status(), ClaimStatus::Granted);
     let second = claim(&mut seats, "b", 1, 1).status();
     assert_eq!(second, ClaimStatus::HeldByAnother(ticket("a", 1, 1)));
 }
 
-/// A request waits on host a and is released when its caller leaves. Repeated and
-/// late messages of the round must not bring the grant back.
+/// A request waits on host a and is released when its caller leaves. Repeated and late
+/// messages of the round must not restore the grant.
 #[test]
 fn a_released_attempt_is_never_granted_again() {
     let mut seats = fleet(3);
     let round = claim(&mut seats, "a", 1, 1);
     let view = seats[0].view();
     let mut release = round.win().expect("granted").release(view);
-    carry_bar(&mut release, &mut all(&mut seats), NOW_MS);
+    run_bar(&mut release, &mut all(&mut seats), NOW_MS);
     let proof = release.proof().expect("barred");
     assert_eq!((proof.id(), proof.attempt()), (id(NOW_MS, 0), 1));
     let late = claim(&mut seats, "a", 1, 1).status();
@@ -74,9 +74,9 @@
     assert_eq!(claim(&mut seats, "b", 1, 2).status(), ClaimStatus::Granted);
 }
 
-/// A caller sends the same attempt twice to one host. The first round's release
-/// arrives after the second round's claim: the second must not count grants that
-/// the release then takes away, or the caller hears `not-run` and the request runs.
+/// A caller sends the same attempt twice to one host. The first round's release arrives
+/// after the second round's claim. If the second round counted grants that the release
+/// then removes, the caller would be told `not-run` and the request would run.
 #[test]
 fn two_rounds_of_one_process_do_not_share_grants() {
     let mut seats = fleet(3);
@@ -91,7 +91,7 @@
     let mut seats = fleet(3);
     let view = seats[0].view();
     let mut bar = BarRound::bar(id(NOW_MS, 0), ticket("b", 1, 1), view.clone());
-    carry_bar(&mut bar, &mut all(&mut seats), NOW_MS);
+    run_bar(&mut bar, &mut all(&mut seats), NOW_MS);
     assert_eq!(bar.status(), BarStatus::Barred);
     assert_eq!(
         claim(&mut seats, "a", 1, 1).status(),
@@ -99,15 +99,16 @@
     );
     assert_eq!(claim(&mut seats, "a", 2, 2).status(), ClaimStatus::Granted);
     let mut bar = BarRound::bar(id(NOW_MS, 0), ticket("b", 2, 2), view);
-    carry_bar(&mut bar, &mut all(&mut seats), NOW_MS);
+    run_bar(&mut bar, &mut all(&mut seats), NOW_MS);
     assert_eq!(bar.status(), BarStatus::HeldByAnother(ticket("a", 2, 2)));
     assert_eq!(bar.proof(), None);
 }
 
-/// Two hosts get the same id at the same moment and split four seats two and two.
-/// Neither can win; both must find out at once and free the id for the next attempt.
+/// Two hosts receive the same id at the same time and split four seats two and two.
+/// Neither can win; both must detect it at once and release the id for the next
+/// attempt.
 #[test]
-fn a_split_is_seen_and_freed() {
+fn a_split_is_detected_and_released() {
     let mut seats = fleet(4);
     let view = seats[0].view();
     let [mut left, mut right] =
@@ -122,12 +123,12 @@
     }
     for round in [&mut left, &mut right] {
         round.resend();
-        carry(round, &mut all(&mut seats), NOW_MS);
+        run_claim(round, &mut all(&mut seats), NOW_MS);
         assert_eq!(round.status(), ClaimStatus::Contested);
     }
     let mut ends = [left, right].map(|round| round.abandon(view.clone()));
     for end in &mut ends {
-        carry_bar(end, &mut all(&mut seats), NOW_MS);
+        run_bar(end, &mut all(&mut seats), NOW_MS);
     }
     assert!(ends[1].proof().is_some());
     assert_eq!(claim(&mut seats, "a", 2, 2).status(), ClaimStatus::Granted);
@@ -138,15 +139,15 @@
     let mut seats = fleet(3);
     let view = seats[0].view();
     let mut round = ClaimRound::begin(id(NOW_MS, 0), ticket("a", 1, 1), view);
-    carry(&mut round, &mut [&mut seats[0]], NOW_MS);
+    run_claim(&mut round, &mut [&mut seats[0]], NOW_MS);
     assert_eq!(round.status(), ClaimStatus::NoMajority);
     round.resend();
-    carry(&mut round, &mut all(&mut seats), NOW_MS);
+    run_claim(&mut round, &mut all(&mut seats), NOW_MS);
     assert_eq!(round.status(), ClaimStatus::Granted);
 }
 
-/// A seat's "held" is overtaken by its later "granted", and replies of an earlier
-/// round come in late. Neither may change what the round already knows.
+/// A seat's "held" is overtaken by its later "granted", and replies of an earlier round
+/// arrive late. Neither may change what the round already knows.
 #[test]
 fn late_and_foreign_replies_change_nothing() {
     let seats = fleet(3);
@@ -180,8 +181,8 @@
     assert_eq!(round.status(), ClaimStatus::Granted);
 }
 
-/// Host b granted an id and restarts. Its empty memory must not grant the id to
-/// another caller, also after it has a voice again.
+/// Host b granted an id and restarts. Its empty memory must not grant the id to another
+/// caller, even after it may vote again.
 #[test]
 fn a_restarted_seat_speaks_only_for_newer_ids() {
     let [mut a, mut b, mut c] = <[TestSeat; 3]>::try_from(fleet(3)).ok().expect("three");
@@ -230,7 +231,7 @@
     let old = call(seat, NOW_MS, ClaimOperation::Claim, later);
     assert_eq!(old.answer, SeatAnswer::OutOfWindow { now: later });
     assert_eq!(seat.seat.remembered(), 0);
-    // A clock that is set back does not bring the id back.
+    // A clock that is set back does not make the id valid again.
     let again = call(seat, NOW_MS, ClaimOperation::Claim, NOW_MS + 1);
     assert_eq!(again.answer, SeatAnswer::OutOfWindow { now: later });
 }
--- a/tests/claim_walks/main.rs
+++ b/tests/claim_walks/main.rs
@@ -1,7 +1,7 @@
-//! Generated interleavings of claims: nothing breaks with all rules on, and the
-//! check catches each rule that is taken out.
+//! Random walks through the interleavings of the claim protocol: no guarantee breaks
+//! with all rules on, and the checker detects each rule that is turned off.
 //!
-//! `CLAIM_WALKS=N` sets the number of walks for each profile; run more in release.
+//! `CLAIM_WALKS=N` sets the number of walks per profile; use more in release builds.
 
 mod model;
 mod profiles;
@@ -18,11 +18,12 @@
 use profiles::SKIPPING;
 
 const DEFAULT_WALKS: u64 = 120;
-/// How many seeds to try, from the known one on, when code or model changed.
-const MOST_TRIES: u64 = 3_000;
-/// How many profiles walk at once.
+/// Maximum number of seeds to try, starting at the known one, so that the test survives
+/// changes of the code or the model.
+const MAX_SEEDS: u64 = 3_000;
+/// Number of profiles that run concurrently.
 const THREADS: usize = 4;
-/// The time for `arbtest`, in milliseconds.
+/// Time budget of `arbtest`, in milliseconds.
 const ARBTEST_MS: u64 = 2_000;
 
 fn walks() -> u64 {
@@ -36,25 +37,25 @@
     rules: ClaimRules,
     profile: &WalkProfile,
 ) -> (ModelWorld, Result<(), ModelFault>) {
-    let mut world = ModelWorld::found(profile.seats, rules);
+    let mut world = ModelWorld::bootstrap(profile.seats, rules);
     let result = world.walk(profile, &mut SeededChoice::new(seed));
     (world, result)
 }
 
-/// Walks on from `seed`, the first one known to show the fault, until it shows.
-fn assert_caught(seed: u64, rules: ClaimRules, profile: &WalkProfile) {
-    let caught = (seed..seed + MOST_TRIES).find(|seed| run(*seed, rules, profile).1.is_err());
-    let caught = caught.expect("the check catches the rule that was taken out");
-    println!("seed {caught}: {:?}", run(caught, rules, profile).1);
+/// Tries seeds from `seed`, the first one known to show the fault, until one shows it.
+fn assert_detected(seed: u64, rules: ClaimRules, profile: &WalkProfile) {
+    let failing = (seed..seed + MAX_SEEDS).find(|seed| run(*seed, rules, profile).1.is_err());
+    let failing = failing.expect("the checker detects the rule that was turned off");
+    println!("seed {failing}: {:?}", run(failing, rules, profile).1);
     let kept = WalkProfile {
         release_after_dispatch: false,
         ..*profile
     };
-    assert_eq!(run(caught, ClaimRules::default(), &kept).1, Ok(()));
+    assert_eq!(run(failing, ClaimRules::default(), &kept).1, Ok(()));
 }
 
 #[test]
-fn walks_with_all_rules_keep_both_promises() {
+fn walks_with_all_rules_uphold_both_guarantees() {
     for profiles in PROFILES.chunks(THREADS) {
         std::thread::scope(|scope| {
             for (name, profile) in profiles {
@@ -83,9 +84,9 @@
 }
 
 #[test]
-fn arbitrary_walks_keep_both_promises() {
+fn arbitrary_walks_uphold_both_guarantees() {
     arbtest::arbtest(|choices| {
-        let mut world = ModelWorld::found(3, ClaimRules::default());
+        let mut world = ModelWorld::bootstrap(3, ClaimRules::default());
         let result = world.walk(&WalkProfile::MIXED, choices);
         assert_eq!(result, Ok(()));
         Ok(())
@@ -94,12 +95,12 @@
 }
 
 #[test]
-fn without_the_boot_time_rule_not_run_is_a_lie() {
+fn without_the_boot_time_rule_not_run_is_wrong() {
     let rules = ClaimRules {
         boot_time: false,
         ..ClaimRules::default()
     };
-    assert_caught(182, rules, &RETURNING);
+    assert_detected(182, rules, &RETURNING);
 }
 
 #[test]
@@ -108,25 +109,25 @@
         knew_former_active: false,
         ..ClaimRules::default()
     };
-    assert_caught(21, rules, &SKIPPING);
+    assert_detected(21, rules, &SKIPPING);
 }
 
 #[test]
-fn without_the_majority_of_both_rosters_not_run_is_a_lie() {
+fn without_the_majority_of_both_rosters_not_run_is_wrong() {
     let rules = ClaimRules {
         two_rosters: false,
         ..ClaimRules::default()
     };
-    assert_caught(1, rules, &REVOTING);
+    assert_detected(1, rules, &REVOTING);
 }
 
 #[test]
-fn with_a_bar_that_ignores_a_grant_not_run_is_a_lie() {
+fn with_a_bar_that_ignores_a_grant_not_run_is_wrong() {
     let rules = ClaimRules {
         bar_respects_grant: false,
         ..ClaimRules::default()
     };
-    assert_caught(1, rules, &SKIPPING);
+    assert_detected(1, rules, &SKIPPING);
 }
 
 #[test]
@@ -135,16 +136,16 @@
         refuse_older_rosters: false,
         ..ClaimRules::default()
     };
-    assert_caught(61, rules, &RETURNING);
+    assert_detected(61, rules, &RETURNING);
 }
 
 #[test]
-fn without_the_restarted_seats_silence_two_rosters_answer() {
+fn without_rejoining_by_majority_two_rosters_answer() {
     let rules = ClaimRules {
         rejoin_by_majority: false,
         ..ClaimRules::default()
     };
-    assert_caught(157, rules, &RETURNING);
+    assert_detected(157, rules, &RETURNING);
 }
 
 #[test]
@@ -153,34 +154,34 @@
         crash_vector: false,
         ..ClaimRules::default()
     };
-    assert_caught(1, rules, &REVOTING);
+    assert_detected(1, rules, &REVOTING);
 }
 
 #[test]
-fn without_the_window_not_run_is_a_lie() {
+fn without_the_window_not_run_is_wrong() {
     let rules = ClaimRules {
         id_window: false,
         ..ClaimRules::default()
     };
-    assert_caught(22, rules, &REVOTING);
+    assert_detected(22, rules, &REVOTING);
 }
 
 #[test]
-fn with_a_release_after_the_dispatch_not_run_is_a_lie() {
+fn with_a_release_after_the_dispatch_not_run_is_wrong() {
     let profile = WalkProfile {
         release_after_dispatch: true,
         ..SHRINKING
     };
-    assert_caught(32, ClaimRules::default(), &profile);
+    assert_detected(32, ClaimRules::default(), &profile);
 }
 
-/// New hosts read a document whose roster never became active, found all of its
-/// seats voiceless, and took it for deserted while an older roster went on.
+/// New hosts read a document whose roster never became active, find that none of its
+/// seats votes, and bootstrap it while an older roster is still active.
 #[test]
-fn without_the_operators_word_two_rosters_answer() {
+fn without_explicit_bootstraps_two_rosters_answer() {
     let rules = ClaimRules {
         explicit_bootstrap: false,
         ..ClaimRules::default()
     };
-    assert_caught(2, rules, &SHRINKING);
+    assert_detected(2, rules, &SHRINKING);
 }
--- a/tests/claim_walks/model/choice_source.rs
+++ b/tests/claim_walks/model/choice_source.rs
@@ -1,16 +1,16 @@
-//! Where a walk's choices come from.
+//! Sources of the random choices of a walk.
 
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Gives the choices of a walk; `None` ends it.
+/// Provides the choices of a walk; `None` ends the walk.
 pub(crate) trait ChoiceSource {
     /// Picks a number below `bound`.
     fn pick(&mut self, bound: u32) -> Option<u32>;
 }
 
-/// Choices from a fixed seed; they never end.
+/// Choices from a fixed seed; never ends.
 pub(crate) struct SeededChoice(ChaCha8Rng);
 
 impl SeededChoice {
--- a/tests/claim_walks/model/id_record.rs
+++ b/tests/claim_walks/model/id_record.rs
@@ -1,11 +1,12 @@
-//! What the clients and targets saw of one id, and whether it breaks a promise.
+//! What the clients and targets observed of one id, and whether it violates a
+//! guarantee.
 
 use cardamomgw::ids::AttemptNumber;
 use cardamomgw::ids::RequestId;
 use cardamomgw::ids::RosterNumber;
 use cardamomgw::sorted::SortedMap;
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Debug, Eq, PartialEq)]
 pub(crate) enum ModelFault {
     RanTwice(RequestId),
@@ -15,14 +16,14 @@
     TwoRosters(RosterNumber, RosterNumber),
 }
 
-/// What the clients and targets saw of one id.
+/// What the clients and targets observed of one id.
 #[derive(Default)]
 pub(super) struct IdRecord {
     pub(super) dispatched: Option<AttemptNumber>,
     pub(super) not_run_through: AttemptNumber,
 }
 
-pub(super) fn note_dispatch(
+pub(super) fn record_dispatch(
     records: &mut SortedMap<RequestId, IdRecord>,
     id: RequestId,
     attempt: AttemptNumber,
@@ -38,7 +39,7 @@
     Ok(())
 }
 
-pub(super) fn note_not_run(
+pub(super) fn record_not_run(
     records: &mut SortedMap<RequestId, IdRecord>,
     id: RequestId,
     attempt: AttemptNumber,
--- a/tests/claim_walks/model/model_callers.rs
+++ b/tests/claim_walks/model/model_callers.rs
@@ -1,12 +1,12 @@
-//! The clients, and how the hosts work on their requests.
+//! The clients, and the processing of their requests by the hosts.
 
 use std::str::FromStr;
 
 use super::ChoiceSource;
 use super::id_record::IdRecord;
 use super::id_record::ModelFault;
-use super::id_record::note_dispatch;
-use super::id_record::note_not_run;
+use super::id_record::record_dispatch;
+use super::id_record::record_not_run;
 use super::model_host::ModelMessage;
 use super::model_host::ModelRound;
 use super::model_world::ModelWorld;
@@ -27,12 +27,12 @@
     pub(super) fn begin(&mut self, source: &mut dyn ChoiceSource) -> Option<()> {
         let name = self.pick_host(source)?;
         let id = self.pick_id(&name, source)?;
-        let told = self
+        let proven = self
             .records
             .get(&id)
             .map_or(0, |record| record.not_run_through);
-        let blind = told > 0 && source.pick(4)? == 0;
-        let attempt = if blind { told } else { told + 1 };
+        let blind = proven > 0 && source.pick(4)? == 0;
+        let attempt = if blind { proven } else { proven + 1 };
         let bars = source.pick(6)? == 0;
         let host = self.hosts.get_mut(&name)?;
         let Some(view) = host.view() else {
@@ -48,7 +48,8 @@
         Some(())
     }
 
-    /// Takes a recent id or makes a new one, sometimes old or from the future.
+    /// Picks a recent id or creates a new one, sometimes an old one or one from the
+    /// future.
     pub(super) fn pick_id(
         &mut self,
         name: &HostName,
@@ -74,7 +75,7 @@
         Some(id)
     }
 
-    /// Lets one host look after its oldest or a random round.
+    /// Lets one host continue one of its rounds.
     pub(super) fn work(
         &mut self,
         profile: &WalkProfile,
@@ -112,7 +113,7 @@
                 let claim = claim.dispatch();
                 let attempt = claim.ticket().attempt;
                 self.counts.dispatched += 1;
-                note_dispatch(&mut self.records, claim.id(), attempt)?;
+                record_dispatch(&mut self.records, claim.id(), attempt)?;
                 Some(ModelRound::Sent(claim))
             }
             ModelRound::Held(claim) => Some(ModelRound::Barring(claim.release(view))),
@@ -120,7 +121,7 @@
                 BarStatus::Barred => {
                     if let Some(proof) = round.proof() {
                         self.counts.not_run += 1;
-                        note_not_run(&mut self.records, proof.id(), proof.attempt())?;
+                        record_not_run(&mut self.records, proof.id(), proof.attempt())?;
                     }
                     None
                 }
--- a/tests/claim_walks/model/model_host.rs
+++ b/tests/claim_walks/model/model_host.rs
@@ -27,7 +27,7 @@
     Reply(ClaimReply),
 }
 
-/// A request on its way through a host.
+/// The state of a request on a host.
 pub(crate) enum ModelRound {
     Claiming(ClaimRound),
     Held(HeldClaim<UnsentStage>),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes a message and returns the answers.
+    /// Processes a message and returns the answers.
     pub(crate) fn receive(
         &mut self,
         from: &HostName,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Returns this host's digest for each host that it knows.
+    /// Returns this host's digest, addressed to each known host.
     pub(crate) fn gossip(&self) -> Vec<(HostName, ModelMessage)> {
         let digest = self.seat.roster().digest();
         let known = self.seat.roster().known_hosts();
@@ -127,7 +127,7 @@
             .collect()
     }
 
-    /// Returns the calls that the rounds want to send.
+    /// Returns the calls that the rounds have to send.
     pub(crate) fn calls(&mut self) -> Vec<(HostName, ModelMessage)> {
         let calls = self.rounds.iter_mut().flat_map(|round| match round {
             ModelRound::Claiming(round) => round.calls(),
--- a/tests/claim_walks/model/model_operators.rs
+++ b/tests/claim_walks/model/model_operators.rs
@@ -4,8 +4,8 @@
 use super::model_host::ModelHost;
 use super::model_world::ModelWorld;
 use super::model_world::SKEW_MS;
-use super::walk_profile::WalkOpening;
 use super::walk_profile::WalkProfile;
+use super::walk_profile::WalkStart;
 use cardamomgw::fleet::SeatRoster;
 use cardamomgw::ids::HostName;
 use cardamomgw::roster::RosterPlan;
@@ -42,23 +42,23 @@
         Some(())
     }
 
-    /// Opens a walk in the middle of what its profile aims at.
-    pub(super) fn open(
+    /// Prepares the starting state of a profile's walks.
+    pub(super) fn prepare(
         &mut self,
         profile: &WalkProfile,
         source: &mut dyn ChoiceSource,
     ) -> Option<()> {
-        match profile.opening {
-            WalkOpening::Founded => return Some(()),
-            WalkOpening::OneBehind => self.open_behind(profile, source)?,
-            WalkOpening::LateVote => self.open_late_vote(profile, source)?,
+        match profile.start {
+            WalkStart::Bootstrapped => return Some(()),
+            WalkStart::OneBehind => self.prepare_behind(profile, source)?,
+            WalkStart::LateVote => self.prepare_late_vote(profile, source)?,
         }
         self.now += 3 * SKEW_MS;
         Some(())
     }
 
-    /// All hosts but one learn a new roster.
-    pub(super) fn open_behind(
+    /// Publishes a new roster that all hosts but one learn.
+    pub(super) fn prepare_behind(
         &mut self,
         profile: &WalkProfile,
         source: &mut dyn ChoiceSource,
@@ -73,9 +73,9 @@
         Some(())
     }
 
-    /// A seat votes for a new roster, restarts and joins the old one while its vote
-    /// is still on the way.
-    pub(super) fn open_late_vote(
+    /// A seat votes for a new roster, restarts and joins the old one while its vote is
+    /// still in transit.
+    pub(super) fn prepare_late_vote(
         &mut self,
         profile: &WalkProfile,
         source: &mut dyn ChoiceSource,
@@ -83,20 +83,20 @@
         let voter = self.pick_host(source)?;
         self.publish(profile, source)?;
         self.offer(&voter, self.rosters.len() - 1);
-        let late = std::mem::take(&mut self.mail);
+        let late = std::mem::take(&mut self.in_flight);
         self.restart_host(&voter);
         self.offer(&voter, 0);
         self.settle(None);
-        self.mail = late;
+        self.in_flight = late;
         Some(())
     }
 
-    /// Restarts a host, unless it is the last seat of roster 1 with a voice while a
-    /// newer roster is published: the known limit, where a stale platform lets all of
-    /// them found roster 1 again.
+    /// Restarts a host, unless it is the last voting seat of roster 1 while a newer
+    /// roster is published. This is a known limitation: a stale platform then lets all
+    /// of them bootstrap roster 1 again.
     pub(super) fn restart_host(&mut self, name: &HostName) {
-        let founders = self.rosters[0].seats.iter().map(|seat| &seat.host);
-        let mut others = founders.filter(|host| *host != name);
+        let first_seats = self.rosters[0].seats.iter().map(|seat| &seat.host);
+        let mut others = first_seats.filter(|host| *host != name);
         let is_voting = |host: &HostName| {
             let host = self.hosts.get(host);
             host.is_some_and(|host| host.seat.roster().voting_range().is_some())
@@ -106,7 +106,8 @@
         }
         self.counts.restarts += 1;
         self.incarnations += 1;
-        // A process takes a moment to start, so its life is later than the one before.
+        // A process takes some time to start, so its incarnation is later than the
+        // previous one.
         self.now += 1;
         let offset = self.hosts.get(name).map_or(0, |host| host.offset);
         let (settings, now) = (self.settings, self.now);
@@ -114,8 +115,8 @@
         self.hosts.insert(name.clone(), host);
     }
 
-    /// Publishes a roster after the newest one: one seat replaced, added or dropped,
-    /// or a shrink to half of the seats.
+    /// Publishes a roster after the newest one: with one seat replaced, added or
+    /// removed, or shrunk to half of the seats.
     pub(super) fn publish(
         &mut self,
         profile: &WalkProfile,
--- a/tests/claim_walks/model/model_world.rs
+++ b/tests/claim_walks/model/model_world.rs
@@ -19,8 +19,8 @@
 pub(super) const SKEW_MS: UnixMillis = 10;
 const WINDOW_MS: UnixMillis = 4_000;
 const START_MS: UnixMillis = 1_000_000;
-const MOST_MESSAGES: usize = 80;
-/// How many messages one step delivers.
+const MAX_MESSAGES: usize = 80;
+/// Messages delivered in one step.
 const DELIVERIES: u32 = 4;
 pub(super) const RECENT_IDS: usize = 4;
 
@@ -35,7 +35,7 @@
     pub(crate) now: UnixMillis,
     pub(super) hosts: SortedMap<HostName, ModelHost>,
     pub(super) rosters: Vec<SeatRoster>,
-    pub(super) mail: Vec<Envelope>,
+    pub(super) in_flight: Vec<Envelope>,
     pub(super) recent: Vec<RequestId>,
     pub(super) records: SortedMap<RequestId, IdRecord>,
     pub(super) incarnations: u64,
@@ -43,8 +43,8 @@
 }
 
 impl ModelWorld {
-    /// Starts a fleet of `seats` hosts that founded their roster.
-    pub(crate) fn found(seats: u32, rules: ClaimRules) -> Self {
+    /// Creates a fleet of `seats` hosts that bootstrapped their roster.
+    pub(crate) fn bootstrap(seats: u32, rules: ClaimRules) -> Self {
         let settings = RegisterSettings {
             window_ms: WINDOW_MS,
             skew_ms: SKEW_MS,
@@ -55,7 +55,7 @@
             now: START_MS,
             hosts: SortedMap::new(),
             rosters: Vec::new(),
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             recent: Vec::new(),
             records: SortedMap::new(),
             incarnations: 0,
@@ -71,13 +71,13 @@
         world
     }
 
-    /// Goes through one generated walk.
+    /// Runs one generated walk.
     pub(crate) fn walk(
         &mut self,
         profile: &WalkProfile,
         source: &mut dyn ChoiceSource,
     ) -> Result<(), ModelFault> {
-        if self.open(profile, source).is_none() {
+        if self.prepare(profile, source).is_none() {
             return Ok(());
         }
         for _ in 0..profile.steps {
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    /// Looks for a majority that answers calls of a roster older than an active one.
+    /// Checks that no majority answers calls of a roster older than an active one.
     fn check_rosters(&self) -> Result<(), ModelFault> {
         let active = self
             .hosts
@@ -112,7 +112,7 @@
         Ok(())
     }
 
-    /// Takes one step; `None` when the choices ended.
+    /// Runs one step; `None` if the choices ended.
     fn step(
         &mut self,
         profile: &WalkProfile,
@@ -151,21 +151,21 @@
     }
 
     fn deliver(&mut self, source: &mut dyn ChoiceSource, take: bool) -> Option<()> {
-        let Some(index) = pick_index(self.mail.len(), source)? else {
+        let Some(index) = pick_index(self.in_flight.len(), source)? else {
             return Some(());
         };
-        let to = self.mail[index].to.clone();
+        let to = self.in_flight[index].to.clone();
         let Some(host) = self.hosts.get_mut(&to) else {
-            self.mail.swap_remove(index);
+            self.in_flight.swap_remove(index);
             return Some(());
         };
         if host.paused {
             return Some(());
         }
-        let from = self.mail[index].from.clone();
+        let from = self.in_flight[index].from.clone();
         let message = match take {
-            true => self.mail.swap_remove(index).message,
-            false => self.mail[index].message.clone(),
+            true => self.in_flight.swap_remove(index).message,
+            false => self.in_flight[index].message.clone(),
         };
         let answers = host.receive(&from, message, self.now);
         self.post(&to, answers);
@@ -173,8 +173,8 @@
     }
 
     fn lose(&mut self, source: &mut dyn ChoiceSource) -> Option<()> {
-        if let Some(index) = pick_index(self.mail.len(), source)? {
-            self.mail.swap_remove(index);
+        if let Some(index) = pick_index(self.in_flight.len(), source)? {
+            self.in_flight.swap_remove(index);
         }
         Some(())
     }
@@ -200,10 +200,11 @@
         Some(())
     }
 
-    /// Delivers everything, in order and without loss, but to the unreached host.
+    /// Delivers all messages in order and without loss, except those to the unreached
+    /// host.
     pub(crate) fn settle(&mut self, unreached: Option<&HostName>) {
-        while !self.mail.is_empty() {
-            let envelope = self.mail.remove(0);
+        while !self.in_flight.is_empty() {
+            let envelope = self.in_flight.remove(0);
             if Some(&envelope.to) == unreached {
                 continue;
             }
@@ -218,11 +219,11 @@
     pub(super) fn post(&mut self, from: &HostName, messages: Vec<(HostName, ModelMessage)>) {
         for (to, message) in messages {
             let from = from.clone();
-            self.mail.push(Envelope { from, to, message });
+            self.in_flight.push(Envelope { from, to, message });
         }
-        // The oldest are lost when a queue would grow without end.
-        let extra = self.mail.len().saturating_sub(MOST_MESSAGES);
-        self.mail.drain(..extra);
+        // The oldest messages are dropped to bound the queue.
+        let extra = self.in_flight.len().saturating_sub(MAX_MESSAGES);
+        self.in_flight.drain(..extra);
     }
 
     pub(super) fn pick_host(&self, source: &mut dyn ChoiceSource) -> Option<HostName> {
@@ -247,7 +248,7 @@
     None
 }
 
-/// Picks an index; the inner `None` when there is nothing to pick from.
+/// Picks an index; the inner `None` if there is nothing to pick from.
 pub(super) fn pick_index(count: usize, source: &mut dyn ChoiceSource) -> Option<Option<usize>> {
     if count == 0 {
         return Some(None);
--- a/tests/claim_walks/model/walk_profile.rs
+++ b/tests/claim_walks/model/walk_profile.rs
@@ -1,20 +1,20 @@
-//! How often each thing happens in a walk, and how it starts.
+//! The frequency of each kind of step in a walk, and the starting state.
 
-/// How a walk starts.
+/// The starting state of a walk.
 #[derive(Clone, Copy)]
-pub(crate) enum WalkOpening {
-    /// With a fleet that founded its roster.
-    Founded,
-    /// With one host that did not hear of a roster change.
+pub(crate) enum WalkStart {
+    /// A fleet that bootstrapped its roster.
+    Bootstrapped,
+    /// One host has not received a roster change.
     OneBehind,
-    /// With a vote on its way whose seat restarted.
+    /// A vote is in transit whose seat has restarted.
     LateVote,
 }
 
-/// How often each thing happens in a walk, in parts of the sum.
+/// The weight of each kind of step in a walk.
 #[derive(Clone, Copy)]
 pub(crate) struct WalkProfile {
-    /// The fleet's first number of seats.
+    /// The fleet's initial number of seats.
     pub(crate) seats: u32,
     pub(crate) steps: u32,
     pub(crate) deliver: u32,
@@ -28,13 +28,14 @@
     pub(crate) restart: u32,
     pub(crate) pause: u32,
     pub(crate) publish: u32,
-    /// One read in so many is stale; 0 for none.
+    /// One in this many reads is stale; 0 for none.
     pub(crate) stale: u32,
-    /// One published roster in so many shrinks to half of the seats.
+    /// One in this many published rosters shrinks to half of the seats.
     pub(crate) shrink: u32,
-    /// How a walk starts.
-    pub(crate) opening: WalkOpening,
-    /// Whether a host releases after it dispatched, against the protocol.
+    /// The starting state.
+    pub(crate) start: WalkStart,
+    /// Whether hosts release claims after dispatching them, in violation of the
+    /// protocol.
     pub(crate) release_after_dispatch: bool,
 }
 
@@ -55,12 +56,12 @@
         publish: 8,
         stale: 4,
         shrink: 6,
-        opening: WalkOpening::Founded,
+        start: WalkStart::Bootstrapped,
         release_after_dispatch: false,
     };
 }
 
-/// What happened in a walk, to show that it was not idle.
+/// Counts of events in a walk, to show that it was not idle.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WalkCounts {
     pub(crate) dispatched: u32,
--- a/tests/claim_walks/profiles.rs
+++ b/tests/claim_walks/profiles.rs
@@ -1,9 +1,9 @@
-//! What the walks aim at.
+//! Profiles of random walks.
 
-use crate::model::WalkOpening;
 use crate::model::WalkProfile;
+use crate::model::WalkStart;
 
-/// Restarts and stale reads while rosters change.
+/// Restarts and stale reads during roster changes.
 const RESTARTS: WalkProfile = WalkProfile {
     seats: 3,
     restart: 30,
@@ -13,7 +13,7 @@
     ..WalkProfile::MIXED
 };
 
-/// Rosters that follow each other faster than the hosts.
+/// Rosters published faster than the hosts adopt them.
 const ROSTERS: WalkProfile = WalkProfile {
     publish: 30,
     read: 60,
@@ -21,7 +21,7 @@
     ..WalkProfile::MIXED
 };
 
-/// Rosters that shrink to seats that the lossy network kept in the dark.
+/// Rosters that shrink to seats that missed messages of the lossy network.
 pub(crate) const SHRINKING: WalkProfile = WalkProfile {
     seats: 5,
     steps: 300,
@@ -37,7 +37,7 @@
     ..WalkProfile::MIXED
 };
 
-/// Rosters that follow each other while few hosts read, so that some get skipped.
+/// Rosters published while few hosts read them, so that hosts skip some.
 pub(crate) const SKIPPING: WalkProfile = WalkProfile {
     seats: 5,
     steps: 450,
@@ -55,7 +55,7 @@
 /// Seats that took part in a change, restart and read the old document.
 pub(crate) const RETURNING: WalkProfile = WalkProfile {
     seats: 3,
-    opening: WalkOpening::OneBehind,
+    start: WalkStart::OneBehind,
     gossip: 10,
     tick: 90,
     steps: 350,
@@ -69,9 +69,9 @@
     ..WalkProfile::MIXED
 };
 
-/// Seats that vote for a smaller roster, restart and vote no more.
+/// Seats that vote for a smaller roster, restart and do not vote for it again.
 pub(crate) const REVOTING: WalkProfile = WalkProfile {
-    opening: WalkOpening::LateVote,
+    start: WalkStart::LateVote,
     restart: 1,
     shrink: 1,
     ..RETURNING
--- a/tests/config_docs.rs
+++ b/tests/config_docs.rs
@@ -1,4 +1,4 @@
-//! The operators' page against the code: kinds of error and names of metrics.
+//! Checks the operators' page against the code: kinds of error and names of metrics.
 
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Touches every instrument, since one without a value is not shown.
+/// Uses every instrument, since one without a value is not exported.
 fn full_text() -> String {
     let metrics = RequestMetrics::open().expect("the metrics open");
     let series = metrics.series(0, "weather-check", "crews");
--- a/tests/config_faults.rs
+++ b/tests/config_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of documents and settings: all at once, each with its path.
+//! Faults of documents and settings: all are reported at once, each with its path.
 
 use cardamomgw::controllers::ConfigRefusal;
 use cardamomgw::fleet::DocumentFault;
@@ -34,18 +34,18 @@
 }
 
 fn parse_faults(text: &str) -> Vec<DocumentFault> {
-    parse_document(text).expect_err("the document has faults of form")
+    parse_document(text).expect_err("the document violates the schema")
 }
 
 fn compile_faults(edits: &[(&str, Value)]) -> Vec<String> {
     let document = parse_document(&edited(edits)).expect("the document is well-formed");
-    let faults = FleetView::compile(document).expect_err("the document is unsound");
+    let faults = FleetView::compile(document).expect_err("the document is invalid");
     faults.into_iter().map(|fault| fault.path).collect()
 }
 
 fn compile_warnings(edits: &[(&str, Value)]) -> Vec<DocumentFault> {
     let document = parse_document(&edited(edits)).expect("the document is well-formed");
-    let view = FleetView::compile(document).expect("the document is sound");
+    let view = FleetView::compile(document).expect("the document is valid");
     view.warnings().to_vec()
 }
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn every_fault_of_form_is_told_with_its_path_and_a_suggestion() {
+fn every_schema_fault_is_reported_with_its_path_and_a_suggestion() {
     let text = edited(&[
         ("/targets/1/slotz", json!(3)),
         ("/targets/2/slots", json!("eight")),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_missing_field_is_told_of_each_element() {
+fn a_missing_field_is_reported_for_each_element() {
     let mut value = sample_value();
     for index in [0, 2] {
         value["classes"][index]
@@ -102,24 +102,24 @@
 
     let faults = parse_faults(&value.to_string());
 
-    let told: Vec<String> = faults.iter().map(DocumentFault::to_string).collect();
+    let reported: Vec<String> = faults.iter().map(DocumentFault::to_string).collect();
     assert!(
-        told.contains(&String::from("classes[0]: missing field `tier`")),
-        "{told:?}"
+        reported.contains(&String::from("classes[0]: missing field `tier`")),
+        "{reported:?}"
     );
     assert!(
-        told.contains(&String::from("classes[2]: missing field `tier`")),
-        "{told:?}"
+        reported.contains(&String::from("classes[2]: missing field `tier`")),
+        "{reported:?}"
     );
     assert!(
-        told.contains(&String::from(".: missing field `version`")),
-        "{told:?}"
+        reported.contains(&String::from(".: missing field `version`")),
+        "{reported:?}"
     );
-    assert_eq!(told.len(), 3, "{told:?}");
+    assert_eq!(reported.len(), 3, "{reported:?}");
 }
 
 #[test]
-fn a_fault_of_syntax_has_its_line_and_a_doubled_field_is_refused() {
+fn a_syntax_fault_has_its_line_and_a_duplicate_field_is_refused() {
     let broken = parse_faults("{\n  \"version\": 1,\n  \"roster\": }");
     assert_eq!(broken.len(), 1);
     assert!(broken[0].message.contains("line 3"), "{}", broken[0]);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn every_fault_of_meaning_is_told_at_once() {
+fn every_semantic_fault_is_reported_at_once() {
     let sample = sample_value();
     let hash = sample["accounts"][0]["token_sha256"].clone();
     let empty_hash = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
@@ -220,9 +220,9 @@
     assert_eq!(compile_warnings(&[("/roster/seats", seats(8))]), []);
 }
 
-/// An operator labels a class and some accounts with `region` and lets a target
-/// accept `region=north`. Which of the two it means can't be told, and one
-/// reading would send an account's work out of its region.
+/// An operator labels a class and some accounts with `region`, and a target accepts
+/// `region=north`. It is ambiguous which of the two is meant, and one reading would
+/// send an account's work out of its region.
 #[test]
 fn a_selector_over_a_label_of_both_classes_and_accounts_is_refused() {
     let paths = compile_faults(&[
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn what_is_likely_a_mistake_is_a_warning() {
+fn a_likely_mistake_is_a_warning() {
     let warnings = compile_warnings(&[
         ("/classes/0/targets", json!("kind=service, servise=booking")),
         ("/classes/1/targets", json!("service=boking")),
@@ -245,42 +245,42 @@
         ("/targets/0/accepts", json!("account=nobody")),
     ]);
 
-    let told = |path: &str| -> Vec<String> {
+    let reported = |path: &str| -> Vec<String> {
         warnings
             .iter()
             .filter(|warning| warning.path == path)
             .map(DocumentFault::to_string)
             .collect()
     };
-    assert!(told("classes[0].targets")[0].ends_with("(did you mean `service`?)"));
-    assert!(told("classes[1].targets")[0].ends_with("(did you mean `booking`?)"));
-    assert!(told("classes[3].routes[0]")[0].contains("is hidden by a wider route"));
-    assert!(told("classes[3].routes[0]")[1].contains("differs in `idempotent`"));
-    assert_eq!(told("classes[4].deadline_ms").len(), 1);
-    assert!(told("targets[0].accepts")[0].contains("matches no request"));
+    assert!(reported("classes[0].targets")[0].ends_with("(did you mean `service`?)"));
+    assert!(reported("classes[1].targets")[0].ends_with("(did you mean `booking`?)"));
+    assert!(reported("classes[3].routes[0]")[0].contains("is hidden by a wider route"));
+    assert!(reported("classes[3].routes[0]")[1].contains("differs in `idempotent`"));
+    assert_eq!(reported("classes[4].deadline_ms").len(), 1);
+    assert!(reported("targets[0].accepts")[0].contains("matches no request"));
 }
 
 #[test]
-fn default_settings_are_sound_but_for_the_known_key() {
+fn default_settings_are_valid_except_for_the_known_key() {
     let settings = parse_settings(DEFAULT_SETTINGS).unwrap();
 
     assert_eq!(paths(&settings_warnings(&settings)), ["peer_key"]);
 }
 
 #[test]
-fn every_fault_of_settings_is_told_at_once() {
-    let unsound = DEFAULT_SETTINGS
+fn every_fault_of_settings_is_reported_at_once() {
+    let invalid = DEFAULT_SETTINGS
         .replace("127.0.0.1:7101", "0.0.0.0:7100")
         .replace("\"entry-1\"", "\" \"")
         .replace("127.0.0.1:7000", "0.0.0.0:7000")
         .replace("\"fleet\"", "\"a/b\"")
         .replace("\"log_level\"", "\"trace_file\": \"\", \"log_level\"");
-    let misspelt = DEFAULT_SETTINGS
+    let misspelled = DEFAULT_SETTINGS
         .replace("\"scope\"", "\"scop\"")
         .replace("127.0.0.1:7102", "here");
 
-    let faults = parse_settings(&unsound).unwrap_err();
-    let form = parse_settings(&misspelt).unwrap_err();
+    let faults = parse_settings(&invalid).unwrap_err();
+    let form = parse_settings(&misspelled).unwrap_err();
 
     assert_eq!(
         paths(&faults),
@@ -297,8 +297,8 @@
     assert_eq!(unknown.suggestion.as_deref(), Some("scope"));
 }
 
-/// A log line of a broken document is as long as the document: it held every
-/// fault, though its field is called the first.
+/// A log line of an invalid document must not be as long as the document: its field
+/// `first_fault` holds only the first fault.
 #[test]
 fn first_fault_of_a_refusal_is_one_fault() {
     let refusal = ConfigRefusal::Invalid {
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn a_document_survives_its_own_json() {
+fn a_document_survives_a_json_round_trip() {
     let document = parse_document(SAMPLE).unwrap();
 
     let again: FleetDocument = parse_document(&serde_json::to_string(&document).unwrap()).unwrap();
--- a/tests/config_gossip_freshness.rs
+++ b/tests/config_gossip_freshness.rs
@@ -1,4 +1,4 @@
-//! How old a view is, who may confirm it, and when a host may serve.
+//! The age of a view, which sources confirm it, and when a host may serve.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use cardamomgw::controllers::UnreadyReason;
 use cardamomgw::controllers::ViewFreshness;
 
-/// When the process under test started, on the boot clock.
+/// The start time of the process under test, on the boot clock.
 const START: Duration = Duration::from_secs(1000);
 
 fn after(seconds: u64) -> Duration {
@@ -19,7 +19,7 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// Host `a` of a roster of these seats, with a document in force.
+/// Returns the state of host `a` with a document in force whose roster has these seats.
 fn seated(seats: &[&str]) -> ViewFreshness {
     let mut freshness = ViewFreshness::new(START);
     freshness.set_seats("a", &names(seats));
@@ -46,24 +46,25 @@
     assert!(!freshness.is_fresh(after(10) + MAX_VIEW_AGE));
 }
 
-/// A host is paused for ten minutes. When it wakes, its sockets hold answers
-/// from before the pause. Counted from when they are read, they would make the
-/// old view fresh, and work would go to targets that left meanwhile.
+/// A host is paused for ten minutes. When it resumes, its sockets hold answers from
+/// before the pause. If they counted from when they are read, they would make the old
+/// view fresh, and work would be sent to targets that have left in the meantime.
 #[test]
 fn answers_from_before_a_pause_do_not_make_the_view_fresh() {
     let mut freshness = seated(&["a", "b", "c"]);
     confirm(&mut freshness, &["b", "c"], after(10));
-    let woken = after(610);
+    let resumed = after(610);
 
     confirm(&mut freshness, &["b", "c"], after(11));
     freshness.platform_asked(after(11), true);
 
-    assert!(!freshness.is_fresh(woken));
-    confirm(&mut freshness, &["c"], woken);
-    assert!(freshness.is_fresh(woken));
+    assert!(!freshness.is_fresh(resumed));
+    confirm(&mut freshness, &["c"], resumed);
+    assert!(freshness.is_fresh(resumed));
 }
 
-/// The woken host's platform is stale and answers first: "nothing newer".
+/// The resumed host's platform is stale and is the first to answer that it has nothing
+/// newer.
 #[test]
 fn platform_alone_does_not_confirm_where_peers_hold_the_majority() {
     let mut freshness = seated(&["a", "b", "c"]);
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn only_seat_asks_the_platform_and_goes_on_when_it_is_down() {
+fn only_seat_asks_the_platform_and_continues_when_it_is_down() {
     let mut freshness = seated(&["a"]);
     let unasked = freshness.is_fresh(after(1));
 
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn host_without_a_seat_needs_a_whole_majority_of_others() {
+fn host_without_a_seat_needs_a_full_majority_of_others() {
     let mut freshness = seated(&["b", "c", "d"]);
 
     confirm(&mut freshness, &["b"], after(10));
@@ -119,10 +120,10 @@
     assert!(!freshness.is_fresh(after(11)));
 }
 
-/// All hosts restart while the platform is stale: the first must not serve by
-/// the platform's old document while its peers still know the newer one.
+/// All hosts restart while the platform is stale. The first one must not serve by the
+/// platform's old document while its peers still have the newer one.
 #[test]
-fn fresh_process_asks_its_peers_before_the_platform_is_enough() {
+fn new_process_asks_its_peers_before_the_platform_is_sufficient() {
     let mut freshness = ViewFreshness::new(START);
     let empty = freshness.readiness(START);
     freshness.set_seats("a", &names(&["a", "b", "c"]));
@@ -131,16 +132,16 @@
     let early = freshness.readiness(START);
     let late = freshness.readiness(START + PEER_WAIT);
     confirm(&mut freshness, &["b"], START);
-    let heard = freshness.readiness(START);
+    let confirmed = freshness.readiness(START);
 
     assert_eq!(empty, Err(UnreadyReason::NoDocument));
     assert_eq!(early, Err(UnreadyReason::AskingPeers));
     assert_eq!(late, Ok(()));
-    assert_eq!(heard, Ok(()));
+    assert_eq!(confirmed, Ok(()));
 }
 
 #[test]
-fn host_that_is_alone_is_not_ready_and_says_why() {
+fn isolated_host_is_not_ready_and_gives_the_reason() {
     let mut freshness = seated(&["a", "b", "c", "d", "e"]);
     confirm(&mut freshness, &["b", "c"], after(10));
     freshness.platform_asked(after(10), true);
--- a/tests/config_gossip_hosts.rs
+++ b/tests/config_gossip_hosts.rs
@@ -20,8 +20,8 @@
 use standins::PlatformMode;
 use standins::TargetState;
 
-/// How long a condition may take to come true on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit for a condition to become true on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn eventually(what: &str, condition: impl Fn() -> bool) {
     let poll = async {
@@ -29,8 +29,8 @@
             task::sleep(Duration::from_millis(5)).await;
         }
     };
-    let result = async_std::future::timeout(PATIENCE, poll).await;
-    assert!(result.is_ok(), "not in time: {what}");
+    let result = async_std::future::timeout(TIMEOUT, poll).await;
+    assert!(result.is_ok(), "timed out: {what}");
 }
 
 async fn all_at(version: u64, members: &[FleetMember]) {
@@ -40,10 +40,10 @@
     .await;
 }
 
-/// One of three hosts reaches the platform, the others are cut from it. An
-/// edit must be in force on all three, and all of them serve.
+/// One of three hosts reaches the platform, and the others are disconnected from it. An
+/// edit must be in force on all three, and all of them must serve.
 #[async_std::test]
-async fn hosts_cut_from_the_platform_follow_their_peers() {
+async fn hosts_disconnected_from_the_platform_follow_their_peers() {
     let platform = open_platform().await;
     let members = bind_members(&["a", "b", "c"]).await;
     publish(&platform, &document(1, &members));
@@ -65,8 +65,9 @@
     .await;
 }
 
-/// A host is restarted while its platform is stale: it reads version 1 there
-/// first, its peers have 2. It must not serve by 1, nor go back to it later.
+/// A host is restarted while its platform is stale: it reads version 1 there first,
+/// while its peers have version 2. It must not serve by version 1 or return to it
+/// later.
 #[async_std::test]
 async fn restart_into_a_stale_platform_does_not_serve_the_older_document() {
     let platform = open_platform().await;
@@ -91,10 +92,10 @@
     assert_eq!(restarted.version(), 2);
 }
 
-/// An operator publishes a broken document. Every host refuses it whole, says
-/// so, does not hammer the platform, and takes the mended one.
+/// An operator publishes an invalid document. Every host refuses it completely, reports
+/// it, does not poll the platform in a busy loop, and accepts the corrected one.
 #[async_std::test]
-async fn bad_document_is_refused_everywhere_and_the_mended_one_taken() {
+async fn invalid_document_is_refused_everywhere_and_the_corrected_one_accepted() {
     let platform = open_platform().await;
     let members = bind_members(&["a", "b"]).await;
     publish(&platform, &document(1, &members));
@@ -124,10 +125,10 @@
     assert!(members.iter().all(|member| member.refusal().is_empty()));
 }
 
-/// Two operators' edits raced at two replicas of the platform and got the same
-/// version. Each host keeps what it saw first, and both raise the alarm.
+/// Two operators' edits raced at two replicas of the platform and got the same version.
+/// Each host keeps the one that it received first, and both report the conflict.
 #[async_std::test]
-async fn same_version_with_another_content_raises_the_alarm_on_both_sides() {
+async fn same_version_with_another_content_is_reported_on_both_sides() {
     let platforms = [open_platform().await, open_platform().await];
     let members = bind_members(&["a", "b"]).await;
     let mut other = document(1, &members);
@@ -138,7 +139,7 @@
     members[0].start(platforms[0].address(), &[]);
     members[1].start(platforms[1].address(), &[]);
 
-    eventually("alarm on both", || {
+    eventually("conflict reported on both", || {
         members
             .iter()
             .all(|member| member.refusal().contains("another content"))
@@ -163,19 +164,19 @@
 }
 
 #[async_std::test]
-async fn host_list_is_read_again_and_again() {
+async fn host_list_is_polled() {
     let platform = open_platform().await;
     let entry = HostEntry {
         name: "engine-01".to_owned(),
         state: TargetState::Leaving,
     };
     let client = DocumentClient::new(vec![platform.address()], "fleet".to_owned());
-    let (heard, lists) = async_channel::unbounded();
+    let (sender, lists) = async_channel::unbounded();
 
     let watch = HostListWatch::spawn(Arc::new(client), move |list| {
-        heard.try_send(list).ok();
+        sender.try_send(list).ok();
     });
-    let next = async || async_std::future::timeout(PATIENCE, lists.recv()).await;
+    let next = async || async_std::future::timeout(TIMEOUT, lists.recv()).await;
     let first = next().await.unwrap().unwrap();
     platform.set_hosts(vec![entry]);
     let mut second = first.clone();
@@ -187,14 +188,14 @@
     assert_eq!(second.hosts[0].name, "engine-01");
     assert!(second.taken_ms >= first.taken_ms);
     drop(watch);
-    // The reader lets go of its listener, and with it of the channel.
+    // The poller drops its listener, and with it the sender of the channel.
     while let Ok(list) = next().await.unwrap() {
         assert!(list.taken_ms >= second.taken_ms);
     }
 }
 
 #[async_std::test]
-async fn refresh_asks_the_peers_and_comes_back_fresh() {
+async fn refresh_asks_the_peers_and_succeeds() {
     let platform = open_platform().await;
     let members = bind_members(&["a", "b", "c"]).await;
     publish(&platform, &document(1, &members));
--- a/tests/config_gossip_leaving.rs
+++ b/tests/config_gossip_leaving.rs
@@ -1,4 +1,4 @@
-//! Targets that leave, while sources lag and disagree.
+//! Leaving targets, while sources lag and disagree.
 
 use arbtest::arbtest;
 use cardamomgw::controllers::LeavingTracker;
@@ -8,92 +8,94 @@
 use cardamomgw::fleet::TargetState::Live;
 
 #[test]
-fn name_that_nobody_mentioned_is_not_leaving() {
-    let ledger = LeavingTracker::default();
+fn unknown_name_is_not_leaving() {
+    let tracker = LeavingTracker::default();
 
-    assert!(!ledger.is_leaving("e1"));
+    assert!(!tracker.is_leaving("e1"));
 }
 
-/// An engine says that it leaves; the platform's list, which lags, goes on
-/// saying live, with a newer time. New work there would be cut at the engine's end.
+/// An engine reports that it is leaving, while the platform's list, which lags, still
+/// shows it as live with a newer time. New work on the engine would be cut off when it
+/// ends.
 #[test]
-fn list_does_not_bring_back_a_target_that_says_itself_it_leaves() {
-    let mut ledger = LeavingTracker::default();
+fn list_does_not_override_a_target_that_reports_itself_as_leaving() {
+    let mut tracker = LeavingTracker::default();
 
-    let news = ledger.record_target_state("e1", Leaving, 100);
-    let back = ledger.record_list_state("e1", Live, 200);
+    let changed = tracker.record_target_state("e1", Leaving, 100);
+    let changed_back = tracker.record_list_state("e1", Live, 200);
 
-    assert!(news);
-    assert!(!back);
-    assert!(ledger.is_leaving("e1"));
+    assert!(changed);
+    assert!(!changed_back);
+    assert!(tracker.is_leaving("e1"));
 }
 
-/// The list says that a target leaves; the target, which was not told yet, says live.
+/// The list shows a target as leaving; the target has not been notified yet and reports
+/// live.
 #[test]
-fn target_does_not_take_back_what_the_list_says() {
-    let mut ledger = LeavingTracker::default();
+fn target_does_not_override_the_list() {
+    let mut tracker = LeavingTracker::default();
 
-    ledger.record_list_state("e1", Leaving, 100);
-    ledger.record_target_state("e1", Live, 200);
+    tracker.record_list_state("e1", Leaving, 100);
+    tracker.record_target_state("e1", Live, 200);
 
-    assert!(ledger.is_leaving("e1"));
+    assert!(tracker.is_leaving("e1"));
 }
 
 /// Two reads of the list overtake each other, or a stale replica answers.
 #[test]
-fn older_word_of_the_same_voice_changes_nothing() {
-    let mut ledger = LeavingTracker::default();
+fn older_report_of_the_same_source_changes_nothing() {
+    let mut tracker = LeavingTracker::default();
 
-    ledger.record_list_state("e1", Leaving, 200);
-    let older = ledger.record_list_state("e1", Live, 100);
-    let same = ledger.record_list_state("e1", Live, 200);
+    tracker.record_list_state("e1", Leaving, 200);
+    let older = tracker.record_list_state("e1", Live, 100);
+    let same = tracker.record_list_state("e1", Live, 200);
 
     assert!(!older);
     assert!(!same);
-    assert!(ledger.is_leaving("e1"));
+    assert!(tracker.is_leaving("e1"));
 }
 
 #[test]
-fn voice_takes_its_own_word_back_by_a_newer_one() {
-    let mut ledger = LeavingTracker::default();
-    ledger.record_list_state("e1", Leaving, 100);
-    ledger.record_target_state("e1", Leaving, 100);
+fn source_replaces_its_own_report_by_a_newer_one() {
+    let mut tracker = LeavingTracker::default();
+    tracker.record_list_state("e1", Leaving, 100);
+    tracker.record_target_state("e1", Leaving, 100);
 
-    let first = ledger.record_list_state("e1", Live, 101);
-    let second = ledger.record_target_state("e1", Live, 101);
+    let first = tracker.record_list_state("e1", Live, 101);
+    let second = tracker.record_target_state("e1", Live, 101);
 
     assert!(!first);
     assert!(second);
-    assert!(!ledger.is_leaving("e1"));
+    assert!(!tracker.is_leaving("e1"));
 }
 
 #[test]
-fn target_that_is_put_in_again_starts_afresh() {
-    let mut ledger = LeavingTracker::default();
-    ledger.record_target_state("e1", Leaving, 100);
-    ledger.record_target_state("e2", Leaving, 100);
+fn target_that_is_no_longer_named_starts_afresh() {
+    let mut tracker = LeavingTracker::default();
+    tracker.record_target_state("e1", Leaving, 100);
+    tracker.record_target_state("e2", Leaving, 100);
 
-    ledger.retain(&["e2".to_owned()]);
+    tracker.retain(&["e2".to_owned()]);
 
-    assert!(!ledger.is_leaving("e1"));
-    assert!(ledger.is_leaving("e2"));
+    assert!(!tracker.is_leaving("e1"));
+    assert!(tracker.is_leaving("e2"));
 }
 
-/// Words arrive in any order: the state is that of each voice's newest word,
-/// and leaving where two words of one voice bear the same time.
+/// Reports arrive in any order. The state is that of each source's newest report, and
+/// leaving where two reports of one source have the same time.
 #[test]
 fn order_of_arrival_does_not_matter() {
     arbtest(|u| {
-        let mut words: Vec<(bool, bool, u64)> = u.arbitrary()?;
-        for word in &mut words {
-            word.2 %= 8;
+        let mut reports: Vec<(bool, bool, u64)> = u.arbitrary()?;
+        for report in &mut reports {
+            report.2 %= 8;
         }
         let mut forward = LeavingTracker::default();
         let mut backward = LeavingTracker::default();
 
-        for (index, word) in words.iter().enumerate() {
-            tell(&mut forward, *word);
-            tell(&mut backward, words[words.len() - 1 - index]);
+        for (index, report) in reports.iter().enumerate() {
+            apply(&mut forward, *report);
+            apply(&mut backward, reports[reports.len() - 1 - index]);
         }
 
         assert_eq!(forward.is_leaving("e1"), backward.is_leaving("e1"));
@@ -101,22 +103,23 @@
     });
 }
 
-fn tell(ledger: &mut LeavingTracker, (by_list, leaves, taken): (bool, bool, u64)) {
+fn apply(tracker: &mut LeavingTracker, (by_list, leaves, taken): (bool, bool, u64)) {
     let state = if leaves { Leaving } else { Live };
     if by_list {
-        ledger.record_list_state("e1", state, taken);
+        tracker.record_list_state("e1", state, taken);
     } else {
-        ledger.record_target_state("e1", state, taken);
+        tracker.record_target_state("e1", state, taken);
     }
 }
 
-/// The list calls an engine leaving that no document names yet. Other documents
-/// come, the platform goes down, and then a peer brings the document that adds the
-/// engine. Forgotten in between, it would get work that its end cuts.
+/// The list shows an engine as leaving that no document names yet. Other documents
+/// arrive, the platform goes down, and then a peer provides the document that adds the
+/// engine. If the list's report were lost, the engine would get work that is cut off
+/// when it ends.
 #[test]
 fn listed_as_leaving_before_a_document_names_it_is_not_forgotten() {
-    let mut ledger = LeavingTracker::default();
-    ledger.apply_list(HostList {
+    let mut tracker = LeavingTracker::default();
+    tracker.apply_list(HostList {
         taken_ms: 100,
         hosts: vec![ListedHost {
             name: "e2".to_owned(),
@@ -124,20 +127,20 @@
         }],
     });
 
-    ledger.set_names(&["e1".to_owned()]);
-    ledger.set_names(&["e1".to_owned(), "e2".to_owned()]);
+    tracker.set_names(&["e1".to_owned()]);
+    tracker.set_names(&["e1".to_owned(), "e2".to_owned()]);
 
-    assert!(ledger.is_leaving("e2"));
+    assert!(tracker.is_leaving("e2"));
 }
 
-/// Operators take a leaving engine out, replace it, and put it in again by its name.
+/// Operators remove a leaving engine, replace it, and add it again under the same name.
 #[test]
-fn target_that_was_taken_out_starts_afresh() {
-    let mut ledger = LeavingTracker::default();
-    ledger.record_target_state("e1", Leaving, 100);
+fn target_that_was_removed_starts_afresh() {
+    let mut tracker = LeavingTracker::default();
+    tracker.record_target_state("e1", Leaving, 100);
 
-    ledger.set_names(&[]);
-    ledger.set_names(&["e1".to_owned()]);
+    tracker.set_names(&[]);
+    tracker.set_names(&["e1".to_owned()]);
 
-    assert!(!ledger.is_leaving("e1"));
+    assert!(!tracker.is_leaving("e1"));
 }
--- a/tests/config_gossip_tracker.rs
+++ b/tests/config_gossip_tracker.rs
@@ -1,4 +1,4 @@
-//! Which document is in force, whatever is offered in which order.
+//! The document in force, for offers in any order.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 use cardamomgw::controllers::RosterAdmission;
 use cardamomgw::peers::RawDocument;
 
-/// A view that is only its content.
+/// A view that consists only of its content.
 type TextView = String;
 
-/// A document `VERSION CONTENT`; one whose content is `bad` has a fault.
+/// A document `VERSION CONTENT`; content `bad` makes it invalid.
 fn copy(version: u64, content: &str) -> RawDocument {
     RawDocument {
         version,
@@ -43,14 +43,14 @@
     RosterAdmission::Admitted
 }
 
-fn offer(ledger: &mut ConfigTracker<TextView>, copy: RawDocument) -> OfferOutcome<TextView> {
-    ledger.offer(copy, ConfigSource::Platform, compile, admit)
+fn offer(tracker: &mut ConfigTracker<TextView>, copy: RawDocument) -> OfferOutcome<TextView> {
+    tracker.offer(copy, ConfigSource::Platform, compile, admit)
 }
 
-fn ledger_at(version: u64, content: &str) -> ConfigTracker<TextView> {
-    let mut ledger = ConfigTracker::new();
-    offer(&mut ledger, copy(version, content));
-    ledger
+fn tracker_at(version: u64, content: &str) -> ConfigTracker<TextView> {
+    let mut tracker = ConfigTracker::new();
+    offer(&mut tracker, copy(version, content));
+    tracker
 }
 
 fn refusal(outcome: OfferOutcome<TextView>) -> Option<ConfigRefusal> {
@@ -60,52 +60,52 @@
     }
 }
 
-/// The platform goes stale after an edit, and a host reads it again: callers
-/// would be served by the labels of yesterday.
+/// The platform becomes stale after an edit, and a host reads it again. Callers must
+/// not be served by outdated labels.
 #[test]
 fn older_version_never_comes_back() {
-    let mut ledger = ledger_at(7, "new");
+    let mut tracker = tracker_at(7, "new");
 
-    let outcome = offer(&mut ledger, copy(6, "old"));
+    let outcome = offer(&mut tracker, copy(6, "old"));
 
     let (offered, in_force) = (6, 7);
     assert_eq!(
         refusal(outcome),
         Some(ConfigRefusal::Older { offered, in_force })
     );
-    assert_eq!(ledger.version(), 7);
-    assert_eq!(ledger.last_refusal(), None);
+    assert_eq!(tracker.version(), 7);
+    assert_eq!(tracker.last_refusal(), None);
 }
 
-/// Two operators' edits got the same version. Each host keeps the first that it
-/// saw, and says so; none flips back and forth.
+/// Two operators' edits got the same version. Each host keeps the first one that it
+/// received and reports the conflict; none alternates between them.
 #[test]
-fn same_version_with_another_content_is_refused_once_and_loudly() {
-    let mut ledger = ledger_at(7, "first");
+fn same_version_with_another_content_is_refused_and_counted_once() {
+    let mut tracker = tracker_at(7, "first");
 
-    let outcome = offer(&mut ledger, copy(7, "second"));
-    offer(&mut ledger, copy(7, "second"));
+    let outcome = offer(&mut tracker, copy(7, "second"));
+    offer(&mut tracker, copy(7, "second"));
 
     let conflict = ConfigRefusal::Conflict { version: 7 };
     assert_eq!(refusal(outcome), Some(conflict.clone()));
-    assert_eq!(*ledger.in_force().unwrap().view, "first");
-    assert_eq!(ledger.last_refusal(), Some(&conflict));
-    assert_eq!(ledger.refusals(), 1);
+    assert_eq!(*tracker.in_force().unwrap().view, "first");
+    assert_eq!(tracker.last_refusal(), Some(&conflict));
+    assert_eq!(tracker.refusals(), 1);
 }
 
 #[test]
-fn same_content_written_otherwise_is_the_one_in_force() {
-    let mut ledger = ledger_at(7, "same");
+fn same_content_in_another_format_is_already_in_force() {
+    let mut tracker = tracker_at(7, "same");
 
-    let outcome = offer(&mut ledger, copy(7, "same "));
+    let outcome = offer(&mut tracker, copy(7, "same "));
 
     assert!(matches!(outcome, OfferOutcome::InForce));
-    assert_eq!(ledger.refusals(), 0);
+    assert_eq!(tracker.refusals(), 0);
 }
 
 #[test]
-fn bad_document_is_refused_whole_and_judged_once() {
-    let mut ledger = ledger_at(7, "good");
+fn invalid_document_is_refused_and_checked_once() {
+    let mut tracker = tracker_at(7, "good");
     let mut compiled = 0;
 
     for _ in 0..3 {
@@ -113,38 +113,38 @@
             compiled += 1;
             compile(body)
         };
-        ledger.offer(copy(8, "bad"), ConfigSource::Platform, counted, admit);
+        tracker.offer(copy(8, "bad"), ConfigSource::Platform, counted, admit);
     }
 
     assert_eq!(compiled, 1);
-    assert_eq!(ledger.refusals(), 1);
-    assert_eq!(ledger.version(), 7);
-    assert!(!ledger.wants(8));
+    assert_eq!(tracker.refusals(), 1);
+    assert_eq!(tracker.version(), 7);
+    assert!(!tracker.wants(8));
     let faults = vec!["bad".to_owned(), "worse".to_owned()];
     assert_eq!(
-        ledger.last_refusal(),
+        tracker.last_refusal(),
         Some(&ConfigRefusal::Invalid { version: 8, faults })
     );
 }
 
 #[test]
-fn good_document_after_a_bad_one_clears_the_refusal() {
-    let mut ledger = ledger_at(7, "good");
-    offer(&mut ledger, copy(8, "bad"));
+fn valid_document_after_an_invalid_one_clears_the_refusal() {
+    let mut tracker = tracker_at(7, "good");
+    offer(&mut tracker, copy(8, "bad"));
 
-    offer(&mut ledger, copy(9, "mended"));
+    offer(&mut tracker, copy(9, "mended"));
 
-    assert_eq!(ledger.version(), 9);
-    assert_eq!(ledger.last_refusal(), None);
+    assert_eq!(tracker.version(), 9);
+    assert_eq!(tracker.last_refusal(), None);
 }
 
 #[test]
 fn version_that_the_source_and_the_document_disagree_on_is_refused() {
-    let mut ledger = ledger_at(7, "good");
+    let mut tracker = tracker_at(7, "good");
     let mut mixed = copy(8, "next");
     mixed.version = 9;
 
-    let outcome = offer(&mut ledger, mixed);
+    let outcome = offer(&mut tracker, mixed);
 
     let (declared, found) = (9, 8);
     assert_eq!(
@@ -154,34 +154,34 @@
 }
 
 /// A document changes the roster, but this process does not know yet whether the
-/// roster that it replaces is active. Nothing of it may be in force until then.
+/// replaced roster is active. Nothing of it may be in force until then.
 #[test]
-fn document_whose_roster_waits_is_taken_when_peers_told_more() {
-    let mut ledger = ledger_at(7, "old");
+fn document_with_a_waiting_roster_is_accepted_after_peers_reported_more() {
+    let mut tracker = tracker_at(7, "old");
     let waits = |_: &TextView| RosterAdmission::Waiting;
 
-    let first = ledger.offer(copy(8, "new"), ConfigSource::Platform, compile, waits);
-    let before = ledger.version();
-    let still = ledger.retry_waiting(waits);
-    let second = ledger.retry_waiting(admit);
+    let first = tracker.offer(copy(8, "new"), ConfigSource::Platform, compile, waits);
+    let before = tracker.version();
+    let still = tracker.retry_waiting(waits);
+    let second = tracker.retry_waiting(admit);
 
     assert!(matches!(first, OfferOutcome::Waiting));
     assert_eq!(before, 7);
     assert!(matches!(still, Some(OfferOutcome::Waiting)));
     assert!(matches!(second, Some(OfferOutcome::Accepted(_))));
-    assert_eq!(ledger.version(), 8);
-    assert!(ledger.retry_waiting(admit).is_none());
+    assert_eq!(tracker.version(), 8);
+    assert!(tracker.retry_waiting(admit).is_none());
 }
 
 #[test]
 fn refused_roster_may_be_offered_again() {
-    let mut ledger = ledger_at(7, "old");
+    let mut tracker = tracker_at(7, "old");
     let refuses = |_: &TextView| RosterAdmission::Refused {
         reason: "no".to_owned(),
     };
 
-    let first = ledger.offer(copy(8, "new"), ConfigSource::Platform, compile, refuses);
-    let second = offer(&mut ledger, copy(8, "new"));
+    let first = tracker.offer(copy(8, "new"), ConfigSource::Platform, compile, refuses);
+    let second = offer(&mut tracker, copy(8, "new"));
 
     assert!(matches!(
         refusal(first),
@@ -191,14 +191,14 @@
 }
 
 #[test]
-fn peer_with_another_document_of_the_version_raises_the_alarm_once() {
-    let mut ledger = ledger_at(7, "mine");
+fn peer_with_another_document_of_the_version_is_a_conflict_once() {
+    let mut tracker = tracker_at(7, "mine");
 
-    assert!(ledger.compare_peer(7, &[9; 32]));
-    assert!(!ledger.compare_peer(7, &[9; 32]));
-    assert!(!ledger.compare_peer(8, &[9; 32]));
-    assert!(ledger.wants(8));
-    assert_eq!(ledger.refusals(), 1);
+    assert!(tracker.compare_peer(7, &[9; 32]));
+    assert!(!tracker.compare_peer(7, &[9; 32]));
+    assert!(!tracker.compare_peer(8, &[9; 32]));
+    assert!(tracker.wants(8));
+    assert_eq!(tracker.refusals(), 1);
 }
 
 fn any_offer(u: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<RawDocument> {
@@ -211,36 +211,39 @@
     Ok(copy)
 }
 
-/// Whatever platform and peers offer, in any order, with rosters that are
-/// admitted, wait or are refused: the version in force never falls, a version
-/// never changes its content, and a refusal changes nothing.
+/// For any offers of platform and peers, in any order, with rosters that are admitted,
+/// wait or are refused: the version in force never decreases, a version never changes
+/// its content, and a refusal changes nothing.
 #[test]
-fn version_never_falls_and_never_changes_its_content() {
+fn version_never_decreases_and_never_changes_its_content() {
     arbtest(|u| {
-        let mut ledger = ConfigTracker::new();
+        let mut tracker = ConfigTracker::new();
         let mut seen: Vec<(u64, [u8; 32])> = Vec::new();
         while !u.is_empty() {
-            let before = ledger.version();
-            let answer = match u.int_in_range(0..=3)? {
+            let before = tracker.version();
+            let admission = match u.int_in_range(0..=3)? {
                 0 => RosterAdmission::Waiting,
                 1 => RosterAdmission::Refused {
                     reason: String::new(),
                 },
                 _ => RosterAdmission::Admitted,
             };
-            let judge = |_: &TextView| answer.clone();
+            let decide = |_: &TextView| admission.clone();
             let outcome = if u.ratio(1, 4)? {
-                ledger.retry_waiting(judge)
+                tracker.retry_waiting(decide)
             } else {
                 let copy = any_offer(u)?;
-                Some(ledger.offer(copy, ConfigSource::Platform, compile, judge))
+                Some(tracker.offer(copy, ConfigSource::Platform, compile, decide))
             };
-            let after = ledger.version();
-            assert!(after >= before, "version fell from {before} to {after}");
+            let after = tracker.version();
+            assert!(
+                after >= before,
+                "version decreased from {before} to {after}"
+            );
             if !matches!(outcome, Some(OfferOutcome::Accepted(_))) {
                 assert_eq!(after, before);
             }
-            if let Some(entry) = ledger.in_force() {
+            if let Some(entry) = tracker.in_force() {
                 assert_ne!(*entry.view, "bad");
                 seen.push((after, entry.digest));
             }
--- a/tests/config_selector.rs
+++ b/tests/config_selector.rs
@@ -1,4 +1,4 @@
-//! Selectors: what they match, how they are written, where they are wrong.
+//! Label selectors: matching, syntax and error messages.
 
 use arbtest::arbitrary::Result as InputResult;
 use arbtest::arbitrary::Unstructured;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_fault_tells_its_place() {
+fn a_fault_reports_its_position() {
     let cases = [
         ("model=", "at character 7: expected a value, found the end"),
         (
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_selector_survives_its_own_text() {
+fn a_selector_survives_a_text_round_trip() {
     arbtest::arbtest(|input| {
         let text = arbitrary_selector(input)?;
         let once = selector(&text);
--- a/tests/config_support/mod.rs
+++ b/tests/config_support/mod.rs
@@ -1,6 +1,7 @@
-//! Hosts with a listener, a mesh and a configuration controller, and their platform.
+//! Fixtures: hosts with a listener, a mesh and a configuration controller, and their
+//! platform.
 
-// Each test and example that includes these fixtures uses some of them.
+// Each including test or example uses only some of these fixtures.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -32,10 +33,10 @@
 use cardamomgw::settings::LogLevel;
 use standins::PlatformServer;
 
-/// How often members exchange digests.
+/// Interval of digest exchanges between members.
 pub(crate) const EXCHANGE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Answers with the configuration of the controller behind it.
+/// Answers calls with the state of its controller.
 #[derive(Default)]
 pub(crate) struct ConfigHandler {
     controller: OnceLock<Arc<ConfigController>>,
@@ -69,7 +70,7 @@
     }
 }
 
-/// One host: its listener, its mesh and its controller.
+/// One host with its listener, mesh and controller.
 pub(crate) struct FleetMember {
     pub(crate) name: String,
     pub(crate) listener: PeerListener,
@@ -77,7 +78,7 @@
 }
 
 impl FleetMember {
-    /// Binds the peers' port, so that documents can name it.
+    /// Binds the port for peers, so that documents can name it.
     pub(crate) async fn bind(name: &str) -> Self {
         let handler = Arc::<ConfigHandler>::default();
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -172,7 +173,7 @@
         .expect("a free port")
 }
 
-/// An address at which nobody listens.
+/// An address without a listener.
 pub(crate) fn no_platform() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
--- a/tests/config_view.rs
+++ b/tests/config_view.rs
@@ -63,9 +63,9 @@
     assert_eq!(name("GET", "/booking", None), None);
 }
 
-/// A caller sends `GET /book/%2e%2e/book/fuel` and the route `/book/*` of an
-/// idempotent class takes it. The target resolves the dots, so another call runs
-/// than the one whose rules were applied. Paths that two ends may read
+/// A caller sends `GET /book/%2e%2e/book/fuel`, and the route `/book/*` of an
+/// idempotent class matches it. The target resolves the dots, so a different call runs
+/// than the one whose rules were applied. Paths that the two ends may interpret
 /// differently therefore have no class.
 #[test]
 fn a_path_with_dot_parts_has_no_class() {
@@ -113,9 +113,9 @@
     assert!(std::sync::Arc::ptr_eq(&north, &crews));
 }
 
-/// A configuration change comes while a request is between two filters, and one
-/// of them still holds the class of the older view. Its place in the new view is
-/// another class's, whose targets the request must not get.
+/// The configuration changes while a request is between two filters, one of which still
+/// holds the class of the older view. In the new view its index belongs to another
+/// class, whose targets the request must not get.
 #[test]
 fn a_class_of_another_view_gets_no_targets() {
     let old = sample_view();
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn digest_is_of_what_is_said_and_not_of_how_it_is_written() {
+fn digest_depends_on_the_content_and_not_on_the_format() {
     let document = sample_document();
     let compact = serde_json::to_string(&document).unwrap();
     let mut edited = document.clone();
--- a/tests/host_tracker.rs
+++ b/tests/host_tracker.rs
@@ -1,4 +1,4 @@
-//! What operators are told when a host's own state changes.
+//! Log lines for changes of a host's own state.
 
 use cardamomgw::controllers::HostSnapshot;
 use cardamomgw::controllers::HostTracker;
@@ -11,7 +11,7 @@
     }
 }
 
-fn alone() -> HostSnapshot {
+fn isolated() -> HostSnapshot {
     HostSnapshot {
         unready: Some("no majority".to_owned()),
         majority: false,
@@ -19,42 +19,42 @@
     }
 }
 
-fn lines(roll: &mut HostTracker, look: HostSnapshot) -> Vec<String> {
-    let changes = roll.update(look);
+fn lines(tracker: &mut HostTracker, snapshot: HostSnapshot) -> Vec<String> {
+    let changes = tracker.update(snapshot);
     changes.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn start_tells_readiness_and_no_loss() {
-    let mut roll = HostTracker::default();
+fn start_reports_readiness_and_no_loss() {
+    let mut tracker = HostTracker::default();
     let starting = HostSnapshot {
         unready: Some("no configuration yet".to_owned()),
         ..HostSnapshot::default()
     };
 
-    let first = lines(&mut roll, starting);
+    let first = lines(&mut tracker, starting);
 
     assert_eq!(first, ["not ready: no configuration yet"]);
 }
 
 #[test]
-fn nothing_is_told_twice() {
-    let mut roll = HostTracker::default();
+fn nothing_is_reported_twice() {
+    let mut tracker = HostTracker::default();
 
-    let first = lines(&mut roll, serving());
-    let second = lines(&mut roll, serving());
+    let first = lines(&mut tracker, serving());
+    let second = lines(&mut tracker, serving());
 
     assert_eq!(first, ["roster 1 is active", "ready"]);
     assert!(second.is_empty());
 }
 
 #[test]
-fn majority_that_goes_and_comes_back_is_told() {
-    let mut roll = HostTracker::default();
-    lines(&mut roll, serving());
+fn lost_and_regained_majority_is_reported() {
+    let mut tracker = HostTracker::default();
+    lines(&mut tracker, serving());
 
-    let lost = lines(&mut roll, alone());
-    let back = lines(&mut roll, serving());
+    let lost = lines(&mut tracker, isolated());
+    let back = lines(&mut tracker, serving());
 
     assert_eq!(
         lost,
@@ -64,19 +64,19 @@
 }
 
 #[test]
-fn another_roster_and_another_reason_are_told() {
-    let mut roll = HostTracker::default();
-    lines(&mut roll, serving());
+fn another_roster_and_another_reason_are_reported() {
+    let mut tracker = HostTracker::default();
+    lines(&mut tracker, serving());
     let leaving = HostSnapshot {
         unready: Some("the host is leaving".to_owned()),
         roster: Some(2),
         ..serving()
     };
 
-    let told = lines(&mut roll, leaving);
+    let changes = lines(&mut tracker, leaving);
 
     assert_eq!(
-        told,
+        changes,
         ["roster 2 is active", "not ready: the host is leaving"]
     );
 }
