--- a/src/peers/call_handler.rs
+++ b/src/peers/call_handler.rs
@@ -1,4 +1,4 @@
-//! What the daemon puts behind the listener.
+//! The interface through which a host answers calls of its peers.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,13 +7,13 @@
 use super::ReplySender;
 use crate::ids::HostName;
 
-/// The running answer to one call.
+/// The future that answers one call.
 pub type HandleFuture<'a> = Pin<Box<dyn Future<Output = ()> + Send + 'a>>;
 
 /// Answers the calls of peers.
 pub trait CallHandler: Send + Sync + 'static {
-    /// Answers one call of the host `from`. Calls run at the same time, each in
-    /// a task of its own; a `replies` that is dropped unfinished tells the caller
-    /// that its call was given up.
+    /// Answers one call of the host `from`. Calls run concurrently, each in its own
+    /// task. Dropping `replies` before it is finished resets the stream, and the
+    /// caller gets [`super::PeerError::CallAbandoned`].
     fn handle(&self, from: HostName, call: PeerCall, replies: ReplySender) -> HandleFuture<'_>;
 }
--- a/src/peers/call_slot.rs
+++ b/src/peers/call_slot.rs
@@ -1,4 +1,4 @@
-//! Bounds the streamed calls of one link.
+//! Limits the number of concurrent streamed calls on one link.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -7,27 +7,27 @@
 use super::PeerError;
 use super::link_limits::MAX_STREAMED_CALLS;
 
-/// One streamed call's place on a link; dropping it gives the place back.
+/// A permit for one streamed call on a link; released on drop.
 ///
-/// A connection carries a bounded number of streams, and one beyond it waits
-/// without an error until another ends. Relayed answers live for as long as a
-/// model talks; if they could take every stream, claims and digests would queue
-/// behind them and a busy peer would look like a dead one. So streamed calls
-/// keep to half of the streams and are refused beyond.
+/// An h2 connection allows a limited number of concurrent streams, and a further one
+/// waits without an error until another ends. Relayed answers can last for minutes.
+/// If they occupied every stream, claims and digests would queue behind them and a
+/// busy peer would look like a dead one. Streamed calls are therefore limited to half
+/// of the streams, and any further one is refused.
 #[derive(Debug)]
 pub(crate) struct CallSlot {
-    taken: Arc<AtomicUsize>,
+    in_use: Arc<AtomicUsize>,
 }
 
 impl CallSlot {
-    /// Takes a place of the link whose count is `taken`.
-    pub(crate) fn take(taken: &Arc<AtomicUsize>) -> Result<Self, PeerError> {
+    /// Acquires a permit of the link whose permits in use are counted in `in_use`.
+    pub(crate) fn take(in_use: &Arc<AtomicUsize>) -> Result<Self, PeerError> {
         let slot = Self {
-            taken: Arc::clone(taken),
+            in_use: Arc::clone(in_use),
         };
-        // Counted first, so that callers at the same time can't all find room;
-        // the slot's own drop takes the count back.
-        if taken.fetch_add(1, Ordering::AcqRel) >= MAX_STREAMED_CALLS {
+        // Incremented before the check, so that concurrent callers can't all pass it;
+        // on a refusal, dropping the slot decrements the count again.
+        if in_use.fetch_add(1, Ordering::AcqRel) >= MAX_STREAMED_CALLS {
             return Err(PeerError::TooManyCalls);
         }
         Ok(slot)
@@ -36,6 +36,6 @@
 
 impl Drop for CallSlot {
     fn drop(&mut self) {
-        self.taken.fetch_sub(1, Ordering::AcqRel);
+        self.in_use.fetch_sub(1, Ordering::AcqRel);
     }
 }
--- a/src/peers/digest_delta.rs
+++ b/src/peers/digest_delta.rs
@@ -1,8 +1,9 @@
-//! What changed from one digest of a host to a later one.
+//! Delta encoding of host digests.
 //!
-//! A whole digest takes some 30 bytes a target and 20 a seat, to each peer each
-//! second; most of it stands still. A delta names the digest that it starts from by
-//! the sender's life and sequence, so it can't be laid over any other one.
+//! A full digest takes some 30 bytes per target and 20 per seat, and goes to each peer
+//! each second; most of it doesn't change in between. A delta identifies its base
+//! digest by the sender's incarnation and sequence number, so it can't be applied to
+//! any other one.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -19,20 +20,20 @@
 use crate::policy::TierWait;
 use crate::roster::RosterDigest;
 
-/// What changed from one digest of a host to a later one.
+/// The difference between a digest of a host and a later one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DigestDelta {
-    /// The life of the sender, in both digests.
+    /// The sender's incarnation; the same in both digests.
     pub incarnation: IncarnationId,
-    /// The sequence of the digest that this one starts from.
+    /// The sequence number of the base digest.
     pub base: u64,
-    /// How far the sequence of the new digest is from the base.
+    /// The new digest's sequence number minus that of the base.
     pub steps: u64,
-    /// The new document in force, where it changed.
+    /// The document in force, if it changed.
     pub document: Option<DocumentIdentity>,
-    /// What the host knows of rosters now, where it changed.
+    /// The host's roster state, if it changed.
     pub roster: Option<RosterDigest>,
-    /// Requests that targets were lost to, where they changed.
+    /// The requests suspected of crashing targets, if they changed.
     pub suspects: Option<Vec<PoisonEntry>>,
     /// As in the new digest.
     pub generation: u32,
@@ -42,38 +43,38 @@
     pub service_level: TierRank,
     /// As in the new digest.
     pub waits: Vec<TierWait>,
-    /// What changed of the targets.
+    /// The change of the targets' demand.
     pub targets: DemandUpdate,
 }
 
-/// Which document is in force.
+/// Identifies a fleet document.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DocumentIdentity {
     /// The document's version.
     pub version: FleetVersion,
-    /// The digest of its bytes.
+    /// The SHA-256 digest of its bytes.
     pub digest: ConfigDigest,
 }
 
-/// What changed of the targets.
+/// The change of the targets' demand.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum DemandUpdate {
-    /// The targets are others now.
+    /// The set or order of targets changed; holds all of them.
     All(Vec<TargetDemand>),
-    /// The same targets, with these fields changed.
+    /// The targets are the same; holds the changed fields.
     Changed(Vec<DemandChange>),
 }
 
 /// The changed fields of one target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DemandChange {
-    /// The target's place in the digest.
-    pub place: u16,
-    /// The fields, as they are now.
+    /// The target's index in the digest.
+    pub index: u16,
+    /// The changed fields with their new values.
     pub fields: Vec<DemandField>,
 }
 
-/// One field of a [`TargetDemand`], as it is now.
+/// The new value of one field of a [`TargetDemand`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum DemandField {
     /// See [`TargetDemand::epoch`].
@@ -93,21 +94,22 @@
 }
 
 impl DigestDelta {
-    /// Returns what changed from `base` to `new`; nothing where the two do not
-    /// follow each other in one life, so that only a whole digest will do.
+    /// Returns the difference between `base` and `new`, or `None` if a full digest has
+    /// to be sent: `new` is not a later digest of the same incarnation, or it no longer
+    /// has a roster.
     pub fn between(base: &PeerDigest, new: &PeerDigest) -> Option<Self> {
         let (old, policy) = (base.policy.as_ref()?, new.policy.as_ref()?);
         let follows = old.incarnation == policy.incarnation && old.sequence < policy.sequence;
-        let roster_went = base.roster.is_some() && new.roster.is_none();
-        if !follows || roster_went {
+        let roster_removed = base.roster.is_some() && new.roster.is_none();
+        if !follows || roster_removed {
             return None;
         }
-        let mark = DocumentIdentity::of(new);
+        let document = DocumentIdentity::of(new);
         Some(Self {
             incarnation: policy.incarnation,
             base: old.sequence,
             steps: policy.sequence - old.sequence,
-            document: (mark != DocumentIdentity::of(base)).then_some(mark),
+            document: (document != DocumentIdentity::of(base)).then_some(document),
             roster: new.roster.clone().filter(|_| new.roster != base.roster),
             suspects: (new.suspects != base.suspects).then(|| new.suspects.clone()),
             generation: policy.generation,
@@ -118,14 +120,14 @@
         })
     }
 
-    /// Returns the new digest; nothing where `base` is not the one that the delta
-    /// starts from.
+    /// Returns the new digest, or `None` if `base` is not the digest that the delta was
+    /// computed from.
     pub fn apply(&self, base: &PeerDigest) -> Option<PeerDigest> {
         let old = base.policy.as_ref()?;
         if old.incarnation != self.incarnation || old.sequence != self.base {
             return None;
         }
-        let mark = self.document.unwrap_or_else(|| DocumentIdentity::of(base));
+        let document = self.document.unwrap_or_else(|| DocumentIdentity::of(base));
         let policy = HostDigest {
             incarnation: self.incarnation,
             sequence: self.base.checked_add(self.steps)?,
@@ -136,8 +138,8 @@
             targets: self.targets.apply(&old.targets)?,
         };
         Some(PeerDigest {
-            version: mark.version,
-            digest: mark.digest,
+            version: document.version,
+            digest: document.digest,
             roster: self.roster.clone().or_else(|| base.roster.clone()),
             policy: Some(policy),
             suspects: self
@@ -149,7 +151,7 @@
 }
 
 impl DocumentIdentity {
-    /// Returns the document that a digest tells of.
+    /// Returns the identity of the document that a digest reports.
     pub const fn of(digest: &PeerDigest) -> Self {
         Self {
             version: digest.version,
@@ -167,10 +169,10 @@
         if !same {
             return Self::All(new.to_vec());
         }
-        let changes = pairs.enumerate().filter_map(|(place, (old, new))| {
+        let changes = pairs.enumerate().filter_map(|(index, (old, new))| {
             let fields = changed_fields(old, new);
-            let place = place as u16;
-            (!fields.is_empty()).then_some(DemandChange { place, fields })
+            let index = index as u16;
+            (!fields.is_empty()).then_some(DemandChange { index, fields })
         });
         Self::Changed(changes.collect())
     }
@@ -182,7 +184,7 @@
         };
         let mut targets = old.to_vec();
         for change in changes {
-            let target = targets.get_mut(usize::from(change.place))?;
+            let target = targets.get_mut(usize::from(change.index))?;
             change.fields.iter().for_each(|field| field.set(target));
         }
         Some(targets)
@@ -204,7 +206,7 @@
 }
 
 fn changed_fields(old: &TargetDemand, new: &TargetDemand) -> Vec<DemandField> {
-    // Named one by one: a field that is added later must not be forgotten here.
+    // Destructured without `..`, so that a field added later can't be left out here.
     let TargetDemand {
         target: _,
         epoch,
--- a/src/peers/digest_outbox.rs
+++ b/src/peers/digest_outbox.rs
@@ -1,4 +1,4 @@
-//! What a host told each peer last, so that it tells them only what changed.
+//! The last digest that each peer confirmed; the base for the deltas sent to it.
 
 use std::sync::Arc;
 
@@ -8,14 +8,15 @@
 use crate::ids::HostName;
 use crate::sorted::SortedMap;
 
-/// After how many deltas a peer gets a whole digest again: about a minute. A
-/// fault that no rule here foresees would heal within it, at a hundredth of the bytes.
+/// How many deltas a peer gets in a row before a full digest is sent again. At one
+/// digest per second this limits any unforeseen divergence to about a minute, and adds
+/// about a hundredth of the bytes that full digests would take.
 pub const MAX_CONSECUTIVE_DELTAS: u32 = 60;
 
-/// What a host told each peer last.
+/// The last digest that each peer confirmed.
 ///
-/// A delta starts only from a digest that the peer confirmed to hold. So a digest
-/// that was lost costs a whole one the next time and nothing else.
+/// A delta is computed only from a digest that the peer confirmed. A lost digest
+/// therefore costs nothing but one full digest in the next exchange.
 #[derive(Debug, Default)]
 pub struct DigestOutbox {
     peers: SortedMap<HostName, ConfirmedDigest>,
@@ -28,7 +29,7 @@
 }
 
 impl DigestOutbox {
-    /// Returns the call that tells `peer` the host's digest.
+    /// Returns the call that sends the host's digest to `peer`, as a delta if possible.
     pub fn call_for(&self, peer: &HostName, own: &PeerDigest) -> PeerCall {
         self.peers
             .get(peer)
@@ -40,27 +41,27 @@
             )
     }
 
-    /// Notes that `peer` holds this digest, which it got `whole` or as a delta.
-    pub fn mark_confirmed(&mut self, peer: &HostName, own: &Arc<PeerDigest>, whole: bool) {
+    /// Records that `peer` has this digest, received in full (`is_full`) or as a delta.
+    pub fn mark_confirmed(&mut self, peer: &HostName, own: &Arc<PeerDigest>, is_full: bool) {
         let known = self.peers.get(peer);
-        // Two exchanges may overlap; the peer holds the later one.
+        // Exchanges may overlap; the peer keeps the digest with the higher sequence.
         if known.is_some_and(|known| sequence_of(&known.digest) > sequence_of(own)) {
             return;
         }
         let before = known.map_or(0, |known| known.deltas);
         let confirmed = ConfirmedDigest {
             digest: own.clone(),
-            deltas: if whole { 0 } else { before + 1 },
+            deltas: if is_full { 0 } else { before + 1 },
         };
         self.peers.insert(peer.clone(), confirmed);
     }
 
-    /// Notes that it is unknown what `peer` holds: it gets a whole digest next.
+    /// Discards the confirmed digest of `peer`, which gets a full digest next.
     pub fn forget(&mut self, peer: &HostName) {
         self.peers.remove(peer);
     }
 
-    /// Forgets all peers but these.
+    /// Drops the state of all peers but these.
     pub fn retain(&mut self, peers: &[HostName]) {
         self.peers.retain(|peer, _| peers.contains(peer));
     }
--- a/src/peers/handshake_exchange.rs
+++ b/src/peers/handshake_exchange.rs
@@ -1,11 +1,12 @@
-//! The exchange before h2: protocol version, names, and proof of the key.
+//! The handshake that precedes h2: protocol version, host names and proof of the key.
 //!
-//! The caller sends [`CallerHello`], the listener [`ListenerHello`], the caller
-//! its proof and the listener its own. Each message stands behind a header of
-//! four magic bytes, the version and the length, which stays the same in all
-//! versions; a listener of another version answers with its header alone, so
-//! that the caller can say which version it met. The caller proves first: a
-//! stranger gets nothing from a listener that could be searched for the key.
+//! The caller sends a [`HostHello`], the listener answers with its own, then the caller
+//! sends its [`KeyProof`] and the listener its own. Each message is preceded by a header
+//! of four magic bytes, the version and the length, whose layout is the same in all
+//! versions. A listener of another version answers with its header alone, so that the
+//! caller can report the version it found. The caller sends its proof first: an
+//! unauthenticated caller gets no MAC from a listener on which it could try keys
+//! offline.
 
 use async_std::io::ReadExt;
 use async_std::io::WriteExt;
@@ -27,16 +28,16 @@
 use super::PeerIdentity;
 use crate::ids::HostName;
 
-/// The version of the protocol between hosts; rises with each change of a message.
+/// The version of the protocol between hosts; raised with each change of a message.
 pub const PROTOCOL_VERSION: u16 = 7;
 
-/// The first bytes of each handshake message.
+/// The first bytes of every handshake message.
 const MAGIC: [u8; 4] = *b"CMGW";
-/// Magic, version and length.
+/// Length of the header: magic, version and message length.
 const HEADER_BYTES: usize = 8;
-/// The largest handshake message, in bytes, without its header.
+/// Maximum size of a handshake message, without its header.
 const MAX_HELLO_BYTES: usize = 512;
-/// Bytes of randomness that make each handshake unlike all others.
+/// Length of the random nonce that protects a handshake against replay.
 const NONCE_BYTES: usize = 32;
 
 const HELLO_CODEC: Configuration<LittleEndian, Varint, Limit<MAX_HELLO_BYTES>> =
@@ -55,7 +56,7 @@
     tag: [u8; 32],
 }
 
-/// Which end a proof speaks for, so that neither can be sent back as the other.
+/// The end that a proof belongs to; part of the MAC, so that a proof can't be reflected.
 #[derive(Clone, Copy, Debug)]
 enum ProofSide {
     Caller,
@@ -71,15 +72,15 @@
     }
 }
 
-/// Proves and checks as the connecting end; returns the listener's name.
-pub(crate) async fn greet_listener<S>(
+/// Runs the handshake as the connecting end; returns the listener's name.
+pub(crate) async fn handshake_as_caller<S>(
     stream: &mut S,
     identity: &PeerIdentity,
 ) -> Result<HostName, PeerError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let ours = fresh_hello(identity);
+    let ours = new_hello(identity);
     send_message(stream, &ours).await?;
     let theirs: HostHello = read_message(stream).await?;
     let tag = make_proof(identity, ProofSide::Caller, &ours, &theirs)
@@ -87,7 +88,7 @@
         .into_bytes()
         .into();
     send_message(stream, &KeyProof { tag }).await?;
-    // A listener that does not take the proof closes without another word.
+    // A listener that rejects the proof closes the connection without an answer.
     let proof: KeyProof = read_message(stream).await.map_err(|error| match error {
         PeerError::Unreachable { .. } => PeerError::NotAuthentic,
         other => other,
@@ -98,8 +99,8 @@
     Ok(theirs.host)
 }
 
-/// Proves and checks as the accepting end; returns the caller's name.
-pub(crate) async fn greet_caller<S>(
+/// Runs the handshake as the accepting end; returns the caller's name.
+pub(crate) async fn handshake_as_listener<S>(
     stream: &mut S,
     identity: &PeerIdentity,
 ) -> Result<HostName, PeerError>
@@ -113,7 +114,7 @@
         }
         other => other?,
     };
-    let ours = fresh_hello(identity);
+    let ours = new_hello(identity);
     send_message(stream, &ours).await?;
     let proof: KeyProof = read_message(stream).await?;
     make_proof(identity, ProofSide::Caller, &theirs, &ours)
@@ -127,14 +128,14 @@
     Ok(theirs.host)
 }
 
-fn fresh_hello(identity: &PeerIdentity) -> HostHello {
+fn new_hello(identity: &PeerIdentity) -> HostHello {
     HostHello {
         host: identity.host.clone(),
         nonce: rand::random(),
     }
 }
 
-/// Binds a side, the version, both names and both random numbers to the key.
+/// Computes the MAC over a side, the version, both nonces and both names.
 fn make_proof(
     identity: &PeerIdentity,
     side: ProofSide,
@@ -153,7 +154,7 @@
     mac
 }
 
-/// Tells the caller our version, in the header that all versions share.
+/// Sends the caller a header with this host's protocol version and no message.
 async fn refuse_version<S: AsyncWrite + Unpin>(stream: &mut S) -> Result<(), PeerError> {
     stream.write_all(&make_header(0)).await?;
     stream.flush().await?;
--- a/src/peers/link_meter.rs
+++ b/src/peers/link_meter.rs
@@ -1,4 +1,4 @@
-//! A connection that counts its bytes.
+//! Byte counters of a peer connection.
 
 use std::io;
 use std::io::IoSlice;
@@ -13,7 +13,7 @@
 use futures_lite::io::AsyncRead;
 use futures_lite::io::AsyncWrite;
 
-/// Bytes that went over a peer's connections, both ways.
+/// Bytes transferred over the connections of one peer, in both directions.
 #[derive(Debug, Default)]
 pub(crate) struct LinkMeter {
     read: AtomicU64,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A TCP stream whose bytes are counted.
+/// A TCP stream that counts the bytes read and written.
 pub(crate) struct MeteredStream {
     stream: TcpStream,
     meter: Arc<LinkMeter>,
--- a/src/peers/message_codec.rs
+++ b/src/peers/message_codec.rs
@@ -17,18 +17,18 @@
 
 use super::PeerError;
 
-/// The largest message either way, in bytes: a document or a body of a mebibyte
-/// with its head fits in, and a faulty peer can't make a host hold more a call.
+/// Maximum size of a message in either direction. A document or a body of 1 MiB fits
+/// with its head, and a faulty peer can't make a host buffer more than this per call.
 pub const MAX_MESSAGE_BYTES: usize = 2 << 20;
 
-/// The length in front of each message, a big-endian `u32`.
+/// Size of the length prefix of each message, a big-endian `u32`.
 const PREFIX_BYTES: usize = 4;
 
-/// The codec of messages; also bounds what a length inside a message may claim.
+/// The codec of messages; its limit also applies to lengths inside a message.
 const MESSAGE_CODEC: Configuration<LittleEndian, Varint, Limit<MAX_MESSAGE_BYTES>> =
     bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>();
 
-/// Writes a message with its length in front.
+/// Encodes a message with its length prefix.
 pub(crate) fn encode_frame<T: Serialize>(message: &T) -> Result<Bytes, PeerError> {
     let mut writer = BytesMut::with_capacity(64).writer();
     writer.get_mut().put_u32(0);
@@ -43,7 +43,7 @@
     Ok(frame.freeze())
 }
 
-/// Reads a message that fills `bytes`.
+/// Decodes a message that takes up all of `bytes`.
 fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, PeerError> {
     let (message, length) = bincode::serde::decode_from_slice(bytes, MESSAGE_CODEC)
         .map_err(|_| PeerError::MalformedMessage)?;
@@ -53,10 +53,10 @@
     Ok(message)
 }
 
-/// Sends `frame` as the window allows.
+/// Sends `frame` as the flow-control window allows.
 ///
-/// Dropping the future between pieces leaves a cut frame behind, so the stream
-/// must be given up with it; h2 resets it when its last handle goes.
+/// Dropping the future before it completes can leave a partial frame behind, so the
+/// stream must be dropped with it; h2 resets the stream when its last handle is dropped.
 pub(crate) async fn send_frame(
     stream: &mut SendStream<Bytes>,
     mut frame: Bytes,
@@ -67,14 +67,14 @@
         let granted = poll_fn(|context| stream.poll_capacity(context))
             .await
             .ok_or(PeerError::CallAbandoned)??;
-        let piece = frame.split_to(granted.min(frame.len()));
+        let chunk = frame.split_to(granted.min(frame.len()));
         let ends = last && frame.is_empty();
-        stream.send_data(piece, ends)?;
+        stream.send_data(chunk, ends)?;
     }
     Ok(())
 }
 
-/// Takes messages out of an h2 stream.
+/// Reads messages from an h2 stream.
 pub(crate) struct FrameReader {
     body: RecvStream,
     buffer: BytesMut,
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Returns the next message, or nothing at the stream's clean end. A dropped
-    /// future loses nothing.
+    /// Returns the next message, or `None` at the clean end of the stream. This method
+    /// is cancel safe: dropping the future loses no data.
     pub(crate) async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, PeerError> {
         loop {
             if let Some(frame) = self.take_frame()? {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Splits off the first whole frame.
+    /// Removes the first complete frame from the buffer.
     fn take_frame(&mut self) -> Result<Option<Bytes>, PeerError> {
         let Some(prefix) = self.buffer.first_chunk::<PREFIX_BYTES>() else {
             return Ok(None);
@@ -121,7 +121,7 @@
         Ok(Some(self.buffer.split_to(length).freeze()))
     }
 
-    /// Tells a clean end from a cut frame.
+    /// Returns `None` for a clean end of the stream, an error for a truncated frame.
     fn end<T>(&self) -> Result<Option<T>, PeerError> {
         if self.buffer.is_empty() {
             Ok(None)
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,23 +1,22 @@
-//! The protocol between the system's own processes: h2 streams of bincode messages.
+//! The protocol between the hosts of a fleet: bincode messages over h2 streams.
 //!
 //! Each host keeps one connection to each peer that it calls ([`PeerMesh`]) and
-//! takes calls from its peers ([`PeerListener`]). One call is one h2 stream: the
-//! request body is one [`PeerCall`], the answer's body one [`PeerReply`] or several.
+//! accepts calls from its peers ([`PeerListener`]). Each call is one h2 stream whose
+//! request body holds one [`PeerCall`] and whose response body one [`PeerReply`] or more.
 //!
 //! # Authentication
 //!
-//! Before any call, both ends prove by HMAC-SHA256 over fresh random numbers that
-//! they hold the key from the settings. This keeps out strangers who can reach the
-//! port, recorded handshakes that are played again, and hosts of another fleet
-//! whose settings name a wrong address. It does not hide or protect what is sent
-//! afterwards from somebody who can read or change packets in between, and a
-//! process that holds the key can claim any host's name: the network between the
-//! entry hosts must be trusted for both, or be encrypted below this protocol.
+//! Before any call, both ends prove by HMAC-SHA256 over fresh nonces that they have the
+//! key from the settings. This rejects strangers who can reach the port, replayed
+//! handshakes, and hosts of another fleet whose settings name a wrong address. It
+//! provides neither confidentiality nor integrity for what is sent afterwards, and a
+//! process that has the key can claim any host's name. The network between the entry
+//! hosts must be trusted for both, or be encrypted below this protocol.
 //!
 //! # Use
 //!
-//! Versions are those of the document, times are milliseconds of the wall clock where
-//! a field says so. A failed call is a [`PeerError`], which tells whether the call may
+//! Versions are those of the fleet document; times are wall-clock milliseconds where a
+//! field says so. A failed call returns a [`PeerError`], which tells whether the call may
 //! have taken effect.
 //!
 //! ```
@@ -35,7 +34,7 @@
 //! use cardamomgw::peers::PeerReply;
 //! use cardamomgw::peers::ReplySender;
 //!
-//! /// Says that version 7 is in force here.
+//! /// Reports that document version 7 is in force.
 //! struct Version7;
 //!
 //! impl CallHandler for Version7 {
@@ -98,7 +97,7 @@
 pub use handshake_exchange::PROTOCOL_VERSION;
 pub use link_limits::MAX_STREAMED_CALLS;
 pub use link_limits::PING_INTERVAL;
-pub use link_limits::SILENCE_BOUND;
+pub use link_limits::SILENCE_TIMEOUT;
 pub use message_codec::MAX_MESSAGE_BYTES;
 pub(crate) use package::MAX_PACKAGE_BYTES;
 pub(crate) use package::pack_value;
--- a/src/peers/package.rs
+++ b/src/peers/package.rs
@@ -1,4 +1,4 @@
-//! Large values as hosts send them to each other: encoded, compressed, in pieces.
+//! Packages: large values encoded and compressed for transfer between hosts in chunks.
 
 use std::io::Read;
 use std::io::Write;
@@ -14,16 +14,16 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The largest package, in bytes.
+/// Maximum size of a package, compressed.
 pub(crate) const MAX_PACKAGE_BYTES: usize = 2 << 20;
-/// The largest value that a package may hold, in bytes; a faulty peer can't make a host
-/// hold more.
+/// Maximum size of the value in a package, decompressed; a faulty peer can't make a host
+/// allocate more.
 const MAX_VALUE_BYTES: usize = 16 << 20;
 
 const VALUE_CODEC: Configuration<LittleEndian, Varint, Limit<MAX_VALUE_BYTES>> =
     bincode::config::standard().with_limit::<MAX_VALUE_BYTES>();
 
-/// Encodes and compresses a value; empty if it is too large to be sent.
+/// Encodes and compresses a value; returns no bytes if it is too large to be sent.
 pub(crate) fn pack_value<T: Serialize>(value: &T) -> Bytes {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let encoded = bincode::serde::encode_to_vec(value, VALUE_CODEC);
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns the value of a package; `None` if it is cut, malformed or too large.
+/// Decodes the value of a package; `None` if it is truncated, malformed or too large.
 pub(crate) fn unpack_value<T: DeserializeOwned>(package: &[u8]) -> Option<T> {
     let mut encoded = Vec::new();
     let mut decoder = DeflateDecoder::new(package).take(MAX_VALUE_BYTES as u64);
--- a/src/peers/peer_error.rs
+++ b/src/peers/peer_error.rs
@@ -1,4 +1,4 @@
-//! Why a call to a peer gave no reply.
+//! Errors of calls to peers.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -15,32 +15,32 @@
         /// The host that was called.
         host: HostName,
     },
-    /// No connection to the host stands at the moment; nothing was sent.
+    /// There is no connection to the host at the moment; nothing was sent.
     #[display("not connected")]
     NotConnected,
-    /// The peer has as many streamed calls of this host as it may; nothing was sent.
+    /// The limit of concurrent streamed calls to this peer is reached; nothing was sent.
     #[display("too many streamed calls to this peer")]
     TooManyCalls,
-    /// The peer refused the connection, or could not be reached.
+    /// The peer refused the connection or could not be reached.
     #[display("unreachable: {reason}")]
     Unreachable {
-        /// What the system said.
+        /// The error of the operating system.
         reason: String,
     },
-    /// No reply came in the time given; the call may have taken effect.
+    /// No reply arrived within the timeout; the call may have taken effect.
     #[display("no reply in time")]
     TimedOut,
-    /// The connection ended or fell silent; the call may have taken effect.
+    /// The connection was closed or went silent; the call may have taken effect.
     #[display("the connection was lost")]
     ConnectionLost,
-    /// The peer gave the call up without a whole reply.
-    #[display("the peer gave the call up")]
+    /// The peer reset the call before its reply was complete.
+    #[display("the peer abandoned the call")]
     CallAbandoned,
-    /// The stream of replies ended before the first one.
+    /// The peer ended the stream without any reply.
     #[display("the peer sent no reply")]
     NoReply,
-    /// The peer holds another key, or is no peer at all.
-    #[display("the peer did not prove that it holds the key")]
+    /// The peer has another key, or is not a peer at all.
+    #[display("the peer did not prove possession of the key")]
     NotAuthentic,
     /// The peer speaks another version of the protocol.
     #[display("the peer speaks protocol version {theirs}")]
@@ -48,17 +48,17 @@
         /// The peer's version.
         theirs: u16,
     },
-    /// Another host answers at the address than the roster says.
+    /// The host at the address is not the one that the roster names.
     #[display("host {found} answers at this address")]
     WrongHost {
         /// The host that answered.
         found: HostName,
     },
-    /// A message is larger than the bound.
-    #[display("a message is larger than the bound")]
+    /// A message exceeds the size limit.
+    #[display("the message exceeds the size limit")]
     MessageTooLarge,
-    /// A message could not be read.
-    #[display("a message could not be read")]
+    /// A message could not be decoded.
+    #[display("the message could not be decoded")]
     MalformedMessage,
 }
 
--- a/src/peers/peer_identity.rs
+++ b/src/peers/peer_identity.rs
@@ -1,11 +1,11 @@
-//! Who this process is towards its peers.
+//! The identity that a host presents to its peers.
 
 use std::fmt;
 
 use crate::ids::HostName;
 use crate::settings::HostSettings;
 
-/// The host's name and the key that it shares with its peers.
+/// The host's name and the key shared by the fleet.
 #[derive(Clone, Eq, PartialEq)]
 pub struct PeerIdentity {
     /// This host's name.
@@ -25,7 +25,7 @@
 
 impl fmt::Debug for PeerIdentity {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The key stays out of logs.
+        // The key must not appear in logs.
         formatter
             .debug_struct("PeerIdentity")
             .field("host", &self.host)
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -1,4 +1,4 @@
-//! One peer's connection, kept up.
+//! A connection to one peer that is reopened whenever it ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 use super::handshake_exchange;
 use super::link_limits::CONNECTION_WINDOW;
 use super::link_limits::PING_INTERVAL;
-use super::link_limits::SILENCE_BOUND;
+use super::link_limits::SILENCE_TIMEOUT;
 use super::link_limits::STREAM_WINDOW;
 use super::link_meter::LinkMeter;
 use super::link_meter::MeteredStream;
@@ -36,15 +36,16 @@
 
 /// How long a peer may take to answer a ping that follows a pause of one interval.
 const PONG_TIMEOUT: Duration =
-    Duration::from_secs(SILENCE_BOUND.as_secs() - PING_INTERVAL.as_secs());
-/// How long a connection may take until calls can be made.
+    Duration::from_secs(SILENCE_TIMEOUT.as_secs() - PING_INTERVAL.as_secs());
+/// Timeout for opening a connection, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The first wait after a failure; a restarted peer is back within it.
-const FIRST_RETRY: Duration = Duration::from_millis(50);
-/// The longest wait; a healed partition is noticed within it, well below 2 s.
-const LONGEST_RETRY: Duration = Duration::from_secs(1);
+/// The first wait after a failure; a restarted peer is usually back within it.
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(50);
+/// The longest wait between attempts. A healed partition is noticed within it, well
+/// below 2 s.
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// How a link stands, for operators.
+/// The state of a link, for operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LinkStatus {
     /// The peer's address.
@@ -53,33 +54,33 @@
     pub host: Option<HostName>,
     /// Whether calls can be made.
     pub connected: bool,
-    /// Why the last connection failed or ended.
+    /// Why the last connection attempt failed or the last connection ended.
     pub last_error: Option<PeerError>,
-    /// How often a connection came up.
-    pub connects: u64,
+    /// How many connections were established.
+    pub connect_count: u64,
     /// Bytes read over all connections of the link.
     pub read_bytes: u64,
     /// Bytes written over all connections of the link.
     pub written_bytes: u64,
 }
 
-/// A peer's address and the connection to it.
+/// The link to one peer: its address and the connection to it.
 pub(crate) struct PeerLink {
     address: SocketAddr,
-    /// The host that the roster puts at the address; absent for an address from the settings.
+    /// The host that the roster names for the address; absent for an address from the settings.
     expected: Option<HostName>,
-    live: ArcSwapOption<SendRequest<Bytes>>,
-    found: ArcSwapOption<HostName>,
+    sender: ArcSwapOption<SendRequest<Bytes>>,
+    announced_host: ArcSwapOption<HostName>,
     last_error: ArcSwapOption<PeerError>,
-    connects: AtomicU64,
-    streamed: Arc<AtomicUsize>,
+    connect_count: AtomicU64,
+    streamed_calls: Arc<AtomicUsize>,
     meter: Arc<LinkMeter>,
-    /// Closed when the link is to end.
+    /// Closed to stop the link.
     stop: Sender<()>,
 }
 
 impl PeerLink {
-    /// Keeps a connection to `address` up from now on.
+    /// Starts a task that keeps a connection to `address` open.
     pub(crate) fn spawn(
         address: SocketAddr,
         expected: Option<HostName>,
@@ -89,15 +90,15 @@
         let link = Arc::new(Self {
             address,
             expected,
-            live: ArcSwapOption::empty(),
-            found: ArcSwapOption::empty(),
+            sender: ArcSwapOption::empty(),
+            announced_host: ArcSwapOption::empty(),
             last_error: ArcSwapOption::empty(),
-            connects: AtomicU64::new(0),
-            streamed: Arc::default(),
+            connect_count: AtomicU64::new(0),
+            streamed_calls: Arc::default(),
             meter: Arc::default(),
             stop,
         });
-        task::spawn(keep_up(Arc::clone(&link), identity, stopped));
+        task::spawn(maintain_connection(Arc::clone(&link), identity, stopped));
         link
     }
 
@@ -106,86 +107,89 @@
         self.address
     }
 
-    /// Tells whether the link can go on for a peer of this name. A connection
-    /// opened by an address from the settings goes on for the seat that turned
-    /// out to be there: opened anew, the first document in force would cut the
-    /// host from all its peers for a moment.
-    pub(crate) fn serves(&self, expected: Option<&HostName>) -> bool {
+    /// Tells whether the link can be kept for a peer of this name. A link to an address
+    /// from the settings is kept for the seat announced_host there: if it were reopened, the first
+    /// document in force would disconnect the host from all its peers for a moment.
+    pub(crate) fn is_reusable_for(&self, expected: Option<&HostName>) -> bool {
         match (&self.expected, expected) {
-            (None, Some(host)) => self.leads_to(host),
+            (None, Some(host)) => self.is_for_host(host),
             (own, expected) => own.as_ref() == expected,
         }
     }
 
-    /// Returns the peer's name: from the roster, or as it said itself.
+    /// Returns the peer's name: from the roster, or from its handshake.
     pub(crate) fn host(&self) -> Option<HostName> {
         self.expected
             .clone()
-            .or_else(|| self.found.load().as_deref().cloned())
+            .or_else(|| self.announced_host.load().as_deref().cloned())
     }
 
-    /// Tells whether the link leads to `host`.
-    pub(crate) fn leads_to(&self, host: &str) -> bool {
+    /// Tells whether the peer is `host`.
+    pub(crate) fn is_for_host(&self, host: &str) -> bool {
         match &self.expected {
             Some(expected) => expected == host,
             None => self
-                .found
+                .announced_host
                 .load()
                 .as_ref()
                 .is_some_and(|name| *name.as_ref() == host),
         }
     }
 
-    /// Returns a handle for one call.
+    /// Returns a sender for one call.
     pub(crate) fn sender(&self) -> Result<SendRequest<Bytes>, PeerError> {
-        match &*self.live.load() {
+        match &*self.sender.load() {
             Some(sender) => Ok(SendRequest::clone(sender)),
             None => Err(PeerError::NotConnected),
         }
     }
 
-    /// Returns a place for one streamed call.
+    /// Acquires a permit for one streamed_calls call.
     pub(crate) fn take_slot(&self) -> Result<CallSlot, PeerError> {
-        CallSlot::take(&self.streamed)
+        CallSlot::take(&self.streamed_calls)
     }
 
     /// Tells whether calls can be made.
     pub(crate) fn is_connected(&self) -> bool {
-        self.live.load().is_some()
+        self.sender.load().is_some()
     }
 
-    /// Returns how the link stands.
+    /// Returns the state of the link.
     pub(crate) fn status(&self) -> LinkStatus {
         LinkStatus {
             address: self.address,
             host: self.host(),
             connected: self.is_connected(),
             last_error: self.last_error.load().as_deref().cloned(),
-            connects: self.connects.load(Ordering::Relaxed),
+            connect_count: self.connect_count.load(Ordering::Relaxed),
             read_bytes: self.meter.read_bytes(),
             written_bytes: self.meter.written_bytes(),
         }
     }
 
-    /// Ends the link and its connection; pending calls fail at once.
+    /// Stops the link and closes its connection; pending calls fail at once.
     pub(crate) fn stop(&self) {
         self.stop.close();
     }
 }
 
-/// Connects again and again until the link is stopped.
-async fn keep_up(link: Arc<PeerLink>, identity: Arc<PeerIdentity>, stopped: Receiver<()>) {
-    let mut backoff = RetryBackoff::new(FIRST_RETRY, LONGEST_RETRY);
+/// Connects and reconnects until the link is stopped.
+async fn maintain_connection(
+    link: Arc<PeerLink>,
+    identity: Arc<PeerIdentity>,
+    stopped: Receiver<()>,
+) {
+    let mut backoff = RetryBackoff::new(MIN_RETRY_WAIT, MAX_RETRY_WAIT);
     while !stopped.is_closed() {
-        let connects = link.connects.load(Ordering::Relaxed);
+        let connect_count = link.connect_count.load(Ordering::Relaxed);
         let stop = async {
             stopped.recv().await.ok();
             PeerError::NotConnected
         };
         let error = or(stop, run_connection(&link, &identity)).await;
-        link.live.store(None);
+        link.sender.store(None);
         link.last_error.store(Some(Arc::new(error)));
-        if link.connects.load(Ordering::Relaxed) > connects {
+        if link.connect_count.load(Ordering::Relaxed) > connect_count {
             backoff.reset();
         }
         let wait = backoff.next_wait(rand::random());
@@ -197,13 +201,12 @@
     }
 }
 
-/// Runs one connection to its end and says why it ended.
+/// Runs one connection to its end and returns why it ended.
 ///
-/// The connection is driven within this future: when a peer falls silent (its
-/// host lost power, or a middle box forgot the connection) no error ever comes
-/// from the socket, and calls would wait for their time-outs one by one. The
-/// ping's silence ends the future, which drops the connection, and h2 fails all
-/// calls on it at once.
+/// The connection is driven within this future. When a peer goes silent (its host lost
+/// power, or a middlebox dropped the connection's state), the socket reports no error,
+/// and calls would run into their timeouts one by one. An unanswered ping ends the
+/// future, which drops the connection, and h2 fails all calls on it at once.
 async fn run_connection(link: &PeerLink, identity: &PeerIdentity) -> PeerError {
     let connected = future::timeout(CONNECT_TIMEOUT, connect(link, identity)).await;
     let (host, sender, mut connection) = match connected {
@@ -214,9 +217,9 @@
     let Some(pings) = connection.ping_pong() else {
         return PeerError::ConnectionLost;
     };
-    link.found.store(Some(Arc::new(host)));
-    link.connects.fetch_add(1, Ordering::Relaxed);
-    link.live.store(Some(Arc::new(sender)));
+    link.announced_host.store(Some(Arc::new(host)));
+    link.connect_count.fetch_add(1, Ordering::Relaxed);
+    link.sender.store(Some(Arc::new(sender)));
     let ended = async {
         match connection.await {
             Ok(()) => PeerError::ConnectionLost,
@@ -233,10 +236,10 @@
     identity: &PeerIdentity,
 ) -> Result<(HostName, SendRequest<Bytes>, ClientConnection), PeerError> {
     let stream = TcpStream::connect(link.address).await?;
-    // Calls are small and wait for their replies: held back, they would cost a delayed ack each.
+    // Calls are small and wait for a reply: Nagle's algorithm would add a delayed ACK to each.
     stream.set_nodelay(true)?;
     let mut stream = MeteredStream::new(stream, Arc::clone(&link.meter));
-    let host = handshake_exchange::greet_listener(&mut stream, identity).await?;
+    let host = handshake_exchange::handshake_as_caller(&mut stream, identity).await?;
     if link
         .expected
         .as_ref()
@@ -253,7 +256,7 @@
     Ok((host, sender, connection))
 }
 
-/// Returns once a ping stays unanswered. A peer that sent anything lately needs none.
+/// Returns once a ping stays unanswered. While data arrives, no ping is sent.
 async fn wait_for_silence(mut pings: PingPong, meter: &LinkMeter) -> PeerError {
     let mut seen = meter.read_bytes();
     loop {
--- a/src/peers/peer_listener.rs
+++ b/src/peers/peer_listener.rs
@@ -1,4 +1,4 @@
-//! The end that takes the calls of peers.
+//! Accepts connections and calls of peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,42 +30,42 @@
 use super::link_limits::CONNECTION_WINDOW;
 use super::link_limits::MAX_STREAMS;
 use super::link_limits::PING_INTERVAL;
-use super::link_limits::SILENCE_BOUND;
+use super::link_limits::SILENCE_TIMEOUT;
 use super::link_limits::STREAM_WINDOW;
 use super::link_meter::LinkMeter;
 use super::link_meter::MeteredStream;
 use super::message_codec::FrameReader;
 use crate::ids::HostName;
 
-/// How long a connection may take to prove its key.
+/// Timeout for the handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How many connections may be open at once: in a fleet of 320 hosts each is called
-/// by half of the others, and by all where half of the calls don't get through; the
-/// rest is room for replaced hosts whose connections have not ended yet.
+/// Maximum number of open connections. In a fleet of 320 hosts each host is called by
+/// half of the others, and by all of them where half of the calls fail; the rest is
+/// reserve for replaced hosts whose connections have not ended yet.
 const MAX_CONNECTIONS: usize = 512;
-/// The wait after a failed accept (no file descriptors left), so that it does not spin.
+/// The wait after a failed accept (no file descriptors left), to avoid a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What a listener has refused and taken.
+/// What a listener has accepted and refused.
 #[derive(Debug, Default)]
 pub struct ListenerCounters {
-    /// Connections that proved their key.
+    /// Connections that passed the handshake.
     pub accepted: AtomicU64,
-    /// Connections of another protocol version.
+    /// Connections with another protocol version.
     pub unknown_version: AtomicU64,
-    /// Connections that did not prove the key, or spoke no handshake.
+    /// Connections that did not prove possession of the key, or sent no valid handshake.
     pub not_authentic: AtomicU64,
-    /// Connections beyond the bound.
-    pub over_bound: AtomicU64,
-    /// Connections dropped because they fell silent.
+    /// Connections beyond the limit.
+    pub over_limit: AtomicU64,
+    /// Connections closed because they went silent.
     pub silent: AtomicU64,
-    /// Calls that could not be read.
+    /// Calls that could not be decoded.
     pub malformed_calls: AtomicU64,
-    /// Calls that were handed to the handler.
+    /// Calls that were passed to the handler.
     pub calls: AtomicU64,
 }
 
-/// What all connections of a listener share.
+/// State shared by all connections of a listener.
 struct ListenerShared {
     identity: PeerIdentity,
     handler: Arc<dyn CallHandler>,
@@ -74,7 +74,7 @@
     stopped: Receiver<()>,
 }
 
-/// A running listener; dropping it ends its connections.
+/// A running listener; dropping it closes its connections.
 pub struct PeerListener {
     address: SocketAddr,
     counters: Arc<ListenerCounters>,
@@ -82,7 +82,7 @@
 }
 
 impl PeerListener {
-    /// Takes calls at `address` from now on.
+    /// Binds `address` and starts accepting calls.
     ///
     /// # Errors
     ///
@@ -116,12 +116,12 @@
         self.address
     }
 
-    /// Returns what was refused and taken; the counters outlive the listener.
+    /// Returns what was accepted and refused; the counters outlive the listener.
     pub const fn counters(&self) -> &Arc<ListenerCounters> {
         &self.counters
     }
 
-    /// Ends the listener and its connections; running calls are given up.
+    /// Stops the listener and closes its connections; running calls are abandoned.
     pub fn stop(&self) {
         self.stop.close();
     }
@@ -149,11 +149,11 @@
     or(stop, accept).await;
 }
 
-/// Serves the connection in a task of its own, within the bound.
+/// Serves the connection in its own task, unless the limit is reached.
 fn admit_connection(stream: TcpStream, shared: &Arc<ListenerShared>) {
     if shared.open.fetch_add(1, Ordering::Relaxed) >= MAX_CONNECTIONS {
         shared.open.fetch_sub(1, Ordering::Relaxed);
-        shared.counters.over_bound.fetch_add(1, Ordering::Relaxed);
+        shared.counters.over_limit.fetch_add(1, Ordering::Relaxed);
         return;
     }
     let shared = Arc::clone(shared);
@@ -188,8 +188,8 @@
     stream.set_nodelay(true)?;
     let meter = Arc::<LinkMeter>::default();
     let mut stream = MeteredStream::new(stream, Arc::clone(&meter));
-    let greeting = handshake_exchange::greet_caller(&mut stream, &shared.identity);
-    let host = future::timeout(HANDSHAKE_TIMEOUT, greeting).await??;
+    let handshake = handshake_exchange::handshake_as_listener(&mut stream, &shared.identity);
+    let host = future::timeout(HANDSHAKE_TIMEOUT, handshake).await??;
     shared.counters.accepted.fetch_add(1, Ordering::Relaxed);
     let mut connection = server::Builder::new()
         .initial_window_size(STREAM_WINDOW)
@@ -212,13 +212,13 @@
     or(calls, wait_for_silence(&meter)).await
 }
 
-/// Returns once nothing was read for the bound; the calling end pings each
-/// interval, so a connection that gives nothing is half open.
+/// Returns once nothing was read for [`SILENCE_TIMEOUT`]; the calling end pings each
+/// interval, so a connection without data is half open.
 async fn wait_for_silence(meter: &LinkMeter) -> Result<(), PeerError> {
-    let bound = SILENCE_BOUND.as_secs() / PING_INTERVAL.as_secs();
+    let limit = SILENCE_TIMEOUT.as_secs() / PING_INTERVAL.as_secs();
     let mut seen = meter.read_bytes();
     let mut silent = 0;
-    while silent < bound {
+    while silent < limit {
         task::sleep(PING_INTERVAL).await;
         let now = meter.read_bytes();
         silent = if now == seen { silent + 1 } else { 0 };
@@ -248,7 +248,7 @@
         Err(PeerError::MessageTooLarge) => {
             refuse_call(&shared, &mut respond, Reason::FRAME_SIZE_ERROR);
         }
-        // The caller gave up, or the connection is gone: nobody is left to tell.
+        // The caller cancelled the call or the connection is lost: there is nobody to answer.
         Err(_) => {}
     }
 }
--- a/src/peers/peer_mesh.rs
+++ b/src/peers/peer_mesh.rs
@@ -20,21 +20,21 @@
 use super::peer_link::PeerLink;
 use crate::ids::HostName;
 
-/// Connections to all peers, each kept up by a task of its own, so that a dead
-/// peer never delays a call to another. Dropping the mesh ends them.
+/// Connections to all peers. Each is maintained by its own task, so that a dead peer
+/// never delays a call to another one. Dropping the mesh closes them.
 pub struct PeerMesh {
     identity: Arc<PeerIdentity>,
     seeds: Vec<SocketAddr>,
     links: ArcSwap<Vec<Arc<PeerLink>>>,
-    /// Whether connections to the seeds are kept up.
+    /// Whether connections to the seeds are maintained.
     keeps_seeds: AtomicBool,
-    /// Held while the links are replaced, never on the path of a call.
+    /// Serialises replacements of the links; never locked by a call.
     change: Mutex<()>,
 }
 
 impl PeerMesh {
-    /// Connects to the `seeds` (the settings' addresses, their names unknown yet)
-    /// and keeps the connections up.
+    /// Connects to the `seeds`, the addresses from the settings whose host names aren't
+    /// known yet, and maintains the connections.
     pub fn spawn(identity: PeerIdentity, seeds: Vec<SocketAddr>) -> Arc<Self> {
         let mesh = Self {
             identity: Arc::new(identity),
@@ -47,8 +47,8 @@
         Arc::new(mesh)
     }
 
-    /// Replaces the named peers (the roster's seats; this host is left out).
-    /// Connections to unchanged peers stay; a seed that no seat names stays too.
+    /// Replaces the named peers: the seats of the roster without this host. Connections
+    /// to unchanged peers are kept, and so are those to seeds that are no seat's address.
     pub fn set_peers(&self, peers: &[(HostName, SocketAddr)]) {
         let _change = self.change.lock().unwrap_or_else(PoisonError::into_inner);
         let before = self.links.load_full();
@@ -71,7 +71,7 @@
         }
         let after: Vec<Arc<PeerLink>> = wanted
             .into_iter()
-            .map(|(address, expected)| self.keep_or_spawn(&before, address, expected))
+            .map(|(address, expected)| self.reuse_or_spawn(&before, address, expected))
             .collect();
         for link in before.iter() {
             if !after.iter().any(|kept| Arc::ptr_eq(kept, link)) {
@@ -81,18 +81,19 @@
         self.links.store(Arc::new(after));
     }
 
-    /// Says whether connections to the seeds are kept up; it counts from the next
-    /// [`PeerMesh::set_peers`] on. In a large fleet all hosts would hold one to each seed.
+    /// Sets whether connections to the seeds are maintained, as of the next
+    /// [`PeerMesh::set_peers`]. In a large fleet each seed would have a connection to every
+    /// host.
     pub fn keep_seeds(&self, keeps: bool) {
         self.keeps_seeds.store(keeps, Ordering::Release);
     }
 
-    /// Tells whether connections to the seeds are kept up.
+    /// Tells whether connections to the seeds are maintained.
     pub fn keeps_seeds(&self) -> bool {
         self.keeps_seeds.load(Ordering::Acquire)
     }
 
-    fn keep_or_spawn(
+    fn reuse_or_spawn(
         &self,
         before: &[Arc<PeerLink>],
         address: SocketAddr,
@@ -100,18 +101,17 @@
     ) -> Arc<PeerLink> {
         before
             .iter()
-            .find(|link| link.address() == address && link.serves(expected.as_ref()))
+            .find(|link| link.address() == address && link.is_reusable_for(expected.as_ref()))
             .cloned()
             .unwrap_or_else(|| PeerLink::spawn(address, expected, Arc::clone(&self.identity)))
     }
 
-    /// Makes a call and waits for its one reply.
+    /// Makes a call and waits for its single reply.
     ///
     /// # Errors
     ///
-    /// [`PeerError::UnknownHost`] and [`PeerError::NotConnected`] come at once
-    /// and say that nothing was sent; after any other error the call may have
-    /// taken effect.
+    /// [`PeerError::UnknownHost`] and [`PeerError::NotConnected`] are returned at once and
+    /// mean that nothing was sent; after any other error the call may have taken effect.
     pub async fn call(
         &self,
         host: &str,
@@ -127,12 +127,12 @@
         stream.next().await?.ok_or(PeerError::NoReply)
     }
 
-    /// Makes a call that is answered by a stream of replies. Has no time-out of
-    /// its own: it fails when the connection is lost or falls silent.
+    /// Makes a call that is answered by a stream of replies. It has no timeout; it fails
+    /// when the connection is lost or goes silent.
     ///
     /// # Errors
     ///
-    /// As [`PeerMesh::call`], and [`PeerError::TooManyCalls`] at once.
+    /// Those of [`PeerMesh::call`], and [`PeerError::TooManyCalls`], which is returned at once.
     pub async fn open_call(&self, host: &str, call: PeerCall) -> Result<PeerStream, PeerError> {
         let link = self.find_link(host)?;
         let sender = link.sender()?;
@@ -140,22 +140,22 @@
         PeerStream::open(sender, &call, Some(slot)).await
     }
 
-    /// Returns the link to `host`, one that is connected before any other.
+    /// Returns a link to `host`, preferably a connected one.
     fn find_link(&self, host: &str) -> Result<Arc<PeerLink>, PeerError> {
         let links = self.links.load();
-        let mut leading = links.iter().filter(|link| link.leads_to(host));
-        let first = leading.next().ok_or_else(|| PeerError::UnknownHost {
+        let mut matching = links.iter().filter(|link| link.is_for_host(host));
+        let first = matching.next().ok_or_else(|| PeerError::UnknownHost {
             host: host.to_owned(),
         })?;
         if first.is_connected() {
             return Ok(Arc::clone(first));
         }
-        let other = leading.find(|link| link.is_connected());
+        let other = matching.find(|link| link.is_connected());
         Ok(Arc::clone(other.unwrap_or(first)))
     }
 
-    /// Returns the names of the peers that can be called now, sorted; this host
-    /// is not among them, also when a seed leads to it.
+    /// Returns the sorted names of the connected peers, without this host, to which a
+    /// seed may lead.
     pub fn connected_peers(&self) -> Vec<HostName> {
         let links = self.links.load();
         let mut hosts: Vec<HostName> = links
@@ -169,12 +169,12 @@
         hosts
     }
 
-    /// Returns how each link stands.
+    /// Returns the state of each link.
     pub fn links(&self) -> Vec<LinkStatus> {
         self.links.load().iter().map(|link| link.status()).collect()
     }
 
-    /// Ends all connections; pending calls fail at once.
+    /// Closes all connections; pending calls fail at once.
     pub fn stop(&self) {
         let _change = self.change.lock().unwrap_or_else(PoisonError::into_inner);
         for link in self.links.swap(Arc::default()).iter() {
--- a/src/peers/peer_messages.rs
+++ b/src/peers/peer_messages.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other.
+//! The messages that hosts exchange.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -21,116 +21,117 @@
 use crate::policy::HostDigest;
 use crate::roster::RosterDigest;
 
-/// A SHA-256 over the bytes of a fleet document.
+/// The SHA-256 digest of the bytes of a fleet document.
 pub type ConfigDigest = [u8; 32];
 
-/// What one host asks of another.
+/// A call from one host to another.
 ///
-/// New variants go to the end and raise [`super::PROTOCOL_VERSION`]: bincode
-/// writes a variant by its place in the list.
+/// New variants are added at the end and raise [`super::PROTOCOL_VERSION`]: bincode
+/// encodes a variant by its position.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerCall {
-    /// Says all that the caller knows; answered with [`PeerReply::Digest`], which
-    /// leaves the policy's part out.
+    /// Sends the caller's full digest; answered with [`PeerReply::Digest`], which leaves
+    /// out the policy's part.
     Digest(Box<PeerDigest>),
-    /// Asks for the document in force; answered with [`PeerReply::Document`].
+    /// Requests the document in force; answered with [`PeerReply::Document`].
     Document,
-    /// Joins the answer of a request that the called host holds; streamed.
+    /// Requests the answer of a request that the called host runs or has run; streamed.
     Join {
         /// The request whose answer is wanted.
         request: RequestId,
-        /// The account that asks; another account's answer is never given.
+        /// The account that asks; the answer of another account's request is never sent.
         account: AccountName,
     },
-    /// Hands a request over; the answer is streamed back.
+    /// Forwards a request; the answer is streamed back.
     Serve {
         /// The request's head.
         head: RequestHead,
-        /// The whole body.
+        /// The complete body.
         body: Bytes,
     },
-    /// Asks the called host's seat; answered with [`PeerReply::Claim`].
+    /// Sends a claim message to the called host's seat; answered with [`PeerReply::Claim`].
     Claim(ClaimCall),
-    /// Says what changed since the digest that the called host confirmed last;
-    /// answered with [`PeerReply::Receipt`].
+    /// Sends the changes since the digest that the called host last confirmed; answered
+    /// with [`PeerReply::Receipt`].
     DigestDelta(Box<DigestDelta>),
-    /// Tells what the calling host runs, spends and knows of others; answered with
-    /// [`PeerReply::Gossip`].
+    /// Sends the load and quota usage of the calling host and what it knows of other
+    /// hosts; answered with [`PeerReply::Gossip`].
     Gossip(Box<GossipMessage>),
-    /// Asks for all targets and evacuations; [`PeerReply::PackageChunk`]s are streamed back.
+    /// Requests all targets and evacuations; answered with a stream of
+    /// [`PeerReply::PackageChunk`].
     FleetView,
-    /// Asks for the catalog; [`PeerReply::PackageChunk`]s are streamed back, none where the
-    /// called host has no newer one.
+    /// Requests the catalog; answered with a stream of [`PeerReply::PackageChunk`], which
+    /// is empty if the called host has no newer one.
     Catalog {
         /// The version of the catalog that the caller has.
         known: CatalogVersion,
     },
 }
 
-/// What a called host answers.
+/// A reply of a called host.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerReply {
-    /// What the called host knows.
+    /// The digest of the called host.
     Digest(Box<PeerDigest>),
-    /// The document in force, or nothing when none is.
+    /// The document in force, if there is one.
     Document(Option<RawDocument>),
-    /// The head of an answer; [`PeerReply::AnswerBody`] pieces follow.
+    /// The head of an answer; [`PeerReply::AnswerBody`] chunks follow.
     AnswerHead(AnswerHead),
-    /// A piece of an answer's body.
+    /// A chunk of an answer's body.
     AnswerBody(Bytes),
-    /// The answer is whole; a stream that ends without it was cut.
+    /// The answer is complete; a stream that ends without this reply is truncated.
     AnswerEnd {
-        /// What the caller is told about its request.
+        /// The outcome that the caller is told.
         outcome: RequestOutcome,
     },
     /// The call was refused or the request ended with an error.
     Refused {
-        /// Why.
+        /// The kind of error.
         kind: ErrorKind,
-        /// When to come back, in milliseconds, where the policy worked it out.
+        /// When to retry, in milliseconds, if the policy computed it.
         retry_after_ms: Option<u64>,
     },
-    /// What the seat says.
+    /// The answer of the called host's seat.
     Claim(ClaimReply),
-    /// What became of a [`PeerCall::DigestDelta`].
+    /// The result of a [`PeerCall::DigestDelta`].
     Receipt(DigestReceipt),
-    /// What the called host runs, spends and knows of others.
+    /// The load and quota usage of the called host and what it knows of other hosts.
     Gossip(Box<GossipMessage>),
-    /// A piece of a package.
+    /// A chunk of a package.
     PackageChunk(Bytes),
 }
 
-/// What became of a delta, and which document the called host has in force.
+/// The result of a digest delta, and which document the called host has in force.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum DigestReceipt {
-    /// The digest that the delta starts from is not held: the whole is wanted.
+    /// The called host doesn't have the base digest; a full digest is needed.
     UnknownBase,
-    /// Taken; the called host's document is the one that the call told.
+    /// Applied; both hosts have the same document.
     SameDocument,
-    /// Taken; the called host has another document, or none.
+    /// Applied; the called host has another document, or none.
     OtherDocument(DocumentIdentity),
 }
 
-/// What a host knows, exchanged each second and after each change.
+/// The state that a host shares with its peers, each second and after each change.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct PeerDigest {
     /// The version of the document in force; 0 when there is none.
     pub version: FleetVersion,
-    /// The digest of the document in force.
+    /// The SHA-256 digest of the document in force.
     pub digest: ConfigDigest,
-    /// What the host knows of rosters.
+    /// The host's roster state.
     pub roster: Option<RosterDigest>,
-    /// What the host's policy tells its peers.
+    /// What the host's policy shares with its peers.
     pub policy: Option<HostDigest>,
-    /// Requests that targets were lost to.
+    /// Requests suspected of crashing targets.
     pub suspects: Vec<PoisonEntry>,
 }
 
-/// A fleet document as its bytes, so that every host digests the same ones.
+/// A fleet document as raw bytes, so that every host computes the same digest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RawDocument {
     /// The document's version.
     pub version: FleetVersion,
-    /// The document as the platform gave it.
+    /// The document as received from the platform.
     pub body: Bytes,
 }
--- a/src/peers/peer_stream.rs
+++ b/src/peers/peer_stream.rs
@@ -1,4 +1,4 @@
-//! The calling end of one call.
+//! The caller's end of a call.
 
 use bytes::Bytes;
 use h2::client::ResponseFuture;
@@ -14,26 +14,26 @@
 use super::message_codec;
 use super::message_codec::FrameReader;
 
-/// The URI of every call; short, so that it costs little a call.
+/// The URI of every call; short, since it is sent with each one.
 const CALL_URI: &str = "http://p/";
 
-/// How far the answer has come.
+/// The part of the response that is read next.
 enum StreamPhase {
     Head(ResponseFuture),
     Body(FrameReader),
     Ended,
 }
 
-/// The replies to one call, as they come. Dropping it gives the call up, and
-/// resets the stream at the peer.
+/// The stream of replies to one call. Dropping it cancels the call and resets the stream
+/// at the peer.
 pub struct PeerStream {
     phase: StreamPhase,
     _slot: Option<CallSlot>,
 }
 
 impl PeerStream {
-    /// Sends `call` on a connection and returns the stream of replies, which
-    /// holds `slot` as long as it lives.
+    /// Sends `call` on a connection and returns the stream of replies, which holds `slot`
+    /// until it is dropped.
     pub(crate) async fn open(
         sender: SendRequest<Bytes>,
         call: &PeerCall,
@@ -52,12 +52,13 @@
         })
     }
 
-    /// Returns the next reply, or nothing after the last. A dropped future loses nothing.
+    /// Returns the next reply, or `None` after the last one. This method is cancel safe:
+    /// dropping the future loses no reply.
     ///
     /// # Errors
     ///
-    /// The peer gave the call up, the connection was lost, or a reply is
-    /// malformed or too large. The stream has ended after an error.
+    /// The peer abandoned the call, the connection was lost, or a reply is malformed or
+    /// too large. After an error the stream has ended.
     pub async fn next(&mut self) -> Result<Option<PeerReply>, PeerError> {
         let result = self.next_reply().await;
         if !matches!(result, Ok(Some(_))) {
--- a/src/peers/reply_sender.rs
+++ b/src/peers/reply_sender.rs
@@ -1,4 +1,4 @@
-//! The answering end of one call.
+//! The answering end of a call.
 
 use std::future::poll_fn;
 
@@ -14,9 +14,9 @@
 
 /// Sends the replies of one call.
 ///
-/// Dropped before [`ReplySender::finish`] or [`ReplySender::end`], it resets the
-/// stream: the caller gets [`PeerError::CallAbandoned`], never a short stream
-/// that reads as whole.
+/// If it is dropped before [`ReplySender::finish`] or [`ReplySender::end`], it resets the
+/// stream: the caller gets [`PeerError::CallAbandoned`], never a truncated stream that
+/// looks complete.
 pub struct ReplySender {
     respond: SendResponse<Bytes>,
     body: Option<SendStream<Bytes>>,
@@ -24,7 +24,7 @@
 }
 
 impl ReplySender {
-    /// Answers through `respond`.
+    /// Creates a sender that answers through `respond`.
     pub(crate) const fn new(respond: SendResponse<Bytes>) -> Self {
         Self {
             respond,
@@ -33,11 +33,11 @@
         }
     }
 
-    /// Sends one reply; more may follow. Waits while the caller reads slowly.
+    /// Sends one reply; more may follow. Waits while the flow-control window is full.
     ///
     /// # Errors
     ///
-    /// The caller went away, the connection was lost, or the reply is too large.
+    /// The caller cancelled the call, the connection was lost, or the reply is too large.
     pub async fn send(&mut self, reply: PeerReply) -> Result<(), PeerError> {
         self.send_reply(&reply, false).await
     }
@@ -46,25 +46,25 @@
     ///
     /// # Errors
     ///
-    /// As [`ReplySender::send`].
+    /// Those of [`ReplySender::send`].
     pub async fn finish(mut self, reply: PeerReply) -> Result<(), PeerError> {
         self.send_reply(&reply, true).await?;
         self.finished = true;
         Ok(())
     }
 
-    /// Ends the call after what was sent.
+    /// Ends the call after the replies sent so far.
     ///
     /// # Errors
     ///
-    /// The caller went away, or the connection was lost.
+    /// The caller cancelled the call, or the connection was lost.
     pub fn end(mut self) -> Result<(), PeerError> {
         self.open_body()?.send_data(Bytes::new(), true)?;
         self.finished = true;
         Ok(())
     }
 
-    /// Waits until the caller gives the call up or the connection is lost.
+    /// Waits until the caller cancels the call or the connection is lost.
     pub async fn closed(&mut self) {
         let respond = &mut self.respond;
         match &mut self.body {
@@ -78,7 +78,7 @@
         message_codec::send_frame(self.open_body()?, frame, last).await
     }
 
-    /// Returns the body, sending the head first.
+    /// Returns the body's stream; sends the response head first if it was not sent yet.
     fn open_body(&mut self) -> Result<&mut SendStream<Bytes>, PeerError> {
         if self.body.is_none() {
             let body = self.respond.send_response(Response::new(()), false)?;
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -1,4 +1,4 @@
-//! What only a faulty peer sends; needs the private handshake to send it.
+//! Calls that only a faulty peer sends. These tests use the private handshake to send them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,7 +48,7 @@
     let mut stream = TcpStream::connect(listener.address())
         .await
         .expect("the listener accepts");
-    handshake_exchange::greet_listener(&mut stream, &identity())
+    handshake_exchange::handshake_as_caller(&mut stream, &identity())
         .await
         .expect("the key is right");
     let (sender, connection) = client::handshake(stream.compat())
@@ -65,7 +65,7 @@
 }
 
 #[async_std::test]
-async fn call_beyond_the_bound_is_refused_by_its_length_alone() {
+async fn oversize_call_is_refused_by_its_length_prefix_alone() {
     let listener = listen().await;
 
     let reason = send_raw(&listener, &[0xff, 0xff, 0xff, 0xff, 0]).await;
@@ -78,23 +78,24 @@
 }
 
 #[async_std::test]
-async fn call_that_is_cut_or_unknown_is_refused() {
+async fn truncated_or_unknown_call_is_refused() {
     let listener = listen().await;
 
-    let cut = send_raw(&listener, &[0, 0, 0, 9, 1]).await;
+    let truncated = send_raw(&listener, &[0, 0, 0, 9, 1]).await;
     let unknown = send_raw(&listener, &[0, 0, 0, 1, 200]).await;
     let empty = send_raw(&listener, &[]).await;
 
-    assert_eq!(cut, Some(Reason::PROTOCOL_ERROR));
+    assert_eq!(truncated, Some(Reason::PROTOCOL_ERROR));
     assert_eq!(unknown, Some(Reason::PROTOCOL_ERROR));
     assert_eq!(empty, Some(Reason::PROTOCOL_ERROR));
     assert_eq!(listener.counters().calls.load(Ordering::Relaxed), 0);
 }
 
-/// A few bytes claim a body of 2^62 bytes. Without the codec's limit the
-/// listener would ask for the memory before it finds the bytes missing, and die.
+/// A message of a few bytes declares a body of 2^62 bytes. Without the codec's limit the
+/// listener would try to allocate them before it notices that they are missing, and
+/// abort.
 #[async_std::test]
-async fn length_inside_a_message_can_not_claim_memory() {
+async fn length_inside_a_message_does_not_allocate_memory() {
     let listener = listen().await;
 
     // Serve, method "", path "", no headers, then the body's length.
--- a/tests/peers_faults.rs
+++ b/tests/peers_faults.rs
@@ -186,7 +186,7 @@
     })
     .await;
     let links = mesh.links();
-    assert_eq!(links.iter().map(|link| link.connects).max(), Some(2));
+    assert_eq!(links.iter().map(|link| link.connect_count).max(), Some(2));
 }
 
 /// A host is replaced at the same address. Its peers call it again without
@@ -224,7 +224,7 @@
 
     assert!(answers(&mesh, "b").await);
     let links = mesh.links();
-    assert_eq!((links.len(), links[0].connects), (1, 1));
+    assert_eq!((links.len(), links[0].connect_count), (1, 1));
 }
 
 /// Hundreds of relayed answers run between two hosts at once. One more must be
@@ -283,7 +283,7 @@
     assert!(answers(&mesh, "c").await);
     let links = mesh.links();
     assert_eq!(links.len(), 1);
-    assert_eq!(links[0].connects, 1);
+    assert_eq!(links[0].connect_count, 1);
 }
 
 /// Hosts of two releases meet during a rolling replacement. The old one must
--- a/tests/peers_watch.rs
+++ b/tests/peers_watch.rs
@@ -39,7 +39,7 @@
         host: Some(host.to_owned()),
         connected,
         last_error: (!connected).then_some(PeerError::ConnectionLost),
-        connects: 1,
+        connect_count: 1,
         read_bytes: 0,
         written_bytes: 0,
     }
