--- a/src/errors.rs
+++ b/src/errors.rs
@@ -1,21 +1,21 @@
-//! The closed list of error kinds and the one table that maps a kind to its answer.
+//! The error kinds of requests and the table that maps each kind to its answer.
 //!
-//! Whatever goes wrong on a request's path ends as one [`ErrorKind`]; nothing
-//! else decides a status, an outcome or a retry advice.
+//! Every failure of a request is reported as one [`ErrorKind`], which alone determines the
+//! status, the outcome and the retry advice.
 
 use derive_more::Display;
 use derive_more::Error;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a caller is told about whether its request ran.
+/// Whether a request ran, as reported to its caller.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestOutcome {
-    /// The request ran and this is its whole answer.
+    /// The request ran and this is its complete answer.
     #[display("done")]
     Done,
-    /// The request did not run, and this attempt never will.
+    /// The request did not run, and this attempt will never run.
     #[display("not-run")]
     NotRun,
     /// The request may have run.
@@ -23,27 +23,27 @@
     Unknown,
 }
 
-/// When a caller may come back.
+/// When a caller should retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryAdvice {
-    /// Sending the same request again gives the same answer.
+    /// Don't retry: the same request gets the same answer.
     Never,
-    /// Come back after the time that the policy worked out from the queue's drain.
-    AfterDrain,
-    /// Come back at once: another host most likely has the answer.
-    AtOnce,
+    /// Retry after the time that the policy computed from how fast the queue drains.
+    AfterDelay,
+    /// Retry immediately: another host can probably serve the request.
+    Immediately,
 }
 
-/// Everything that can go wrong with a request.
+/// The kinds of failure of a request.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Error, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum ErrorKind {
-    /// The message breaks HTTP/1.1 framing or syntax.
+    /// The message violates HTTP/1.1 framing or syntax.
     #[display("malformed-message")]
     MalformedMessage,
-    /// The head is larger than the parser's bound.
+    /// The head exceeds the parser's size limit.
     #[display("head-too-large")]
     HeadTooLarge,
     /// The body is larger than the class allows.
@@ -58,90 +58,90 @@
     /// No class matches the method, path and `Request-Class`.
     #[display("unknown-class")]
     UnknownClass,
-    /// `Request-Id` is absent on a non-idempotent class, or is no UUIDv7.
+    /// `Request-Id` is missing for a non-idempotent class, or is not a UUIDv7.
     #[display("bad-request-id")]
     BadRequestId,
-    /// `Request-Id` is older than the claim window, or lies in the future.
+    /// The time in `Request-Id` is before the claim window or in the future.
     #[display("request-id-out-of-window")]
     RequestIdOutOfWindow,
-    /// `Request-Attempt` or `Request-Deadline-Ms` is no number in range.
+    /// `Request-Attempt` or `Request-Deadline-Ms` is not a number in range.
     #[display("bad-request-header")]
     BadRequestHeader,
-    /// The account sends more than its limit.
+    /// The account is over its rate limit.
     #[display("account-limit")]
     AccountLimit,
     /// The queue can't serve the request before its deadline.
     #[display("overloaded")]
     Overloaded,
-    /// The request waited and its deadline came.
+    /// The deadline passed while the request was queued.
     #[display("deadline-passed")]
     DeadlinePassed,
-    /// No target that the selectors allow is there.
+    /// No target allowed by the selectors is available.
     #[display("no-target")]
     NoTarget,
-    /// The host is leaving and no peer took the waiting request.
+    /// The host is leaving and no peer accepted the waiting request.
     #[display("host-leaving")]
     HostLeaving,
-    /// The host has no configuration or no voice yet.
+    /// The host has no configuration yet, or its seat may not vote yet.
     #[display("not-ready")]
     NotReady,
-    /// No majority of seats answered, so nothing can be dispatched.
+    /// No majority of seats answered, so nothing may be dispatched.
     #[display("no-majority")]
     NoMajority,
-    /// An earlier attempt was answered `not-run` and this attempt is barred.
+    /// The attempt is barred, because the request was answered `not-run` before.
     #[display("attempt-barred")]
     AttemptBarred,
-    /// Another host holds the claim and can't be asked for the answer.
+    /// Another host holds the claim and can't be reached for the answer.
     #[display("holder-lost")]
     HolderLost,
-    /// No byte reached any target.
+    /// No target could be reached; no byte of the request was sent.
     #[display("target-unreachable")]
     TargetUnreachable,
-    /// The target's connection ended after the dispatch and the answer is lost.
+    /// The target's connection was lost after the dispatch, and with it the answer.
     #[display("target-lost")]
     TargetLost,
-    /// The target fell silent after the dispatch.
+    /// The target went silent after the dispatch.
     #[display("target-silent")]
     TargetSilent,
-    /// The target itself refused the request since it leaves.
+    /// The target refused the request because it is leaving.
     #[display("target-leaving")]
     TargetLeaving,
-    /// The target answered with another request's id or a broken message.
+    /// The target answered with another request's id or a malformed message.
     #[display("target-fault")]
     TargetFault,
-    /// Requests like this one took down the targets that ran them.
+    /// Requests with the same fingerprint crashed the targets that ran them.
     #[display("crashes-targets")]
     CrashesTargets,
-    /// The host holds as many connections of callers as it may.
+    /// The limit of connected callers is reached.
     #[display("too-many-callers")]
     TooManyCallers,
-    /// What the host believes of keys is too old to run anything on.
+    /// The host's view of the store is too old to dispatch on.
     #[display("stale-view")]
     StaleView,
-    /// Targets were lost to requests like this one, so it waits for better days.
+    /// Targets were lost while running requests like this one, so it is refused for now.
     #[display("suspect-request")]
     SuspectRequest,
-    /// The gateway failed in a way that is a fault of its own.
+    /// The gateway failed because of a fault of its own.
     #[display("internal")]
     Internal,
 }
 
-/// One row of the answer table.
+/// A row of the answer table.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerRow {
-    /// The kind that the row answers.
+    /// The kind of error.
     pub kind: ErrorKind,
     /// The HTTP status.
     pub status: u16,
-    /// The outcome when nothing is known beyond the kind; see [`AnswerRow::outcome`].
+    /// The outcome, if only the kind is known; see [`ANSWER_TABLE`].
     pub outcome: RequestOutcome,
-    /// When to come back.
+    /// When to retry.
     pub advice: RetryAdvice,
-    /// What a person reads.
+    /// The message for people.
     pub message: &'static str,
 }
 
-/// Builds one row; keeps the table below readable.
+/// Creates a row; keeps the table below compact.
 const fn row(
     kind: ErrorKind,
     status: u16,
@@ -158,11 +158,11 @@
     }
 }
 
-/// The table from kind to answer, in the order of the list.
+/// The answer of each kind, in the order of [`ErrorKind`].
 ///
-/// `NotRun` stands only where the filter that raises the kind holds the proof:
-/// a majority released or barred the attempt. A refusal before the claim is
-/// barred first, and becomes `Unknown` where no majority answers.
+/// A kind has the outcome `NotRun` only if the filter that raises it has a proof: a majority
+/// has released or barred the attempt. For a refusal before the claim, the attempt is
+/// barred first; if no majority answers, the outcome becomes `Unknown`.
 pub const ANSWER_TABLE: &[AnswerRow] = &[
     row(
         ErrorKind::MalformedMessage,
@@ -189,7 +189,7 @@
         ErrorKind::SlowCaller,
         408,
         RequestOutcome::Unknown,
-        RetryAdvice::AtOnce,
+        RetryAdvice::Immediately,
         "the message did not arrive in time",
     ),
     row(
@@ -231,56 +231,56 @@
         ErrorKind::AccountLimit,
         429,
         RequestOutcome::NotRun,
-        RetryAdvice::AfterDrain,
+        RetryAdvice::AfterDelay,
         "the client account is over its limit",
     ),
     row(
         ErrorKind::Overloaded,
         503,
         RequestOutcome::NotRun,
-        RetryAdvice::AfterDrain,
+        RetryAdvice::AfterDelay,
         "the request can't be served before its deadline",
     ),
     row(
         ErrorKind::DeadlinePassed,
         503,
         RequestOutcome::NotRun,
-        RetryAdvice::AfterDrain,
+        RetryAdvice::AfterDelay,
         "the deadline came while the request waited",
     ),
     row(
         ErrorKind::NoTarget,
         503,
         RequestOutcome::NotRun,
-        RetryAdvice::AfterDrain,
+        RetryAdvice::AfterDelay,
         "no target that the selectors allow is available",
     ),
     row(
         ErrorKind::HostLeaving,
         503,
         RequestOutcome::NotRun,
-        RetryAdvice::AtOnce,
+        RetryAdvice::Immediately,
         "this host is leaving; another one will serve the request",
     ),
     row(
         ErrorKind::NotReady,
         503,
         RequestOutcome::Unknown,
-        RetryAdvice::AtOnce,
+        RetryAdvice::Immediately,
         "this host is not ready to serve",
     ),
     row(
         ErrorKind::NoMajority,
         503,
         RequestOutcome::Unknown,
-        RetryAdvice::AtOnce,
+        RetryAdvice::Immediately,
         "this host reaches no majority of its peers, so it dispatches nothing",
     ),
     row(
         ErrorKind::AttemptBarred,
         409,
         RequestOutcome::NotRun,
-        RetryAdvice::AtOnce,
+        RetryAdvice::Immediately,
         "this attempt was given up; raise Request-Attempt to run the request",
     ),
     row(
@@ -294,7 +294,7 @@
         ErrorKind::TargetUnreachable,
         503,
         RequestOutcome::NotRun,
-        RetryAdvice::AfterDrain,
+        RetryAdvice::AfterDelay,
         "no allowed target took the request",
     ),
     row(
@@ -329,28 +329,28 @@
         ErrorKind::CrashesTargets,
         422,
         RequestOutcome::NotRun,
-        RetryAdvice::AfterDrain,
+        RetryAdvice::AfterDelay,
         "requests like this one took down the targets that ran them",
     ),
     row(
         ErrorKind::TooManyCallers,
         503,
         RequestOutcome::Unknown,
-        RetryAdvice::AtOnce,
+        RetryAdvice::Immediately,
         "this host has too many callers connected; another one may have room",
     ),
     row(
         ErrorKind::StaleView,
         503,
         RequestOutcome::NotRun,
-        RetryAdvice::AtOnce,
+        RetryAdvice::Immediately,
         "this host has not heard of the current keys for too long; another one may have",
     ),
     row(
         ErrorKind::SuspectRequest,
         503,
         RequestOutcome::NotRun,
-        RetryAdvice::AfterDrain,
+        RetryAdvice::AfterDelay,
         "targets were lost to requests like this one",
     ),
     row(
@@ -363,9 +363,9 @@
 ];
 
 impl ErrorKind {
-    /// Returns the row that answers this kind.
+    /// Returns the answer of this kind.
     pub fn answer(self) -> &'static AnswerRow {
-        // The table stands in the order of the list; tests/errors.rs holds it to that.
+        // The table has the order of the enum; a test checks this.
         &ANSWER_TABLE[self as usize]
     }
 }
--- a/src/gateway/admit_filter.rs
+++ b/src/gateway/admit_filter.rs
@@ -1,4 +1,4 @@
-//! Third and fourth filter: the account's limit, then a place in the queue.
+//! Third and fourth filters: the account's rate limit, then admission to the queue.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,24 +17,25 @@
 use super::HostState;
 use super::RequestRefusal;
 
-/// Bytes of a body a token, for a body that does not say its length in tokens.
+/// Body bytes per token, to estimate the length of a prompt.
 const BYTES_PER_TOKEN: usize = 4;
-/// How much of a body makes its prefix: a system prompt of some 256 tokens.
+/// Number of leading body bytes that are hashed as the prefix: a system prompt of some
+/// 256 tokens.
 const PREFIX_BYTES: usize = 1024;
-/// The goal for the first token of the top tier (letter 1).
+/// The time to first token that the top tier aims for.
 const FIRST_TOKEN_GOAL: Duration = Duration::from_millis(1200);
 
-/// Takes a request off its account's limit.
+/// Counts a request against its account's rate limit.
 ///
 /// # Errors
 ///
-/// `AccountLimit`, with the time after which the next one is let in.
+/// `AccountLimit`, with the time after which the next request is admitted.
 pub(crate) fn limit_account(
     host: &HostState,
     request: &ClassifiedRequest,
 ) -> Result<(), RequestRefusal> {
-    // A request that a peer handed over was counted there.
-    if request.handed_over {
+    // A forwarded request was estimate by the peer that received it.
+    if request.forwarded {
         return Ok(());
     }
     host.limiter
@@ -57,8 +58,8 @@
     body: &[u8],
     source: WorkSource,
 ) -> Result<WorkTicket, RequestRefusal> {
-    // Guards against waiting for ever: a host without a seat has no share of any
-    // slot, and after two changes of the roster no seat speaks for the id.
+    // Guards against waiting forever: a host without a seat has no share of any slot,
+    // and after two roster changes no seat answers for the id any more.
     if host.drain.is_leaving() || !view.has_seat(&host.host) {
         return Err(RequestRefusal::of(ErrorKind::HostLeaving));
     }
@@ -88,11 +89,11 @@
 
 /// Estimates the length of a prompt.
 pub(super) fn prompt_length(request: &ClassifiedRequest, body: &[u8]) -> TokenCount {
-    let counted = (body.len() / BYTES_PER_TOKEN) as TokenCount;
-    counted.max(request.expected_prompt)
+    let estimate = (body.len() / BYTES_PER_TOKEN) as TokenCount;
+    estimate.max(request.expected_prompt)
 }
 
-/// Hashes a prompt's beginning; the value is alike on all hosts.
+/// Hashes the beginning of a prompt; the value is the same on all hosts.
 pub(super) fn prefix_hash(body: &[u8]) -> u64 {
     xxh3_64(&body[..body.len().min(PREFIX_BYTES)])
 }
--- a/src/gateway/caller_service.rs
+++ b/src/gateway/caller_service.rs
@@ -1,4 +1,4 @@
-//! Serves the callers' connections.
+//! Serves the connections of callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,22 +21,22 @@
 use super::RequestRefusal;
 use super::classify_filter::classify_request;
 use super::identify_filter::identify_account;
-use super::request_entry::enter_request;
+use super::request_entry::start_request;
 
-/// How many callers may be connected at a time, where the system allows as many
-/// open files: a tenth of a daemon's share of 128 MB for what is idle.
+/// Maximum number of connected callers, if the system allows as many open files. Idle
+/// connections then take a tenth of the 128 MB that a daemon may use.
 const MAX_CALLERS: usize = 4096;
-/// File handles for listeners, peers, the platform and operators.
+/// File descriptors reserved for listeners, peers, the platform and operators.
 const RESERVED_HANDLES: usize = 256;
 
-/// Takes callers' connections at an address until it is dropped.
+/// Accepts connections of callers at an address until it is dropped.
 #[derive(Debug)]
 pub(crate) struct CallerService {
     listener: ConnectionListener,
 }
 
 impl CallerService {
-    /// Takes connections from now on.
+    /// Binds the address and starts accepting connections.
     ///
     /// # Errors
     ///
@@ -55,12 +55,12 @@
     }
 }
 
-/// Returns how many callers may be connected at a time.
+/// Returns the maximum number of connected callers.
 ///
-/// Load it answers: callers that connect and never leave. Without a bound they
-/// take every file handle, and no target, peer or platform can be reached any
-/// more. Each running request needs a second handle for its target, so callers
-/// get half of what the system allows this process, less a reserve.
+/// Without a limit, callers that connect and never disconnect would use up all file
+/// descriptors, and the host could no longer reach any target, peer or the platform.
+/// Each running request needs a second descriptor for its target, so callers get half of
+/// the process's limit after the reserve.
 fn max_callers() -> usize {
     let allowed = getrlimit(Resource::Nofile).current;
     let allowed = allowed.map_or(usize::MAX, |count| {
@@ -69,7 +69,7 @@
     (allowed.saturating_sub(RESERVED_HANDLES) / 2).clamp(1, MAX_CALLERS)
 }
 
-/// Tells a caller above the bound that another host may have room.
+/// Refuses a caller beyond the limit; another host may have room.
 async fn refuse_caller(mut connection: CallerConnection, host: Arc<HostState>) {
     host.metrics.count_refused_caller();
     connection.end_after_answer();
@@ -101,9 +101,9 @@
     mut request: CallerRequest,
     host: &Arc<HostState>,
 ) -> io::Result<()> {
-    // A host that drains waits until the answer is written, too.
+    // A draining host also waits until the answer is written.
     let _running = host.drain.enter();
-    // A leaving host asks its callers to connect anew, which leads elsewhere.
+    // A leaving host closes the connection, so that the caller reconnects to another host.
     if host.drain.is_leaving() {
         connection.end_after_answer();
     }
@@ -129,12 +129,12 @@
     let refused = |kind| (kind, Some(id));
     let bound = request.body_bound(classified.max_body_bytes);
     let share = host
-        .bodies
+        .body_budget
         .take(bound)
         .ok_or(refused(ErrorKind::Overloaded))?;
     let body = request.read_body(classified.max_body_bytes).await;
     let body = Bytes::from(body.map_err(refused)?);
-    enter_request(host, classified, body, share).map_err(refused)
+    start_request(host, classified, body, share).map_err(refused)
 }
 
 async fn send_answer(
@@ -147,7 +147,7 @@
         None
     });
     match head.await {
-        // The caller is gone; dropping the reader tells the run.
+        // The caller is gone; dropping the reader signals this to the run.
         None => Err(io::ErrorKind::ConnectionAborted.into()),
         Some(None) => send_refusal(connection, host, ErrorKind::HolderLost, None).await,
         Some(Some(head)) => connection.send_answer(head, reader).await,
--- a/src/gateway/claim_filter.rs
+++ b/src/gateway/claim_filter.rs
@@ -1,4 +1,4 @@
-//! The claim on the id, won while the connection to the target is opened.
+//! Fifth filter: claims the request id while the connection to the target is opened.
 
 use std::time::Duration;
 
@@ -16,48 +16,48 @@
 
 use super::RequestRun;
 
-/// How long a connection to a target may take to open. A target whose host is
-/// gone answers nothing at all; across zones a round trip takes two milliseconds.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for opening a connection to a target. A target whose host is gone doesn't
+/// answer at all; a round trip across zones takes 2 ms.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What became of a place that the policy gave.
-pub(crate) enum ClaimedPlace {
+/// The result of claiming the id for a target chosen by the policy.
+pub(crate) enum ClaimResult {
     /// The claim is held and the connection is open.
     Ready(TargetConnection, HeldClaim<UnsentStage>),
-    /// The claim is held, but this target can't be reached or is not to be used.
+    /// The claim is held, but the target can't be reached or must not be used.
     NoConnection(HeldClaim<UnsentStage>),
-    /// The claim was not won.
+    /// The claim was not granted.
     NoClaim(ClaimOutcome),
 }
 
-/// Claims the id and connects to the target, both at once.
-pub(crate) async fn claim_place(
+/// Claims the id and connects to the target concurrently.
+pub(crate) async fn claim_and_connect(
     run: &RequestRun,
     target: &TargetName,
     held: Option<HeldClaim<UnsentStage>>,
-) -> ClaimedPlace {
+) -> ClaimResult {
     let began = boot_now();
     let (connection, verdict) = zip(open_target(run, target), claim_or_keep(run, held)).await;
     let claim = match verdict {
         ClaimOutcome::Granted(claim) => claim,
-        lost => return ClaimedPlace::NoClaim(lost),
+        lost => return ClaimResult::NoClaim(lost),
     };
     let connection = match connection {
         Ok(connection) => connection,
         Err(_) => {
             run.host.targets.mark_unreachable(target);
-            return ClaimedPlace::NoConnection(claim);
+            return ClaimResult::NoConnection(claim);
         }
     };
-    // Guards against dispatching on an old belief: the target may have begun to
-    // leave, or the selectors may have changed, while the request waited or
-    // while this process was paused.
+    // Guards against dispatching on a stale view: the target may have started to leave,
+    // or the selectors may have changed, while the request waited or this process was
+    // paused.
     let fresh = refresh_view(run, began).await;
     let view = run.host.view();
     let allowed = view.is_some_and(|view| is_allowed(run, &view, target));
     match fresh && allowed {
-        true => ClaimedPlace::Ready(connection, claim),
-        false => ClaimedPlace::NoConnection(claim),
+        true => ClaimResult::Ready(connection, claim),
+        false => ClaimResult::NoConnection(claim),
     }
 }
 
@@ -65,9 +65,9 @@
     match held {
         Some(claim) => ClaimOutcome::Granted(claim),
         None => {
-            // A process that was paused holds connections that its peers gave
-            // up. Claims sent on them fail, and the attempt would be given up
-            // although the peers are there.
+            // After a pause, the process still has connections that its peers have
+            // closed. Claims sent on them would fail, and the attempt would be refused
+            // although the peers are reachable.
             refresh_view(run, boot_now()).await;
             let (id, attempt) = (run.request.id, run.request.attempt);
             run.host.claims.claim(id, attempt).await
@@ -84,14 +84,14 @@
         .view()
         .and_then(|view| view.target(target).map(|target| target.target.address))
         .ok_or(ExchangeError::Unreachable)?;
-    TargetConnection::open(address, CONNECT_LIMIT).await
+    TargetConnection::open(address, CONNECT_TIMEOUT).await
 }
 
-/// Refreshes the view when it grew old, as it does while a process is paused;
-/// tells whether it is fresh.
+/// Refreshes the view if it is stale or this process was paused; tells whether the view
+/// is fresh.
 async fn refresh_view(run: &RequestRun, began: Duration) -> bool {
     let now = boot_now();
-    let paused = now.saturating_sub(began) > CONNECT_LIMIT * 2;
+    let paused = now.saturating_sub(began) > CONNECT_TIMEOUT * 2;
     match run.host.config.is_fresh(now) && !paused {
         true => true,
         false => run.host.config.refresh().await,
--- a/src/gateway/classify_filter.rs
+++ b/src/gateway/classify_filter.rs
@@ -17,41 +17,41 @@
 use crate::ids::TierRank;
 use crate::ids::TokenCount;
 
-/// The longest deadline that a caller may ask for: a day.
+/// The longest deadline that a caller may request: one day.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
 
-/// A request about which everything is known but its body.
+/// A request with everything known from its head, before the body is read.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassifiedRequest {
-    /// The head as it came.
+    /// The head as received.
     pub(crate) head: RequestHead,
-    /// The account that sends it.
+    /// The account that sent the request.
     pub(crate) account: AccountName,
     /// The account's weight.
     pub(crate) weight: u32,
-    /// The class.
+    /// The request's class.
     pub(crate) class: ClassName,
-    /// The tier.
+    /// The class's tier.
     pub(crate) tier: TierRank,
-    /// Whether the call may safely run again.
+    /// Whether the call may safely run more than once.
     pub(crate) idempotent: bool,
-    /// The id.
+    /// The request id.
     pub(crate) id: RequestId,
-    /// The attempt.
+    /// The attempt number.
     pub(crate) attempt: AttemptNumber,
-    /// When the whole answer must be there, on the boot clock.
+    /// When the complete answer is due, on the boot clock.
     pub(crate) deadline: Duration,
     /// The class's expected prompt length.
     pub(crate) expected_prompt: TokenCount,
     /// The expected length of the answer.
     pub(crate) expected_output: TokenCount,
-    /// The largest body, in bytes.
+    /// Maximum size of the body, in bytes.
     pub(crate) max_body_bytes: u64,
-    /// Whether a peer handed the request over.
-    pub(crate) handed_over: bool,
+    /// Whether a peer forwarded the request.
+    pub(crate) forwarded: bool,
 }
 
-/// Works out everything that the head tells.
+/// Classifies a request by its head.
 ///
 /// # Errors
 ///
@@ -82,15 +82,15 @@
         expected_prompt: rule.expected_prompt_tokens,
         expected_output: output.map_or(rule.expected_output_tokens, |count| count as TokenCount),
         max_body_bytes: rule.max_body_bytes,
-        handed_over: false,
+        forwarded: false,
         head,
     })
 }
 
-/// Reads the id, or makes one where the class lets it.
+/// Reads the request id, or generates one if the class is idempotent.
 ///
-/// An id from outside the window is refused by every host alike: seats forget
-/// older ids, so an old one could be granted a second time.
+/// Every host refuses an id from outside the window: seats forget older ids, so an old
+/// one could be granted a second time.
 fn read_id(
     head: &RequestHead,
     class: &ClassView,
@@ -115,14 +115,14 @@
 fn read_number(
     head: &RequestHead,
     name: &str,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<Option<u64>, ErrorKind> {
     let Some(text) = head.header(name) else {
         return Ok(None);
     };
     let number: u64 = text.parse().map_err(|_| ErrorKind::BadRequestHeader)?;
-    match (least..=most).contains(&number) {
+    match (min..=max).contains(&number) {
         true => Ok(Some(number)),
         false => Err(ErrorKind::BadRequestHeader),
     }
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -1,4 +1,4 @@
-//! Puts one host together and runs it until it is told to leave.
+//! Sets up one host and runs it until it is told to leave.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -56,17 +56,17 @@
 use crate::roster::SeatIncarnation;
 use crate::settings::HostSettings;
 
-/// What the bodies of all waiting and running requests may take together: 32 MiB,
-/// a quarter of the 128 MB that a daemon may use for everything.
+/// Memory limit for the body_budget of all waiting and running requests: a quarter of the
+/// 128 MB that a daemon may use.
 const MAX_BODY_BYTES: usize = 32 << 20;
-/// How often kept answers are looked through.
-const TRIM_PERIOD: Duration = Duration::from_secs(1);
-/// How often the host looks whether its own state changed; a change that lasts
-/// shorter is for the counters.
-const LOOK_PERIOD: Duration = Duration::from_millis(250);
-/// How long a leaving host goes on taking connections, so that the balancer
-/// sees `/ready` say no before connections are refused.
-const LEAVE_NOTICE: Duration = Duration::from_secs(2);
+/// How often expired answers are removed.
+const TRIM_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the host checks its own state for changes to log; shorter changes show up
+/// only in the counters.
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a leaving host still accepts connections, so that the load balancer sees
+/// `/ready` fail before connections are refused.
+const DRAIN_NOTICE: Duration = Duration::from_secs(2);
 
 /// Runs one host until it is told to leave.
 ///
@@ -79,8 +79,8 @@
 
 /// One running host; several may run in one process.
 ///
-/// Dropping it closes its listeners and cuts every connection, as the end of the
-/// process does; [`HostServer::stop`] leaves without cutting anything.
+/// Dropping it closes its listeners and aborts every connection, as the end of the
+/// process does; [`HostServer::stop`] shuts down without aborting anything.
 pub struct HostServer {
     state: Arc<HostState>,
     callers: CallerService,
@@ -91,7 +91,7 @@
 }
 
 impl HostServer {
-    /// Opens every part of a host and begins to serve.
+    /// Opens every part of a host and starts serving.
     ///
     /// # Errors
     ///
@@ -114,7 +114,7 @@
         let limiter = Arc::new(AccountLimiter::default());
         let kept_bytes = FleetLimits::default().kept_answer_bytes;
         let answers = Arc::new(AnswerCache::new(kept_bytes as usize));
-        // The targets follow the configuration and are made after it.
+        // The target controller needs the configuration controller and is created after it.
         let targets_cell = Arc::new(OnceLock::new());
         let config = ConfigController::spawn(ConfigParts {
             host: settings.host.clone(),
@@ -123,7 +123,7 @@
             log: log.clone(),
             metrics: metrics.clone(),
             admit_roster: admit_rosters(claims.clone()),
-            accepted: follow_views(
+            accepted: apply_views(
                 settings.host.clone(),
                 work.clone(),
                 limiter.clone(),
@@ -163,7 +163,7 @@
             targets,
             suspects,
             digests: digests.clone(),
-            bodies: ByteBudget::new(MAX_BODY_BYTES),
+            body_budget: ByteBudget::new(MAX_BODY_BYTES),
             answers,
             mesh,
             recorder,
@@ -190,13 +190,13 @@
             state.log.clone(),
             state.metrics.clone(),
         );
-        task::spawn(trim_forever(state.clone()));
+        task::spawn(trim_answers(state.clone()));
         state.log.write(&StateChange::Started {
             host: settings.host.clone(),
             program: env!("CARGO_PKG_VERSION"),
             caller_address: callers.address(),
         });
-        task::spawn(tell_changes_forever(state.clone()));
+        task::spawn(log_state_changes(state.clone()));
         Ok(Self {
             state,
             callers,
@@ -222,22 +222,22 @@
         self.operators.address()
     }
 
-    /// Tells why the host takes no requests; `None` when it does.
+    /// Returns why the host accepts no requests; `None` if it does.
     pub fn unready_reason(&self) -> Option<String> {
         self.state.unready_reason()
     }
 
-    /// Returns the version of the fleet document in force, once there is one.
+    /// Returns the version of the fleet document in force, if there is one.
     pub fn version_in_force(&self) -> Option<FleetVersion> {
         self.state.view().map(|view| view.document().version)
     }
 
-    /// Leaves: takes no new requests and returns once none is left.
+    /// Drains the host: accepts no new requests and returns once none is left.
     pub async fn stop(self) {
         self.drain().await;
     }
 
-    /// Serves until SIGTERM or SIGINT, then drains; a second signal ends at once.
+    /// Serves until SIGTERM or SIGINT, then drains; a second signal ends the process at once.
     ///
     /// # Errors
     ///
@@ -252,8 +252,8 @@
         Ok(())
     }
 
-    /// Leaves without cutting anything: waiting requests go to peers or are
-    /// answered with proof, running ones end here.
+    /// Drains the host: waiting requests are forwarded to peers or refused with a proof
+    /// that they did not run; running ones complete here.
     async fn drain(&self) {
         let state = &self.state;
         let (waiting, running) = state.work.counts();
@@ -263,7 +263,7 @@
             running: running.values().sum::<u32>() as usize,
         });
         state.work.drain();
-        task::sleep(LEAVE_NOTICE).await;
+        task::sleep(DRAIN_NOTICE).await;
         state.drain.wait_idle().await;
         state.log.write(&StateChange::DrainEnded);
     }
@@ -288,21 +288,21 @@
     ClaimCoordinator::open(settings.host.clone(), incarnation, seat, mesh.clone())
 }
 
-async fn trim_forever(state: Arc<HostState>) {
+async fn trim_answers(state: Arc<HostState>) {
     loop {
-        task::sleep(TRIM_PERIOD).await;
+        task::sleep(TRIM_INTERVAL).await;
         state.answers.evict(boot_now());
     }
 }
 
-/// Writes a line for each change of the host's own state.
-async fn tell_changes_forever(state: Arc<HostState>) {
+/// Logs each change of the host's own state.
+async fn log_state_changes(state: Arc<HostState>) {
     let mut roll = HostTracker::default();
     loop {
-        for change in roll.update(state.look()) {
+        for change in roll.update(state.snapshot()) {
             state.log.write(&change);
         }
-        task::sleep(LOOK_PERIOD).await;
+        task::sleep(STATE_POLL_INTERVAL).await;
     }
 }
 
@@ -310,7 +310,7 @@
     DocumentClient::new(settings.platform_addresses.clone(), settings.scope.clone())
 }
 
-/// Lets the seat judge the roster of each document.
+/// Returns a callback by which this host's seat admits or refuses a document's roster.
 fn admit_rosters(claims: Arc<ClaimCoordinator>) -> Box<RosterValidator> {
     Box::new(move |document| {
         let plan = RosterPlan::of_document(document);
@@ -322,7 +322,7 @@
             verdict,
             Ok(RosterDecision::Accepted | RosterDecision::Unchanged)
         ) {
-            // A document is refused whole: its limits go with it.
+            // A document is refused as a whole, including its limits.
             let (window_ms, skew_ms) = former;
             register.set_limits(window_ms, skew_ms);
         }
@@ -336,10 +336,10 @@
     })
 }
 
-/// Puts each new document in force in the parts that follow it.
+/// Returns a callback that applies each new document to the parts that depend on it.
 ///
-/// A host that lost its seat gives up what waits: it has no share of any slot.
-fn follow_views(
+/// A host that lost its seat drains its queue, since it has no share of any slot.
+fn apply_views(
     host: HostName,
     work: Arc<WorkController>,
     limiter: Arc<AccountLimiter>,
--- a/src/gateway/host_state.rs
+++ b/src/gateway/host_state.rs
@@ -1,4 +1,4 @@
-//! Everything that the filters of one host share.
+//! State shared by the filters of one host.
 
 use std::sync::Arc;
 
@@ -22,49 +22,49 @@
 use crate::poison::PoisonGuard;
 use crate::recorder::TraceRecorder;
 
-/// Everything that the filters of one host share.
+/// State shared by the filters of one host.
 pub(crate) struct HostState {
     /// The host's name.
     pub(crate) host: HostName,
-    /// This life of the process.
+    /// Identifies this run of the process.
     pub(crate) incarnation: IncarnationId,
     /// The configuration in force.
     pub(crate) config: Arc<ConfigController>,
-    /// The rates of the accounts.
+    /// The rate limits of the accounts.
     pub(crate) limiter: Arc<AccountLimiter>,
-    /// The queue and the places.
+    /// The queue and the slots of the targets.
     pub(crate) work: Arc<WorkController>,
     /// Claims on request ids.
     pub(crate) claims: Arc<ClaimCoordinator>,
-    /// What is known of the targets.
+    /// The state of the targets.
     pub(crate) targets: Arc<TargetController>,
-    /// Requests that crash targets.
+    /// Requests suspected of crashing targets.
     pub(crate) suspects: Arc<PoisonGuard>,
-    /// What the hosts tell each other.
+    /// The exchange of digests with the peers.
     pub(crate) digests: Arc<DigestController>,
-    /// What the bodies of all requests here may take together.
-    pub(crate) bodies: Arc<ByteBudget>,
-    /// Answers in flight and kept.
+    /// The memory budget for request body_budget.
+    pub(crate) body_budget: Arc<ByteBudget>,
+    /// Answers in progress and completed ones that are kept for resends.
     pub(crate) answers: Arc<AnswerCache>,
     /// The connections to the peers.
     pub(crate) mesh: Arc<PeerMesh>,
-    /// Where requests are recorded, if anywhere.
+    /// The recorder of the request trace, if one is configured.
     pub(crate) recorder: Option<TraceRecorder>,
-    /// Histograms and counters.
+    /// The metrics.
     pub(crate) metrics: Arc<RequestMetrics>,
-    /// Lines for changes of state.
+    /// The log of state changes.
     pub(crate) log: Arc<StateLog>,
-    /// Whether the host leaves, and what still runs.
+    /// Whether the host is draining, and what still runs.
     pub(crate) drain: DrainState,
 }
 
 impl HostState {
-    /// Returns the configuration in force, once there is one.
+    /// Returns the configuration in force, if there is one.
     pub(crate) fn view(&self) -> Option<Arc<FleetView>> {
         self.config.view()
     }
 
-    /// Tells why the host takes no requests; `None` when it does.
+    /// Returns why the host accepts no requests; `None` if it does.
     pub(crate) fn unready_reason(&self) -> Option<String> {
         if self.drain.is_leaving() {
             return Some("the host is leaving".to_string());
@@ -72,7 +72,7 @@
         if let Err(reason) = self.config.readiness(boot_now()) {
             return Some(reason.to_string());
         }
-        // The balancer would go on sending to a host that takes no request.
+        // Without this check the load balancer would keep sending to a host that refuses all.
         if self.view().is_some_and(|view| !view.has_seat(&self.host)) {
             return Some("not a seat of the active roster".to_string());
         }
@@ -86,8 +86,8 @@
         })
     }
 
-    /// Returns how the host stands now.
-    pub(crate) fn look(&self) -> HostSnapshot {
+    /// Returns the host's current state.
+    pub(crate) fn snapshot(&self) -> HostSnapshot {
         let roster = self.claims.register().roster().active_tag();
         HostSnapshot {
             unready: self.unready_reason(),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Brings the gauges up to date; called as they are read.
+    /// Updates the gauges; called whenever the metrics are read.
     pub(crate) fn update_gauges(&self) {
         let (waiting, running) = self.work.counts();
         for (tier, count) in waiting.iter() {
--- a/src/gateway/identify_filter.rs
+++ b/src/gateway/identify_filter.rs
@@ -1,4 +1,4 @@
-//! First filter: which client account sends this.
+//! First filter: the client account that sent the request.
 
 use crate::errors::ErrorKind;
 use crate::fleet::AccountView;
@@ -7,7 +7,7 @@
 
 const BEARER_SCHEME: &str = "Bearer ";
 
-/// Finds the account of a request by its bearer token, before its body is read.
+/// Returns the account of a request by its bearer token; runs before the body is read.
 ///
 /// # Errors
 ///
--- a/src/gateway/join_filter.rs
+++ b/src/gateway/join_filter.rs
@@ -1,4 +1,5 @@
-//! Answers that another host gives: the holder of a claim, or a peer that took over.
+//! Answers from another host: the holder of the claim, or a peer that the request was
+//! forwarded to.
 
 use std::time::Duration;
 
@@ -20,17 +21,17 @@
 use super::RequestRefusal;
 use super::RequestRun;
 
-/// How often holders are asked before the answer counts as lost. Each time but the
-/// first follows a release that is under way, or leads to another holder.
+/// How many times a holder is asked before the answer counts as lost. Each further time
+/// either follows a release in progress or goes to another holder.
 const MAX_JOINS: usize = 4;
-/// How long a release that is under way gets; it takes one round trip, two
-/// milliseconds across zones.
+/// How long to wait for a release in progress; it takes one round trip, which is 2 ms
+/// across zones.
 const JOIN_PAUSE: Duration = Duration::from_millis(50);
 
-/// How a peer's stream of replies ended.
-enum PumpEnd {
-    /// The slot holds the whole answer.
-    Whole,
+/// The end of a peer's stream of replies.
+enum ReplyEnd {
+    /// The slot holds the complete answer.
+    Complete,
     /// The peer refused the call.
     Refused,
     /// The stream was lost.
@@ -39,15 +40,15 @@
 
 /// Fetches the answer from the process that holds the claim.
 ///
-/// A holder that is gone took its answer along: the caller learns at once that
-/// its request may have run. Where the holder has nothing and a majority bars the
-/// attempt, nothing ran, and `refusal` says so.
+/// If the holder is gone, its answer is lost, and the caller is told at once that its
+/// request may have run. If the holder has no answer and a majority bars the attempt,
+/// the request did not run, and the caller gets `refusal`.
 pub(crate) async fn join_holder(run: &RequestRun, holder: ClaimTicket, refusal: RequestRefusal) {
     run.slot.mark_remote();
     let mut holder = holder;
     for _ in 0..MAX_JOINS {
         let ended = call_holder(run, &holder).await;
-        if matches!(ended, PumpEnd::Whole) {
+        if matches!(ended, ReplyEnd::Complete) {
             return;
         }
         if run.slot.has_head() {
@@ -57,92 +58,93 @@
         match run.host.claims.bar(id, attempt).await {
             BarOutcome::Proven => return run.refuse_proven(refusal),
             BarOutcome::Held(other) if other != holder => holder = other,
-            BarOutcome::Held(_) if matches!(ended, PumpEnd::Refused) => {
+            BarOutcome::Held(_) if matches!(ended, ReplyEnd::Refused) => {
                 task::sleep(JOIN_PAUSE).await;
             }
             BarOutcome::Held(_) | BarOutcome::Unproven => break,
         }
     }
-    fail(run, ErrorKind::HolderLost);
+    fail_slot(run, ErrorKind::HolderLost);
 }
 
-async fn call_holder(run: &RequestRun, holder: &ClaimTicket) -> PumpEnd {
+async fn call_holder(run: &RequestRun, holder: &ClaimTicket) -> ReplyEnd {
     match holder.host == run.host.host {
-        // This process's own claim without an answer in the book: it was let go.
-        true => PumpEnd::Lost,
-        false => call_peer(run, &holder.host, join_call(run), is_of_any_attempt).await,
+        // The claim is this process's own but has no answer here: it was released.
+        true => ReplyEnd::Lost,
+        false => call_peer(run, &holder.host, join_call(run), is_valid_for_any_attempt).await,
     }
 }
 
-/// Lets a peer serve a request that waits here; returns whether the slot has its
-/// answer. Where it has none the claims tell whether the peer took the request.
-pub(crate) async fn hand_over(run: &RequestRun, host: &HostName) -> bool {
+/// Forwards a waiting request to a peer; returns whether the slot has its answer. If it
+/// has none, the claims show whether the peer ran the request.
+pub(crate) async fn forward_to_peer(run: &RequestRun, host: &HostName) -> bool {
     run.slot.mark_remote();
     match call_peer(run, host, serve_call(run), |_| true).await {
-        PumpEnd::Whole => true,
-        PumpEnd::Lost if run.slot.has_head() => {
+        ReplyEnd::Complete => true,
+        ReplyEnd::Lost if run.slot.has_head() => {
             run.slot
                 .put_end(AnswerEnd::Truncated(ErrorKind::HolderLost));
             true
         }
-        PumpEnd::Refused | PumpEnd::Lost => {
+        ReplyEnd::Refused | ReplyEnd::Lost => {
             run.slot.mark_local();
             false
         }
     }
 }
 
-/// Calls a peer and passes its answer on if `may_pass` takes its head.
+/// Calls a peer and copies its answer into the slot if `may_pass` accepts its head.
 async fn call_peer(
     run: &RequestRun,
     host: &HostName,
     call: PeerCall,
     may_pass: fn(&AnswerHead) -> bool,
-) -> PumpEnd {
+) -> ReplyEnd {
     match run.host.mesh.open_call(host, call).await {
-        Ok(stream) => pump(run, stream, may_pass).await,
-        Err(_) => PumpEnd::Lost,
+        Ok(stream) => relay_replies(run, stream, may_pass).await,
+        Err(_) => ReplyEnd::Lost,
     }
 }
 
-/// Tells whether an answer holds for each attempt of its id.
+/// Tells whether an answer is valid for every attempt of its id.
 ///
-/// A join names no attempt. Guards against a `not-run` of an earlier attempt that is
-/// told to the caller of a later one, which may still run: this host bars its own.
-pub(super) fn is_of_any_attempt(head: &AnswerHead) -> bool {
+/// A join call names no attempt. This guards against passing a `not-run` of an earlier
+/// attempt to the caller of a later one, which may still run; this host bars its own
+/// attempt instead.
+pub(super) fn is_valid_for_any_attempt(head: &AnswerHead) -> bool {
     let outcome = head.headers.get("request-outcome");
     outcome.is_none_or(|outcome| *outcome != RequestOutcome::NotRun.to_string())
 }
 
-async fn pump(
+async fn relay_replies(
     run: &RequestRun,
     mut stream: PeerStream,
     may_pass: fn(&AnswerHead) -> bool,
-) -> PumpEnd {
+) -> ReplyEnd {
     while let Ok(Some(reply)) = stream.next().await {
         match reply {
             PeerReply::AnswerHead(head) if !may_pass(&head) => {
-                return PumpEnd::Refused;
+                return ReplyEnd::Refused;
             }
             PeerReply::AnswerHead(head) => run.slot.put_head(head),
             PeerReply::AnswerBody(bytes) => run.slot.put_bytes(bytes),
             PeerReply::AnswerEnd { .. } => {
                 run.slot.put_end(AnswerEnd::Complete);
-                return PumpEnd::Whole;
+                return ReplyEnd::Complete;
             }
-            PeerReply::Refused { .. } => return PumpEnd::Refused,
-            _ => return PumpEnd::Lost,
+            PeerReply::Refused { .. } => return ReplyEnd::Refused,
+            _ => return ReplyEnd::Lost,
         }
     }
-    PumpEnd::Lost
+    ReplyEnd::Lost
 }
 
-fn fail(run: &RequestRun, kind: ErrorKind) {
+fn fail_slot(run: &RequestRun, kind: ErrorKind) {
     run.count_error(kind);
     if run.slot.has_head() {
         run.slot.put_end(AnswerEnd::Truncated(kind));
     } else {
-        // A resend asks again: the holder may only have been paused.
+        // Forgotten, so that a resend asks the holder again: it may only have been paused.
         run.host.answers.forget(run.request.id, &run.slot);
         RequestRefusal::of(kind).put_answer(&run.slot, run.request.id, RequestOutcome::Unknown);
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! The path of a request through one host: a chain of filters.
+//! Request processing in one host: a chain of filters.
 //!
-//! identify -> classify -> enter -> limit -> admit -> claim and place ->
-//! dispatch -> relay. The claim comes after the queue: a host that dies takes
-//! no claim of waiting work along, so a resend runs elsewhere at once.
+//! identify -> classify -> start -> limit -> admit -> claim and connect ->
+//! dispatch -> relay. The id is claimed after the request has left the queue: a host that
+//! dies has no claims for queued requests, so a resend runs on another host at once.
 
 mod admit_filter;
 mod caller_service;
--- a/src/gateway/peer_service.rs
+++ b/src/gateway/peer_service.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of peers.
+//! Answers calls of peers.
 
 use std::sync::Arc;
 
@@ -22,16 +22,16 @@
 use super::HostState;
 use super::classify_filter::classify_request;
 use super::identify_filter::identify_account;
-use super::request_entry::enter_request;
+use super::request_entry::start_request;
 
-/// Answers the calls of peers.
+/// Answers calls of peers.
 pub(crate) struct PeerService {
     host: Arc<HostState>,
     digests: Arc<DigestController>,
 }
 
 impl PeerService {
-    /// Puts the host's state behind the calls.
+    /// Creates a service that answers from the host's state.
     pub(crate) fn new(host: Arc<HostState>, digests: Arc<DigestController>) -> Self {
         Self { host, digests }
     }
@@ -60,27 +60,27 @@
                     None => refuse(ErrorKind::HolderLost, replies).await,
                 }
             }
-            PeerCall::Serve { head, body } => match self.enter(head, body) {
+            PeerCall::Serve { head, body } => match self.start(head, body) {
                 Ok(reader) => send_answer(reader, replies).await,
                 Err(kind) => refuse(kind, replies).await,
             },
-            // These hosts keep seats and digests in place of news.
+            // Hosts of this kind exchange digests and have no gossip, views or catalogs.
             PeerCall::Gossip(_) | PeerCall::FleetView | PeerCall::Catalog { .. } => {
                 refuse(ErrorKind::NotReady, replies).await
             }
         };
-        // A peer that is gone needs no answer.
+        // A failed send means that the peer is gone; there is nobody to answer.
         replied.ok();
     }
 
-    fn enter(&self, head: RequestHead, body: Bytes) -> Result<AnswerReader, ErrorKind> {
+    fn start(&self, head: RequestHead, body: Bytes) -> Result<AnswerReader, ErrorKind> {
         let view = self.host.view().ok_or(ErrorKind::NotReady)?;
         let account = identify_account(&view, &head)?;
         let mut request = classify_request(&view, account, head)?;
-        request.handed_over = true;
-        let share = self.host.bodies.take(body.len());
+        request.forwarded = true;
+        let share = self.host.body_budget.take(body.len());
         let share = share.ok_or(ErrorKind::Overloaded)?;
-        enter_request(&self.host, request, body, share)
+        start_request(&self.host, request, body, share)
     }
 }
 
@@ -110,7 +110,8 @@
                 let outcome = RequestOutcome::Done;
                 return replies.finish(PeerReply::AnswerEnd { outcome }).await;
             }
-            // Dropping the sender unfinished cuts the stream, as it must.
+            // Dropping the unfinished sender resets the stream, so that the answer doesn't
+            // look complete.
             AnswerChunk::End(AnswerEnd::Truncated(_)) | AnswerChunk::Evicted => return Ok(()),
         }
     }
--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -1,4 +1,4 @@
-//! Last filters: the dispatch, and the answer on its way to the slot.
+//! Last filters: dispatches the request and relays the answer into the slot.
 
 use std::time::Duration;
 
@@ -30,25 +30,25 @@
 use super::admit_filter::prompt_length;
 use super::stream_relay::StreamRelay;
 
-/// How long sending a request may take.
-const SEND_LIMIT: Duration = Duration::from_secs(10);
-/// How far past its deadline an answer is still awaited: it is late, but the
-/// target may be about to give it, and `unknown` would help the caller less.
-const LATE_LIMIT: Duration = Duration::from_secs(2);
-/// The largest answer that is collected before it is passed on.
-const MAX_WHOLE_BYTES: usize = 4 << 20;
-/// How long a run goes on that nobody reads: time for the caller to send again.
-const UNREAD_LIMIT: Duration = Duration::from_secs(5);
-/// Fields of a request that are for this system and not for targets.
-const OWN_FIELDS: &[&str] = &["authorization", "request-class", "request-deadline-ms"];
-/// What a leaving target says beside its refusal.
-const TARGET_STATE: &str = "target-state";
+/// Timeout for sending a request.
+const SEND_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long an answer is awaited after the deadline. A late answer is more useful to the
+/// caller than `unknown`.
+const LATE_ANSWER_WAIT: Duration = Duration::from_secs(2);
+/// Maximum size of an answer that is buffered before it is passed on.
+const MAX_BUFFERED_BYTES: usize = 4 << 20;
+/// How long a run continues without a reader, so that the caller can resend.
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Request headers for the gateway that aren't sent to targets.
+const GATEWAY_HEADERS: &[&str] = &["authorization", "request-class", "request-deadline-ms"];
+/// The header by which a leaving target marks its refusal.
+const TARGET_STATE_HEADER: &str = "target-state";
 const STREAM_TYPE: &str = "text/event-stream";
 
 /// Dispatches the request and relays its answer into the slot.
 ///
-/// The claim is spent before the first byte goes out, so from here on the
-/// request is never sent to another target.
+/// The claim is consumed before the first byte is sent, so the request is never sent to
+/// another target after this point.
 pub(crate) async fn relay_answer(
     run: &RequestRun,
     ticket: WorkTicket,
@@ -60,8 +60,11 @@
     ticket.started();
     run.meter.dispatched(prefill_tokens(run, &target));
     let head = target_head(run);
-    let relayed = match connection.send(&head, run.body.to_vec(), SEND_LIMIT).await {
-        Ok(exchange) => match exchange.read_answer(answer_limit(run)).await {
+    let relayed = match connection
+        .send(&head, run.body.to_vec(), SEND_TIMEOUT)
+        .await
+    {
+        Ok(exchange) => match exchange.read_answer(answer_timeout(run)).await {
             Ok(answer) => relay_checked(run, &ticket, answer, &target).await,
             Err(error) => recover_answer(run, &ticket, error, &target).await,
         },
@@ -77,8 +80,8 @@
         Err(kind) => {
             if kind == ErrorKind::TargetLost {
                 note_loss(run, &target);
-                // Guards against a resend that is faster than the next exchange:
-                // a third host would run it and lose a third target.
+                // Guards against a resend that is faster than the next digest exchange:
+                // a third host would run the request and lose a third target to it.
                 run.host.digests.broadcast_now().await;
             }
             count_waste(run, &target, kind);
@@ -88,7 +91,8 @@
     }
 }
 
-/// Returns how many prompt tokens the target processes: services have no prompts.
+/// Returns how many prompt tokens the target processes; 0 for a service, which has no
+/// prompts.
 fn prefill_tokens(run: &RequestRun, target: &TargetName) -> TokenCount {
     let view = run.host.view();
     let kind = view.and_then(|view| view.target(target).map(|target| target.target.kind));
@@ -98,7 +102,7 @@
     }
 }
 
-/// Counts the prompt processing that came to nothing.
+/// Counts the wasted prompt processing.
 fn count_waste(run: &RequestRun, target: &TargetName, kind: ErrorKind) {
     let cause = match kind {
         ErrorKind::HolderLost => PrefillWaste::CallerLeft,
@@ -108,8 +112,8 @@
     run.host.metrics.count_wasted_prefill(cause, tokens);
 }
 
-/// Notes that the request ran on a target that was lost, and says so once it
-/// is refused for that.
+/// Records that the request ran on a target that was lost, and logs it when the request
+/// starts being refused for that.
 fn note_loss(run: &RequestRun, target: &TargetName) {
     let mut ledger = run.host.suspects.table();
     let before = ledger.is_refused(run.fingerprint);
@@ -122,8 +126,8 @@
     }
 }
 
-/// Puts the failure where the caller sees it: as an answer while no head went
-/// out, as a cut message afterwards.
+/// Reports the failure to the caller: as an error answer if no head was sent yet, by
+/// aborting the message otherwise.
 fn fail_slot(run: &RequestRun, kind: ErrorKind) {
     run.count_error(kind);
     if run.slot.has_head() {
@@ -143,14 +147,14 @@
     match is_stream(&answer.head) {
         true => {
             let mut relay = StreamRelay::open(run, ticket, target);
-            relay.pass_on(answer).await
+            relay.relay_stream(answer).await
         }
-        false => relay_whole(run, answer).await,
+        false => relay_buffered(run, answer).await,
     }
 }
 
-/// An answer that never began may still be had from the engine: it keeps the
-/// stream of a request that it runs. This asks; it never sends the request.
+/// Tries to fetch an answer whose head did not arrive. An engine keeps the stream of a
+/// request that it runs; this asks for that stream and never sends the request again.
 async fn recover_answer(
     run: &RequestRun,
     ticket: &WorkTicket,
@@ -164,16 +168,16 @@
     match relay.resume().await {
         Ok(answer) => {
             check_answer(run, &answer.head, target)?;
-            relay.pass_on(answer).await
+            relay.relay_stream(answer).await
         }
         Err(_) => Err(kind_of(error)),
     }
 }
 
-/// Checks that the answer is this request's own.
+/// Checks that the answer belongs to this request.
 ///
-/// A target that mixes up its connections would otherwise hand one caller
-/// another's answer.
+/// Otherwise a target that mixes up its connections could deliver one caller's answer to
+/// another.
 pub(super) fn check_answer(
     run: &RequestRun,
     head: &AnswerHead,
@@ -187,21 +191,21 @@
     {
         return Err(ErrorKind::TargetFault);
     }
-    if head.headers.contains_key(TARGET_STATE) {
+    if head.headers.contains_key(TARGET_STATE_HEADER) {
         run.host.targets.mark_leaving(target);
         return Err(ErrorKind::TargetLeaving);
     }
     Ok(())
 }
 
-/// Collects a whole answer before any of it goes out, so that one that is cut
-/// becomes an honest `unknown` and not a short message.
-async fn relay_whole(run: &RequestRun, mut answer: TargetAnswer) -> Result<(), ErrorKind> {
+/// Buffers the complete answer before any of it is sent, so that a truncated one becomes
+/// `unknown` and not a truncated message.
+async fn relay_buffered(run: &RequestRun, mut answer: TargetAnswer) -> Result<(), ErrorKind> {
     let mut body = Vec::new();
-    let limit = answer_limit(run);
-    while let Some(piece) = answer.next_piece(limit).await.map_err(kind_of)? {
+    let timeout = answer_timeout(run);
+    while let Some(piece) = answer.next_piece(timeout).await.map_err(kind_of)? {
         body.extend_from_slice(&piece);
-        if body.len() > MAX_WHOLE_BYTES {
+        if body.len() > MAX_BUFFERED_BYTES {
             return Err(ErrorKind::TargetFault);
         }
     }
@@ -213,7 +217,7 @@
     Ok(())
 }
 
-/// Marks a target's answer as the request's own.
+/// Adds the request id and the outcome `done` to the head of a target's answer.
 pub(super) fn done_head(run: &RequestRun, mut head: AnswerHead) -> AnswerHead {
     let id = run.request.id.to_string();
     head.headers.insert("request-id".to_string(), id);
@@ -224,21 +228,21 @@
     head
 }
 
-/// Waits until nobody has read the answer for a while.
+/// Waits until the answer has had no reader for [`UNREAD_TIMEOUT`].
 pub(super) async fn wait_abandoned(run: &RequestRun) {
     loop {
         run.slot.wait_no_readers().await;
-        async_std::task::sleep(UNREAD_LIMIT).await;
+        async_std::task::sleep(UNREAD_TIMEOUT).await;
         if run.slot.readers() == 0 {
             return;
         }
     }
 }
 
-/// Runs a relay to its end, or until nobody reads and the work may be cancelled.
+/// Runs a relay to completion, or cancels it when the answer has no reader any more.
 ///
-/// `None` says that it was cancelled. A non-idempotent call is never cancelled:
-/// whether it ran would then be unknown for no gain.
+/// Returns `None` if it was cancelled. A non-idempotent call is never cancelled, since its
+/// outcome would then be unknown without need.
 pub(super) async fn unless_abandoned<T>(
     run: &RequestRun,
     work: impl Future<Output = T>,
@@ -253,10 +257,10 @@
     or(async { Some(work.await) }, abandoned).await
 }
 
-/// How long the target may stay silent before the head of its answer.
-fn answer_limit(run: &RequestRun) -> Duration {
+/// Returns how long the target may stay silent, also before the head of its answer.
+fn answer_timeout(run: &RequestRun) -> Duration {
     let left = run.request.deadline.saturating_sub(boot_now());
-    left + LATE_LIMIT
+    left + LATE_ANSWER_WAIT
 }
 
 fn is_stream(head: &AnswerHead) -> bool {
@@ -267,7 +271,7 @@
 fn target_head(run: &RequestRun) -> RequestHead {
     let mut head = run.request.head.clone();
     head.headers
-        .retain(|name, _| OWN_FIELDS.binary_search(&name.as_str()).is_err());
+        .retain(|name, _| GATEWAY_HEADERS.binary_search(&name.as_str()).is_err());
     let id = run.request.id.to_string();
     let attempt = run.request.attempt.to_string();
     head.headers.insert("request-id".to_string(), id);
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -1,4 +1,4 @@
-//! The filter chain: limit, admit, claim and place, dispatch, relay.
+//! The filter chain: limit, admit, claim and connect, dispatch, relay.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,68 +31,67 @@
 use super::admit_filter::limit_account;
 use super::admit_filter::prefix_hash;
 use super::admit_filter::prompt_length;
-use super::claim_filter::ClaimedPlace;
-use super::claim_filter::claim_place;
-use super::join_filter::hand_over;
+use super::claim_filter::ClaimResult;
+use super::claim_filter::claim_and_connect;
+use super::join_filter::forward_to_peer;
 use super::join_filter::join_holder;
 use super::relay_filter::relay_answer;
 use super::request_meter::RequestMeter;
 
-/// How many targets are tried under one claim. Each try that finds nobody there
-/// costs the caller time; a fleet that lost more than two in a row is better
-/// asked again later.
-const MAX_PLACES: usize = 3;
+/// How many targets are tried under one claim. Each unreachable target costs the caller
+/// time; if more than two in a row are unreachable, it is better to retry later.
+const MAX_TARGETS_TRIED: usize = 3;
 
-/// When to come back with a request that crashes targets: as long as it is
-/// remembered for that.
+/// When to retry a request that crashes targets: after the time for which it is
+/// remembered as such.
 const CRASH_RETRY: Duration = Duration::from_secs(600);
 
-/// How a request's way through the chain ended.
-pub(crate) enum ChainEnd {
+/// The result of running the filter chain.
+pub(crate) enum ChainResult {
     /// The slot holds the answer.
     Answered,
-    /// The request is refused; whether it ran is still to be shown.
+    /// The request is refused; whether it ran is not determined yet.
     Refused(RequestRefusal),
-    /// The request is refused while a claim is held that was never dispatched.
+    /// The request is refused while holding a claim that was never dispatched.
     RefusedHolding(RequestRefusal, HeldClaim<UnsentStage>),
-    /// Nobody waits for the answer any more, and nothing was dispatched.
+    /// No caller waits for the answer any more, and nothing was dispatched.
     Abandoned(Option<HeldClaim<UnsentStage>>),
 }
 
-/// One request on its way through the chain.
+/// One request running through the filter chain.
 pub(crate) struct RequestRun {
-    /// What the filters share.
+    /// State shared by the filters.
     pub(crate) host: Arc<HostState>,
     /// Measures the request.
     pub(crate) meter: RequestMeter,
-    /// What is known of the request.
+    /// The classified request.
     pub(crate) request: ClassifiedRequest,
-    /// Stands for the account, class and body.
+    /// The fingerprint of the account, class and body.
     pub(crate) fingerprint: RequestFingerprint,
     /// The request's body.
     pub(crate) body: Bytes,
-    /// What the body takes of the host's budget.
+    /// The body's share of the host's memory budget.
     pub(crate) _permit: BytePermit,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub(crate) slot: Arc<AnswerBuffer>,
 }
 
 impl RequestRun {
-    /// Takes the request through the chain until its slot has an answer.
+    /// Runs the request through the chain until its slot has an answer.
     pub(crate) async fn run(self) {
         let _running = self.host.drain.enter();
         match self.run_filters().await {
-            ChainEnd::Answered => (),
-            ChainEnd::Refused(refusal) => self.settle(refusal).await,
-            ChainEnd::RefusedHolding(refusal, claim) => self.settle_holding(refusal, claim).await,
-            ChainEnd::Abandoned(claim) => self.abandon(claim).await,
+            ChainResult::Answered => (),
+            ChainResult::Refused(refusal) => self.bar_and_refuse(refusal).await,
+            ChainResult::RefusedHolding(refusal, claim) => self.release_claim(refusal, claim).await,
+            ChainResult::Abandoned(claim) => self.abandon(claim).await,
         }
         let outcome = self.slot.outcome();
         self.meter.ended(outcome);
         self.record();
         let answers = &self.host.answers;
         match outcome {
-            // The next attempt must find no answer of this one, whoever gave it.
+            // The next attempt must not find the answer of this one, whichever host gave it.
             RequestOutcome::NotRun => answers.forget(self.request.id, &self.slot),
             RequestOutcome::Done | RequestOutcome::Unknown => {
                 answers.finish(self.request.id, &self.slot, boot_now());
@@ -100,13 +99,13 @@
         }
     }
 
-    /// Records the request where a trace is wanted; one that a peer handed over
-    /// was recorded there.
+    /// Records the request if a trace is configured; a forwarded request is recorded by
+    /// the peer that received it.
     fn record(&self) {
         let (Some(recorder), Some(view)) = (&self.host.recorder, self.host.view()) else {
             return;
         };
-        if self.request.handed_over {
+        if self.request.forwarded {
             return;
         }
         recorder.record(
@@ -121,41 +120,41 @@
         );
     }
 
-    async fn run_filters(&self) -> ChainEnd {
+    async fn run_filters(&self) -> ChainResult {
         if let Err(refusal) = limit_account(&self.host, &self.request) {
-            return ChainEnd::Refused(refusal);
+            return ChainResult::Refused(refusal);
         }
         if self.host.suspects.table().is_refused(self.fingerprint) {
-            return ChainEnd::Refused(RequestRefusal {
+            return ChainResult::Refused(RequestRefusal {
                 kind: ErrorKind::CrashesTargets,
                 retry_after: Some(CRASH_RETRY),
             });
         }
-        let source = match self.request.handed_over {
+        let source = match self.request.forwarded {
             true => WorkSource::Peer,
             false => WorkSource::Caller,
         };
         match self.enqueue(source) {
             Ok(ticket) => self.run_admitted(ticket).await,
-            Err(refusal) => ChainEnd::Refused(refusal),
+            Err(refusal) => ChainResult::Refused(refusal),
         }
     }
 
-    async fn run_admitted(&self, mut ticket: WorkTicket) -> ChainEnd {
+    async fn run_admitted(&self, mut ticket: WorkTicket) -> ChainResult {
         let mut held = None;
-        for _ in 0..MAX_PLACES {
+        for _ in 0..MAX_TARGETS_TRIED {
             let place = or(async { Some(ticket.placement().await) }, async {
                 self.slot.wait_no_readers().await;
                 None
             });
             let target = match place.await {
-                None => return ChainEnd::Abandoned(held),
+                None => return ChainResult::Abandoned(held),
                 Some(WorkPlacement::Peer(host)) => {
                     if held.is_none() && self.run_peer(&host).await {
-                        return ChainEnd::Answered;
+                        return ChainResult::Answered;
                     }
-                    // Guards against a refusal where a peer that had room has
-                    // died since: the work waits here and is handed on no more.
+                    // Guards against a refusal when the peer with a free slot has died
+                    // since: the request waits here and is not forwarded again.
                     ticket = match self.enqueue(WorkSource::Peer) {
                         Ok(ticket) => ticket,
                         Err(refusal) => return refuse(refusal, held),
@@ -177,16 +176,16 @@
                 .suspects
                 .acquire_exclusive(self.fingerprint, &target, self.request.deadline)
                 .await;
-            match claim_place(self, &target, held).await {
-                ClaimedPlace::Ready(connection, claim) => {
+            match claim_and_connect(self, &target, held).await {
+                ClaimResult::Ready(connection, claim) => {
                     relay_answer(self, ticket, connection, claim, target).await;
-                    return ChainEnd::Answered;
+                    return ChainResult::Answered;
                 }
-                ClaimedPlace::NoConnection(claim) => {
+                ClaimResult::NoConnection(claim) => {
                     held = Some(claim);
                     ticket.not_sent();
                 }
-                ClaimedPlace::NoClaim(verdict) => {
+                ClaimResult::NoClaim(verdict) => {
                     ticket.end(WorkOutcome::Cancelled);
                     return self.run_unclaimed(verdict).await;
                 }
@@ -195,9 +194,9 @@
         refuse(ErrorKind::TargetUnreachable.into(), held)
     }
 
-    /// Lets a peer serve the request; returns whether the slot has its answer.
+    /// Forwards the request to a peer; returns whether the slot has its answer.
     async fn run_peer(&self, host: &HostName) -> bool {
-        !self.request.handed_over && hand_over(self, host).await
+        !self.request.forwarded && forward_to_peer(self, host).await
     }
 
     fn enqueue(&self, source: WorkSource) -> Result<WorkTicket, RequestRefusal> {
@@ -207,7 +206,7 @@
         enqueue_request(&self.host, &view, &self.request, &self.body, source)
     }
 
-    async fn run_unclaimed(&self, verdict: ClaimOutcome) -> ChainEnd {
+    async fn run_unclaimed(&self, verdict: ClaimOutcome) -> ChainResult {
         match verdict {
             ClaimOutcome::Held(holder) => {
                 join_holder(self, holder, ErrorKind::AttemptBarred.into()).await;
@@ -217,19 +216,19 @@
                 self.refuse_unknown(ErrorKind::RequestIdOutOfWindow.into());
             }
             ClaimOutcome::NoMajority => self.refuse_unknown(ErrorKind::NoMajority.into()),
-            // A granted claim is a ready place or one without a connection.
+            // Not reached: a granted claim is either ready or without a connection.
             ClaimOutcome::Granted(claim) => {
-                return ChainEnd::RefusedHolding(ErrorKind::Internal.into(), claim);
+                return ChainResult::RefusedHolding(ErrorKind::Internal.into(), claim);
             }
         }
-        ChainEnd::Answered
+        ChainResult::Answered
     }
 
-    /// Answers a refusal with `not-run` where a majority bars the attempt.
+    /// Answers a refusal, with `not-run` if a majority bars the attempt.
     ///
-    /// Without the bar a resend that still travels could run after the caller
-    /// was told that its request did not.
-    async fn settle(&self, refusal: RequestRefusal) {
+    /// Without the bar, a resend that is still in transit could run after the caller was
+    /// told that its request did not.
+    async fn bar_and_refuse(&self, refusal: RequestRefusal) {
         if refusal.kind.answer().outcome != RequestOutcome::NotRun {
             return self.refuse_unknown(refusal);
         }
@@ -241,7 +240,8 @@
         }
     }
 
-    async fn settle_holding(&self, refusal: RequestRefusal, claim: HeldClaim<UnsentStage>) {
+    /// Answers a refusal after releasing the claim; see [`RequestRun::bar_and_refuse`].
+    async fn release_claim(&self, refusal: RequestRefusal, claim: HeldClaim<UnsentStage>) {
         match self.host.claims.release(claim).await {
             BarOutcome::Proven => self.refuse_proven(refusal),
             BarOutcome::Held(holder) => join_holder(self, holder, refusal).await,
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Nobody reads: there is nothing to tell, only a claim to give back.
+    /// Releases the claim of a request without readers; no answer is needed.
     async fn abandon(&self, claim: Option<HeldClaim<UnsentStage>>) {
         self.host.answers.forget(self.request.id, &self.slot);
         self.slot
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Refuses with `not-run`; a majority has barred the attempt.
+    /// Refuses with `not-run`, after a majority has barred the attempt.
     pub(super) fn refuse_proven(&self, refusal: RequestRefusal) {
         self.count_error(refusal.kind);
         self.host.answers.forget(self.request.id, &self.slot);
@@ -278,9 +278,9 @@
     }
 }
 
-fn refuse(refusal: RequestRefusal, held: Option<HeldClaim<UnsentStage>>) -> ChainEnd {
+fn refuse(refusal: RequestRefusal, held: Option<HeldClaim<UnsentStage>>) -> ChainResult {
     match held {
-        Some(claim) => ChainEnd::RefusedHolding(refusal, claim),
-        None => ChainEnd::Refused(refusal),
+        Some(claim) => ChainResult::RefusedHolding(refusal, claim),
+        None => ChainResult::Refused(refusal),
     }
 }
--- a/src/gateway/request_entry.rs
+++ b/src/gateway/request_entry.rs
@@ -1,4 +1,4 @@
-//! Where a request enters this host, from a caller or from a peer.
+//! Starts requests from callers and peers.
 
 use std::sync::Arc;
 
@@ -16,15 +16,16 @@
 use super::RequestRun;
 use super::request_meter::RequestMeter;
 
-/// Enters a request whose body is known, and opens a reader of its answer.
+/// Starts a request whose body was read, or joins a running one with the same id, and
+/// opens a reader of its answer.
 ///
-/// The run goes on in a task of its own: a caller that goes away neither cuts a
-/// non-idempotent call nor takes the answer from its own resend.
+/// The request runs in its own task: a caller that disconnects neither aborts a
+/// non-idempotent call nor loses the answer for its own resend.
 ///
 /// # Errors
 ///
 /// `BadRequestId` when another account uses the id.
-pub(crate) fn enter_request(
+pub(crate) fn start_request(
     host: &Arc<HostState>,
     request: ClassifiedRequest,
     body: Bytes,
@@ -37,8 +38,8 @@
         AnswerLookup::OtherAccount => Err(ErrorKind::BadRequestId),
         AnswerLookup::Joined(slot) => Ok(AnswerReader::open(slot)),
         AnswerLookup::Owned(slot) => {
-            // The reader stands before the run begins: a run without a reader
-            // takes its caller for gone.
+            // The reader is opened before the run starts: a run without a reader treats
+            // its caller as gone.
             let reader = AnswerReader::open(slot.clone());
             let series = host
                 .metrics
--- a/src/gateway/request_meter.rs
+++ b/src/gateway/request_meter.rs
@@ -1,4 +1,4 @@
-//! Measures one request for the histograms.
+//! Timing of one request for the histograms.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -10,7 +10,7 @@
 use crate::ids::TokenCount;
 use crate::metrics::RequestSeries;
 
-/// Measures one request.
+/// Records the timing of one request.
 #[derive(Debug)]
 pub(crate) struct RequestMeter {
     series: Arc<RequestSeries>,
@@ -20,7 +20,7 @@
 }
 
 impl RequestMeter {
-    /// Begins to measure a request that arrived now.
+    /// Starts measuring a request that arrived now.
     pub(crate) fn begin(series: Arc<RequestSeries>, deadline: Duration) -> Self {
         Self {
             series,
@@ -30,17 +30,17 @@
         }
     }
 
-    /// Notes that the request left the queue.
+    /// Records that the request left the queue.
     pub(crate) fn placed(&self) {
         self.series.record_queue_time(self.elapsed());
     }
 
-    /// Notes that a target was given so many prompt tokens to process.
+    /// Records the number of prompt tokens sent to a target.
     pub(crate) fn dispatched(&self, prompt_tokens: TokenCount) {
         self.series.add_prefill_tokens(prompt_tokens);
     }
 
-    /// Notes that so many tokens have come, counted from the first.
+    /// Records the number of tokens received so far.
     pub(crate) fn progressed(&self, tokens: TokenCount) {
         let now = boot_now();
         let mut last = self
@@ -58,7 +58,7 @@
         *last = Some((now, tokens));
     }
 
-    /// Notes how the request ended.
+    /// Records the outcome of the request.
     pub(crate) fn ended(&self, outcome: RequestOutcome) {
         let in_time = outcome == RequestOutcome::Done && boot_now() <= self.deadline;
         self.series.record_answer(outcome, self.elapsed(), in_time);
@@ -69,7 +69,7 @@
         self.arrived
     }
 
-    /// Returns how many tokens of the answer have come.
+    /// Returns how many tokens of the answer were received.
     pub(crate) fn tokens(&self) -> TokenCount {
         let last = self
             .last_token
--- a/src/gateway/request_refusal.rs
+++ b/src/gateway/request_refusal.rs
@@ -1,4 +1,4 @@
-//! A refusal on its way to the caller, and the answer that it becomes.
+//! Refusals and the error answers that they become.
 
 use std::time::Duration;
 
@@ -15,22 +15,22 @@
 use crate::http::AnswerHead;
 use crate::ids::RequestId;
 
-/// When to come back where the policy gave no time: long enough for a host to
-/// be replaced at the balancer, short against every deadline.
+/// When to retry if the policy gave no time: long enough for the load balancer to replace
+/// a host, short compared with every deadline.
 const DEFAULT_RETRY: Duration = Duration::from_millis(200);
 
-/// How soon and how late a caller comes back that another host can serve. At 0 ms
-/// callers of a host without a majority ask again in a loop as fast as their
-/// network lets them; the spread keeps those of one fault from coming as a burst.
-const SOONEST_RETRY_MS: u64 = 50;
-const LATEST_RETRY_MS: u64 = 150;
+/// When a caller that another host can serve should retry. At 0 ms, callers of a host
+/// without a majority would retry in a loop as fast as their network allows; the spread
+/// keeps the callers affected by one fault from retrying in a burst.
+const MIN_RETRY_MS: u64 = 50;
+const MAX_RETRY_MS: u64 = 150;
 
-/// Why a request ends here, and when its caller should come back.
+/// Why a request is refused, and when its caller should retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct RequestRefusal {
     /// The kind of error.
     pub(crate) kind: ErrorKind,
-    /// The time that the policy worked out.
+    /// When to retry, if the policy computed it.
     pub(crate) retry_after: Option<Duration>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl RequestRefusal {
-    /// Makes a refusal without a time of its own.
+    /// Creates a refusal without a retry time of its own.
     pub(crate) const fn of(kind: ErrorKind) -> Self {
         Self {
             kind,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Makes the answer's head and body.
+    /// Returns the head and body of the error answer.
     pub(crate) fn answer(
         &self,
         id: Option<RequestId>,
@@ -94,7 +94,7 @@
         (head, body)
     }
 
-    /// Puts the answer into a slot, whole.
+    /// Writes the complete answer into a slot.
     pub(crate) fn put_answer(&self, slot: &AnswerBuffer, id: RequestId, outcome: RequestOutcome) {
         let (head, body) = self.answer(Some(id), outcome);
         slot.put_head(head);
@@ -105,8 +105,8 @@
     fn retry_millis(&self, advice: RetryAdvice, id: Option<RequestId>) -> Option<u64> {
         match advice {
             RetryAdvice::Never => None,
-            RetryAdvice::AtOnce => Some(spread_retry(id)),
-            RetryAdvice::AfterDrain => {
+            RetryAdvice::Immediately => Some(spread_retry(id)),
+            RetryAdvice::AfterDelay => {
                 let after = self.retry_after.unwrap_or(DEFAULT_RETRY);
                 Some(after.as_millis() as u64)
             }
@@ -120,9 +120,9 @@
     }
 }
 
-/// Returns when to come back, spread by the id; without one, by chance.
+/// Returns when to retry, spread by a hash of the id; at random without an id.
 fn spread_retry(id: Option<RequestId>) -> u64 {
     let id = id.unwrap_or_else(|| RequestId::generate(unix_now()));
     let hash = xxh3_64(id.to_string().as_bytes());
-    SOONEST_RETRY_MS + hash % (LATEST_RETRY_MS - SOONEST_RETRY_MS + 1)
+    MIN_RETRY_MS + hash % (MAX_RETRY_MS - MIN_RETRY_MS + 1)
 }
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -1,4 +1,4 @@
-//! A token stream from its engine to the slot, over as many connections as it takes.
+//! Relays a token stream from an engine to the slot, resuming it on new connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,18 +25,18 @@
 use super::relay_filter::kind_of;
 use super::relay_filter::unless_abandoned;
 
-/// How long a stream may be silent at least before its connection is given up:
-/// a dozen token gaps of the slowest engine in use, and a garbage collection.
-const SILENCE_FLOOR: Duration = Duration::from_secs(2);
-/// How many of its own mean token gaps a stream may be silent. An engine that
-/// batches long prompts stalls its streams for some tens of gaps.
-const SILENCE_GAPS: u32 = 64;
-/// How often one stream is resumed without a new token in between.
+/// The minimum time that a stream may be silent before its connection is abandoned: a
+/// dozen token gaps of the slowest engine in use plus a garbage collection.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How many of its own mean token gaps a stream may be silent. An engine that batches
+/// long prompts stalls its streams for some tens of gaps.
+const SILENCE_TIMEOUT_GAPS: u32 = 64;
+/// How often a stream is resumed without a new token in between.
 const MAX_RESUMES: usize = 3;
-/// How long connecting for a resumption, and its head, may take.
-const RESUME_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for each step of a resumption: connecting, sending and reading the head.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A token stream on its way to the slot.
+/// Relays one token stream into the slot.
 pub(crate) struct StreamRelay<'r> {
     run: &'r RequestRun,
     ticket: &'r WorkTicket,
@@ -46,7 +46,7 @@
 }
 
 impl<'r> StreamRelay<'r> {
-    /// Opens a relay that has passed nothing on yet.
+    /// Opens a relay that has received no token yet.
     pub(crate) fn open(
         run: &'r RequestRun,
         ticket: &'r WorkTicket,
@@ -61,17 +61,17 @@
         }
     }
 
-    /// Passes an answer on, and resumes it on a new connection where one is cut
-    /// or falls silent: something between the two ends may have lost track of
-    /// a connection while new ones work.
-    pub(crate) async fn pass_on(&mut self, mut answer: TargetAnswer) -> Result<(), ErrorKind> {
+    /// Relays an answer, and resumes it on a new connection when one is cut or goes
+    /// silent: a device between the two ends may have dropped a connection's state while
+    /// new connections work.
+    pub(crate) async fn relay_stream(&mut self, mut answer: TargetAnswer) -> Result<(), ErrorKind> {
         let run = self.run;
         run.slot.put_head(done_head(run, answer.head.clone()));
         let mut resumes = 0;
         loop {
             let before = self.guard.next_offset();
-            let passed = unless_abandoned(run, self.pass_pieces(&mut answer)).await;
-            match passed {
+            let relayed = unless_abandoned(run, self.relay_chunks(&mut answer)).await;
+            match relayed {
                 None => return self.cancel().await,
                 Some(Ok(())) => {
                     run.slot.put_end(AnswerEnd::Complete);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Asks the engine for the rest of the stream on a new connection.
+    /// Requests the rest of the stream from the engine on a new connection.
     pub(crate) async fn resume(&mut self) -> Result<TargetAnswer, ExchangeError> {
         self.guard.resume();
         let query = format!("from={}", self.guard.next_offset());
@@ -103,23 +103,23 @@
         }
     }
 
-    async fn pass_pieces(&mut self, answer: &mut TargetAnswer) -> Result<(), ExchangeError> {
-        while let Some(piece) = answer.next_piece(self.silence_limit()).await? {
-            let passed = self.guard.take(&piece).map_err(|_| ExchangeError::Broken)?;
-            if !passed.is_empty() {
-                self.run.slot.put_bytes(Bytes::from(passed));
+    async fn relay_chunks(&mut self, answer: &mut TargetAnswer) -> Result<(), ExchangeError> {
+        while let Some(piece) = answer.next_piece(self.silence_timeout()).await? {
+            let relayed = self.guard.take(&piece).map_err(|_| ExchangeError::Broken)?;
+            if !relayed.is_empty() {
+                self.run.slot.put_bytes(Bytes::from(relayed));
                 self.ticket.progressed(self.guard.next_offset());
                 self.run.meter.progressed(self.guard.next_offset());
             }
         }
-        // The last chunk alone proves nothing: the engine's own end must be there.
+        // The end of the body isn't enough: the engine's own end marker must be there.
         match self.guard.is_done() {
             true => Ok(()),
             false => Err(ExchangeError::Cut),
         }
     }
 
-    /// Stops the engine's work that nobody waits for.
+    /// Cancels the engine's work on a stream that has no reader.
     async fn cancel(&mut self) -> Result<(), ErrorKind> {
         self.ask_engine("DELETE", None).await.ok();
         Err(ErrorKind::HolderLost)
@@ -136,26 +136,26 @@
             .view()
             .and_then(|view| engine_address(&view, self.target))
             .ok_or(ExchangeError::Unreachable)?;
-        let connection = TargetConnection::open(address, RESUME_LIMIT).await?;
+        let connection = TargetConnection::open(address, RESUME_TIMEOUT).await?;
         let head = RequestHead {
             method: method.to_string(),
             path: format!("/v1/streams/{}", self.run.request.id),
             query,
             headers: HeaderMap::new(),
         };
-        let exchange = connection.send(&head, Vec::new(), RESUME_LIMIT).await?;
-        exchange.read_answer(RESUME_LIMIT).await
+        let exchange = connection.send(&head, Vec::new(), RESUME_TIMEOUT).await?;
+        exchange.read_answer(RESUME_TIMEOUT).await
     }
 
-    fn silence_limit(&self) -> Duration {
+    fn silence_timeout(&self) -> Duration {
         let tokens = self.guard.next_offset().max(1);
         let gap = boot_now().saturating_sub(self.began) / tokens;
-        (gap * SILENCE_GAPS).clamp(SILENCE_FLOOR, SILENCE_FLOOR * 5)
+        (gap * SILENCE_TIMEOUT_GAPS).clamp(MIN_SILENCE_TIMEOUT, MIN_SILENCE_TIMEOUT * 5)
     }
 }
 
-/// Returns the address of an engine. A plain service keeps no streams: it would
-/// take the question for one more call of its own and run it.
+/// Returns the address of a target that is an engine. A service keeps no streams: it would
+/// run the resume request as another call.
 fn engine_address(view: &FleetView, target: &TargetName) -> Option<SocketAddr> {
     let target = &view.target(target)?.target;
     (target.kind == TargetKind::Engine).then_some(target.address)
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -1,6 +1,6 @@
-//! What may be passed on between hosts.
+//! Which answers may be passed on between hosts.
 
-use super::join_filter::is_of_any_attempt;
+use super::join_filter::is_valid_for_any_attempt;
 use crate::http::AnswerHead;
 
 fn head(outcome: &str) -> AnswerHead {
@@ -13,12 +13,12 @@
     }
 }
 
-/// Attempt 2 of a booking meets a grant that attempt 1 left behind, and asks its
-/// holder for the answer: `not-run`, of attempt 1. Passed on, it would be told of
-/// attempt 2, which was sent to a third host before and still runs there.
+/// Guards against a false `not-run`: attempt 2 finds a claim granted to attempt 1 and asks
+/// its holder, which answers `not-run` for attempt 1. Passed on, it would be taken for
+/// attempt 2, which was also sent to a third host and still runs there.
 #[test]
 fn not_run_of_a_holder_is_never_passed_on() {
-    assert!(!is_of_any_attempt(&head("not-run")));
-    assert!(is_of_any_attempt(&head("done")));
-    assert!(is_of_any_attempt(&head("unknown")));
+    assert!(!is_valid_for_any_attempt(&head("not-run")));
+    assert!(is_valid_for_any_attempt(&head("done")));
+    assert!(is_valid_for_any_attempt(&head("unknown")));
 }
