--- a/src/gateway/admit_filter.rs
+++ b/src/gateway/admit_filter.rs
@@ -34,7 +34,7 @@
     host: &HostState,
     request: &ClassifiedRequest,
 ) -> Result<(), RequestRefusal> {
-    // A forwarded request was estimate by the peer that received it.
+    // A forwarded request was counted by the peer that received it.
     if request.forwarded {
         return Ok(());
     }
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -56,7 +56,7 @@
 use crate::roster::SeatIncarnation;
 use crate::settings::HostSettings;
 
-/// Memory limit for the body_budget of all waiting and running requests: a quarter of the
+/// Memory limit for the bodies of all waiting and running requests: a quarter of the
 /// 128 MB that a daemon may use.
 const MAX_BODY_BYTES: usize = 32 << 20;
 /// How often expired answers are removed.
--- a/src/gateway/host_state.rs
+++ b/src/gateway/host_state.rs
@@ -42,7 +42,7 @@
     pub(crate) suspects: Arc<PoisonGuard>,
     /// The exchange of digests with the peers.
     pub(crate) digests: Arc<DigestController>,
-    /// The memory budget for request body_budget.
+    /// The memory budget for request bodies.
     pub(crate) body_budget: Arc<ByteBudget>,
     /// Answers in progress and completed ones that are kept for resends.
     pub(crate) answers: Arc<AnswerCache>,
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -108,7 +108,7 @@
     }
 
     /// Tells whether the link can be kept for a peer of this name. A link to an address
-    /// from the settings is kept for the seat announced_host there: if it were reopened, the first
+    /// from the settings is kept for the seat found there: if it were reopened, the first
     /// document in force would disconnect the host from all its peers for a moment.
     pub(crate) fn is_reusable_for(&self, expected: Option<&HostName>) -> bool {
         match (&self.expected, expected) {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Acquires a permit for one streamed_calls call.
+    /// Acquires a permit for one streamed call.
     pub(crate) fn take_slot(&self) -> Result<CallSlot, PeerError> {
         CallSlot::take(&self.streamed_calls)
     }
