--- a/tests/embedded_host.rs
+++ b/tests/embedded_host.rs
@@ -1,4 +1,4 @@
-//! A host that runs inside another program.
+//! A host embedded in another program.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use standins::CallerRequest;
 use standins::PlatformServer;
 
-/// How long a test waits for anything.
-const LIMIT: Duration = Duration::from_secs(30);
+/// How long a test waits for a condition.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -41,18 +41,18 @@
             task::sleep(Duration::from_millis(10)).await;
         }
     };
-    async_std::future::timeout(LIMIT, refused)
+    async_std::future::timeout(TIMEOUT, refused)
         .await
-        .expect("the address is given back");
+        .expect("the address is released");
 }
 
 #[async_std::test]
-async fn host_without_a_document_says_why_it_does_not_serve() {
+async fn host_without_a_document_reports_why_it_does_not_serve() {
     let platform = PlatformServer::bind(any_port()).await.unwrap();
     let host = HostServer::open(&settings(&platform)).await.unwrap();
 
     let request = CallerRequest::new("GET", "/v1/anything");
-    let answer = CallerClient::new(LIMIT)
+    let answer = CallerClient::new(TIMEOUT)
         .call(host.caller_address(), &request)
         .await
         .unwrap();
@@ -63,10 +63,11 @@
     assert_eq!(host.version_in_force(), None);
 }
 
-/// A program that stops one host and opens another at the same addresses can't
-/// bind them. The listeners of the stopped one went on in tasks of their own.
+/// A program that stops one host and opens another at the same addresses must be able to
+/// bind them. Guards against listeners of the stopped host that keep running in their own
+/// tasks.
 #[async_std::test]
-async fn stopped_host_gives_its_addresses_back() {
+async fn stopped_host_releases_its_addresses() {
     let platform = PlatformServer::bind(any_port()).await.unwrap();
     let host = HostServer::open(&settings(&platform)).await.unwrap();
     let addresses = [
--- a/tests/log_queue.rs
+++ b/tests/log_queue.rs
@@ -1,4 +1,4 @@
-//! Log lines before an output that nobody reads.
+//! Log lines in front of an output that is not read.
 
 use std::io;
 use std::io::Write;
@@ -11,7 +11,7 @@
 use cardamomgw::logs::DecisionLog;
 use cardamomgw::logs::LineQueue;
 
-/// An output that blocks for ever, as a full pipe does.
+/// An output that blocks forever, like a full pipe.
 struct BlockedOutput;
 
 impl Write for BlockedOutput {
@@ -26,7 +26,7 @@
     }
 }
 
-/// An output that hands on what it gets.
+/// An output that sends what is written to a channel.
 struct ChannelOutput(mpsc::Sender<Vec<u8>>);
 
 impl Write for ChannelOutput {
@@ -56,10 +56,10 @@
     }
 }
 
-/// Whoever collects the log stops reading. Requests that write a line must not wait;
-/// what doesn't fit is counted.
+/// The log collector stops reading. Requests that write a line must not block; lines that
+/// don't fit into the queue are counted.
 #[test]
-fn an_output_that_nobody_reads_delays_no_request() {
+fn an_unread_output_delays_no_request() {
     let log = DecisionLog::open_on(LineQueue::spawn(BlockedOutput)).unwrap();
     let begun = Instant::now();
 
@@ -75,9 +75,9 @@
     assert!(log.lost_lines().1 > 0, "the queue is bounded");
 }
 
-/// Under load plain successes are left out, and refusals stay.
+/// Above the rate limit, routine lines are left out and refusals are kept.
 #[test]
-fn refusals_stay_when_there_are_too_many_lines() {
+fn refusals_are_kept_above_the_rate_limit() {
     let (sender, receiver) = mpsc::channel();
     let log = DecisionLog::open_on(LineQueue::spawn(ChannelOutput(sender))).unwrap();
     for number in 0..1_000 {
--- a/tests/metrics_requests.rs
+++ b/tests/metrics_requests.rs
@@ -1,4 +1,4 @@
-//! Metrics as operators read them, and the log lines that are counted first.
+//! Metrics as exported to operators, and the counting of log lines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     metrics.text().expect("the text is written")
 }
 
-/// Returns the value of the one line that has all of `parts`.
+/// Returns the value of the only line that contains all of `parts`.
 fn value(text: &str, parts: &[&str]) -> f64 {
     let lines: Vec<&str> = text
         .lines()
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn histograms_stand_by_tier_class_and_account() {
+fn histograms_are_labelled_by_tier_class_and_account() {
     let metrics = open_metrics();
     let series = metrics.series(0, "weather-check", "dispatch-north");
 
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn one_series_is_made_for_one_tier_class_and_account() {
+fn one_series_is_created_per_tier_class_and_account() {
     let metrics = open_metrics();
 
     let first = metrics.series(1, "cargo-answer", "crews");
@@ -185,10 +185,10 @@
     assert_eq!(value(&text, &["cardamomgw_log_lines_total", "warn"]), 1.0);
 }
 
-/// A fleet of very many accounts makes more series than a small host can hold
-/// and show. The ones beyond the bound share one, and no record is lost.
+/// A fleet with very many accounts would create more series than a small host can hold and
+/// export. The series beyond the limit share one, and no record is lost.
 #[test]
-fn series_beyond_the_bound_are_counted_together() {
+fn series_beyond_the_limit_are_counted_together() {
     let metrics = open_metrics();
 
     for index in 0..1002 {
--- a/tests/peers_digests.rs
+++ b/tests/peers_digests.rs
@@ -1,5 +1,4 @@
-//! Digests told by changes: what a receiver makes of them is always a digest that
-//! the sender had.
+//! Digest deltas: a receiver only ever reconstructs digests that the sender had.
 
 use std::sync::Arc;
 
@@ -21,7 +20,7 @@
 use cardamomgw::roster::RosterDigest;
 use cardamomgw::roster::SeatIncarnation;
 
-const FIRST_LIFE: u64 = 7;
+const FIRST_INCARNATION: u64 = 7;
 
 fn digest(incarnation: u64, sequence: u64) -> PeerDigest {
     let targets = (0..4).map(|index| demand(&format!("engine-{index}")));
@@ -75,7 +74,7 @@
     "b".to_owned()
 }
 
-/// Changes one thing that a host tells.
+/// Changes one part of a digest.
 fn change(digest: &mut PeerDigest, unstructured: &mut Unstructured) -> Result<()> {
     let value: u32 = unstructured.arbitrary()?;
     let kind = unstructured.int_in_range(0..=14)?;
@@ -126,15 +125,15 @@
 }
 
 #[test]
-fn delta_leads_to_the_new_digest_whatever_changed() {
+fn delta_yields_the_new_digest_whatever_changed() {
     arbtest(|unstructured| {
-        let base = digest(FIRST_LIFE, 5);
-        let mut new = digest(FIRST_LIFE, 9);
+        let base = digest(FIRST_INCARNATION, 5);
+        let mut new = digest(FIRST_INCARNATION, 9);
         for _ in 0..unstructured.int_in_range(0..=6)? {
             change(&mut new, unstructured)?;
         }
 
-        let delta = DigestDelta::between(&base, &new).expect("one follows the other");
+        let delta = DigestDelta::between(&base, &new).expect("the new digest follows the base");
 
         assert_eq!(delta.apply(&base), Some(new));
         Ok(())
@@ -142,28 +141,34 @@
 }
 
 #[test]
-fn delta_fits_no_digest_but_its_base() {
-    let new = digest(FIRST_LIFE, 9);
-    let delta = DigestDelta::between(&digest(FIRST_LIFE, 5), &new).unwrap();
+fn delta_applies_to_no_digest_but_its_base() {
+    let new = digest(FIRST_INCARNATION, 9);
+    let delta = DigestDelta::between(&digest(FIRST_INCARNATION, 5), &new).unwrap();
 
-    assert_eq!(delta.apply(&digest(FIRST_LIFE, 4)), None);
-    assert_eq!(delta.apply(&digest(FIRST_LIFE, 9)), None);
-    assert_eq!(delta.apply(&digest(FIRST_LIFE + 1, 5)), None);
+    assert_eq!(delta.apply(&digest(FIRST_INCARNATION, 4)), None);
+    assert_eq!(delta.apply(&digest(FIRST_INCARNATION, 9)), None);
+    assert_eq!(delta.apply(&digest(FIRST_INCARNATION + 1, 5)), None);
     assert_eq!(delta.apply(&PeerDigest::default()), None);
 }
 
 #[test]
-fn digests_of_two_lives_or_in_the_wrong_order_have_no_delta() {
-    let base = digest(FIRST_LIFE, 5);
+fn digests_of_two_incarnations_or_in_the_wrong_order_have_no_delta() {
+    let base = digest(FIRST_INCARNATION, 5);
 
     assert_eq!(DigestDelta::between(&base, &digest(8, 6)), None);
-    assert_eq!(DigestDelta::between(&base, &digest(FIRST_LIFE, 5)), None);
-    assert_eq!(DigestDelta::between(&base, &digest(FIRST_LIFE, 4)), None);
+    assert_eq!(
+        DigestDelta::between(&base, &digest(FIRST_INCARNATION, 5)),
+        None
+    );
+    assert_eq!(
+        DigestDelta::between(&base, &digest(FIRST_INCARNATION, 4)),
+        None
+    );
 }
 
 #[test]
-fn unchanged_targets_are_not_told() {
-    let (base, new) = (digest(FIRST_LIFE, 5), digest(FIRST_LIFE, 6));
+fn unchanged_targets_are_not_sent() {
+    let (base, new) = (digest(FIRST_INCARNATION, 5), digest(FIRST_INCARNATION, 6));
 
     let delta = DigestDelta::between(&base, &new).unwrap();
 
@@ -175,33 +180,33 @@
 }
 
 #[test]
-fn peer_gets_a_whole_digest_first_then_changes_and_now_and_then_the_whole() {
+fn peer_gets_a_full_digest_first_and_again_after_the_maximum_of_deltas() {
     let mut outbox = DigestOutbox::default();
-    let mut wholes = Vec::new();
+    let mut full_digests = Vec::new();
 
     for sequence in 1..=u64::from(MAX_CONSECUTIVE_DELTAS) + 2 {
-        let own = Arc::new(digest(FIRST_LIFE, sequence));
-        let whole = matches!(outbox.call_for(&peer(), &own), PeerCall::Digest(_));
-        if whole {
-            wholes.push(sequence);
+        let own = Arc::new(digest(FIRST_INCARNATION, sequence));
+        let is_full = matches!(outbox.call_for(&peer(), &own), PeerCall::Digest(_));
+        if is_full {
+            full_digests.push(sequence);
         }
-        outbox.mark_confirmed(&peer(), &own, whole);
+        outbox.mark_confirmed(&peer(), &own, is_full);
     }
 
-    assert_eq!(wholes, [1, u64::from(MAX_CONSECUTIVE_DELTAS) + 2]);
+    assert_eq!(full_digests, [1, u64::from(MAX_CONSECUTIVE_DELTAS) + 2]);
 }
 
-/// Two exchanges overlap and the earlier one's confirmation comes last. Were the
-/// older digest taken as the base again, each later delta would be refused.
+/// Two exchanges overlap, and the confirmation of the earlier one arrives last. If the older
+/// digest became the base again, the peer would refuse each later delta.
 #[test]
-fn late_confirmation_does_not_bring_an_older_base_back() {
+fn late_confirmation_does_not_restore_an_older_base() {
     let mut outbox = DigestOutbox::default();
-    let (first, second) = (digest(FIRST_LIFE, 1), digest(FIRST_LIFE, 2));
+    let (first, second) = (digest(FIRST_INCARNATION, 1), digest(FIRST_INCARNATION, 2));
     outbox.mark_confirmed(&peer(), &Arc::new(second.clone()), true);
 
     outbox.mark_confirmed(&peer(), &Arc::new(first), true);
 
-    let third = digest(FIRST_LIFE, 3);
+    let third = digest(FIRST_INCARNATION, 3);
     let delta = DigestDelta::between(&second, &third).unwrap();
     assert_eq!(
         outbox.call_for(&peer(), &third),
@@ -209,26 +214,27 @@
     );
 }
 
-/// A host was replaced and its former process, paused, wakes up and still sends:
-/// two lives speak under one name. A change of the one that were laid over the
-/// digest of the other would tell of slots that nobody ever gave.
+/// A host was replaced, and its former process resumes after a pause and still sends: two
+/// incarnations use one host name. A delta of one applied to the digest of the other would
+/// report slots that were never granted.
 #[test]
-fn change_of_a_former_life_is_not_laid_over_the_new_one() {
+fn delta_of_a_former_incarnation_is_not_applied_to_the_new_one() {
     let mut inbox = DigestInbox::default();
-    let former = DigestDelta::between(&digest(FIRST_LIFE, 5), &digest(FIRST_LIFE, 6)).unwrap();
-    inbox.store(&peer(), digest(FIRST_LIFE + 1, 5));
+    let former =
+        DigestDelta::between(&digest(FIRST_INCARNATION, 5), &digest(FIRST_INCARNATION, 6)).unwrap();
+    inbox.store(&peer(), digest(FIRST_INCARNATION + 1, 5));
 
     assert_eq!(inbox.apply_delta(&peer(), &former), None);
 }
 
-/// Calls and confirmations are lost, doubled and overtaken, and both ends restart.
-/// Peers that lay a change over the wrong digest would count slots that were never
-/// given, and two hosts would fill the same slot.
+/// Calls and confirmations are lost, duplicated and reordered, and both ends restart. A peer
+/// that applies a delta to the wrong digest would count slots that were never granted, and
+/// two hosts would use the same slot.
 #[test]
 fn receiver_only_ever_sees_digests_that_the_sender_had() {
     arbtest(|unstructured| {
-        let mut own = digest(FIRST_LIFE, 0);
-        let mut told = Vec::new();
+        let mut own = digest(FIRST_INCARNATION, 0);
+        let mut sent = Vec::new();
         let mut calls: Vec<(PeerCall, usize)> = Vec::new();
         let mut outbox = DigestOutbox::default();
         let mut inbox = DigestInbox::default();
@@ -237,7 +243,7 @@
                 0 => outbox.forget(&peer()),
                 1 => inbox = DigestInbox::default(),
                 2 => {
-                    let policy = own.policy.as_mut().expect("a whole digest");
+                    let policy = own.policy.as_mut().expect("a full digest");
                     (policy.incarnation, policy.sequence) = (policy.incarnation + 1, 0);
                     outbox = DigestOutbox::default();
                 }
@@ -246,7 +252,7 @@
                 }
                 4..=6 if !calls.is_empty() => {
                     let (call, index) = calls[unstructured.choose_index(calls.len())?].clone();
-                    let whole = matches!(call, PeerCall::Digest(_));
+                    let is_full = matches!(call, PeerCall::Digest(_));
                     let seen = match call {
                         PeerCall::Digest(digest) => {
                             inbox.store(&peer(), PeerDigest::clone(&digest));
@@ -259,17 +265,17 @@
                         outbox.forget(&peer());
                         continue;
                     };
-                    assert_eq!(seen, told[index], "the sender told something else");
+                    assert_eq!(seen, sent[index], "the sender sent another digest");
                     if unstructured.arbitrary()? {
-                        outbox.mark_confirmed(&peer(), &Arc::new(seen), whole);
+                        outbox.mark_confirmed(&peer(), &Arc::new(seen), is_full);
                     }
                 }
                 _ => {
                     change(&mut own, unstructured)?;
-                    let policy = own.policy.as_mut().expect("a whole digest");
+                    let policy = own.policy.as_mut().expect("a full digest");
                     policy.sequence += 1;
-                    calls.push((outbox.call_for(&peer(), &own), told.len()));
-                    told.push(own.clone());
+                    calls.push((outbox.call_for(&peer(), &own), sent.len()));
+                    sent.push(own.clone());
                 }
             }
         }
--- a/tests/peers_faults.rs
+++ b/tests/peers_faults.rs
@@ -1,4 +1,4 @@
-//! Connections between hosts that go silent, end, or speak something else.
+//! Connections between hosts that go silent, end, or send invalid data.
 
 mod peers_support;
 
@@ -25,16 +25,16 @@
 use cardamomgw::peers::PeerMesh;
 use cardamomgw::peers::PeerReply;
 use cardamomgw::peers::ReplySender;
-use peers_support::PATIENCE;
+use peers_support::TIMEOUT;
 use peers_support::any_port;
 use peers_support::eventually;
 use peers_support::identity;
 use peers_support::mesh_to;
 
-/// Answers digests, and holds any other call open until the caller goes.
-struct PatientHandler;
+/// Answers digests, and keeps any other call open until the caller cancels it.
+struct HoldingHandler;
 
-impl CallHandler for PatientHandler {
+impl CallHandler for HoldingHandler {
     fn handle(&self, _from: String, call: PeerCall, mut replies: ReplySender) -> HandleFuture<'_> {
         Box::pin(async move {
             match call {
@@ -48,15 +48,15 @@
 }
 
 async fn listen_at(host: &str, address: SocketAddr) -> std::io::Result<PeerListener> {
-    PeerListener::bind(address, identity(host), Arc::new(PatientHandler)).await
+    PeerListener::bind(address, identity(host), Arc::new(HoldingHandler)).await
 }
 
 async fn listen(host: &str) -> PeerListener {
     listen_at(host, any_port()).await.expect("a free port")
 }
 
-/// Binds an address that another listener has just left.
-async fn listen_again(host: &str, address: SocketAddr) -> PeerListener {
+/// Binds an address that another listener has just released.
+async fn rebind(host: &str, address: SocketAddr) -> PeerListener {
     let bind = async {
         loop {
             match listen_at(host, address).await {
@@ -65,12 +65,12 @@
             }
         }
     };
-    async_std::future::timeout(PATIENCE, bind)
+    async_std::future::timeout(TIMEOUT, bind)
         .await
         .expect("the address becomes free")
 }
 
-/// A call that the patient handler holds open.
+/// A call that [`HoldingHandler`] keeps open.
 fn join_call() -> PeerCall {
     PeerCall::Join {
         request: RequestId::generate(1),
@@ -83,58 +83,63 @@
     mesh.call(host, call, Duration::from_secs(2)).await.is_ok()
 }
 
-/// A link that forgets the connections it has on command, without closing
-/// them, and passes new ones on; it records what the callers sent.
-struct ForgetfulLink {
+/// A TCP proxy that can stall its existing connections without closing them, while new
+/// connections work. It records what the callers send.
+struct StallingProxy {
     address: SocketAddr,
-    age: Arc<AtomicU64>,
+    generation: Arc<AtomicU64>,
     sent: Arc<Mutex<Vec<u8>>>,
 }
 
-impl ForgetfulLink {
+impl StallingProxy {
     async fn spawn(to: SocketAddr) -> Self {
         let listener = TcpListener::bind(any_port()).await.expect("a free port");
         let address = listener.local_addr().expect("a bound address");
-        let age = Arc::<AtomicU64>::default();
+        let generation = Arc::<AtomicU64>::default();
         let sent = Arc::<Mutex<Vec<u8>>>::default();
         let link = Self {
             address,
-            age: Arc::clone(&age),
+            generation: Arc::clone(&generation),
             sent: Arc::clone(&sent),
         };
         task::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let Ok(far) = TcpStream::connect(to).await else {
+            while let Ok((client, _)) = listener.accept().await {
+                let Ok(server) = TcpStream::connect(to).await else {
                     continue;
                 };
                 let record = Some(Arc::clone(&sent));
-                task::spawn(pass_on(near.clone(), far.clone(), Arc::clone(&age), record));
-                task::spawn(pass_on(far, near, Arc::clone(&age), None));
+                task::spawn(forward(
+                    client.clone(),
+                    server.clone(),
+                    Arc::clone(&generation),
+                    record,
+                ));
+                task::spawn(forward(server, client, Arc::clone(&generation), None));
             }
         });
         link
     }
 
-    /// Forgets all connections that are open now.
-    fn forget(&self) {
-        self.age.fetch_add(1, Ordering::SeqCst);
+    /// Stalls all connections that are open now.
+    fn stall(&self) {
+        self.generation.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-async fn pass_on(
+async fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
-    age: Arc<AtomicU64>,
+    generation: Arc<AtomicU64>,
     record: Option<Arc<Mutex<Vec<u8>>>>,
 ) {
-    let born = age.load(Ordering::SeqCst);
+    let opened = generation.load(Ordering::SeqCst);
     let mut buffer = [0; 4096];
     while let Ok(count) = from.read(&mut buffer).await {
         if count == 0 {
             break;
         }
-        if age.load(Ordering::SeqCst) != born {
-            // Keeps both sockets open and passes nothing on, for good.
+        if generation.load(Ordering::SeqCst) != opened {
+            // Stalled: keeps both sockets open and forwards nothing any more.
             continue;
         }
         if let Some(record) = &record {
@@ -149,16 +154,16 @@
     }
 }
 
-/// A middle box loses track of an open connection between two hosts; new
-/// connections work. No socket error ever comes. Calls on the old connection
-/// must fail without a time-out of their own, calls to other peers go on, and
-/// the peer can be called again over a new connection.
+/// A middlebox drops the state of an open connection between two hosts, so that it goes
+/// silent without a socket error; new connections work. Calls on the old connection must
+/// fail without a timeout of their own, calls to other peers must continue, and the peer
+/// must become reachable over a new connection.
 #[async_std::test]
-async fn silent_connection_fails_its_calls_and_is_opened_anew() {
+async fn silent_connection_fails_its_calls_and_is_reopened() {
     let b = listen("b").await;
     let c = listen("c").await;
-    let link = ForgetfulLink::spawn(b.address()).await;
-    let mesh = mesh_to(&[("b", link.address), ("c", c.address())]);
+    let proxy = StallingProxy::spawn(b.address()).await;
+    let mesh = mesh_to(&[("b", proxy.address), ("c", c.address())]);
     eventually("both answer", async || {
         answers(&mesh, "b").await && answers(&mesh, "c").await
     })
@@ -175,8 +180,8 @@
         .await
         .unwrap();
 
-    link.forget();
-    let lost = async_std::future::timeout(PATIENCE, pending.next()).await;
+    proxy.stall();
+    let lost = async_std::future::timeout(TIMEOUT, pending.next()).await;
 
     assert_eq!(lost.unwrap(), Err(PeerError::ConnectionLost));
     assert!(answers(&mesh, "c").await);
@@ -189,8 +194,8 @@
     assert_eq!(links.iter().map(|link| link.connect_count).max(), Some(2));
 }
 
-/// A host is replaced at the same address. Its peers call it again without
-/// being told, and a call made meanwhile fails at once instead of waiting.
+/// A host is replaced at the same address. Its peers must reconnect by themselves, and a call
+/// made in the meantime must fail at once instead of waiting.
 #[async_std::test]
 async fn restarted_peer_is_called_again() {
     let first = listen("b").await;
@@ -199,21 +204,21 @@
     eventually("b answers", async || answers(&mesh, "b").await).await;
 
     drop(first);
-    eventually("the loss is seen", async || {
+    eventually("the lost connection is noticed", async || {
         mesh.connected_peers().is_empty()
     })
     .await;
     let call = PeerCall::Digest(Box::default());
-    let meanwhile = mesh.call("b", call, PATIENCE).await;
-    let _second = listen_again("b", address).await;
+    let meanwhile = mesh.call("b", call, TIMEOUT).await;
+    let _second = rebind("b", address).await;
 
     assert_eq!(meanwhile, Err(PeerError::NotConnected));
     eventually("b answers again", async || answers(&mesh, "b").await).await;
 }
 
-/// A host starts by an address from its settings; its first document names the
-/// seat behind it. The connection must go on: cut and opened anew, every claim
-/// of that moment would find no majority.
+/// A host connects to an address from its settings, and its first document names the seat at
+/// that address. The connection must be kept: if it were closed and reopened, all claims in
+/// the meantime would find no majority.
 #[async_std::test]
 async fn seed_that_the_roster_names_keeps_its_connection() {
     let b = listen("b").await;
@@ -227,10 +232,10 @@
     assert_eq!((links.len(), links[0].connect_count), (1, 1));
 }
 
-/// Hundreds of relayed answers run between two hosts at once. One more must be
-/// refused at once, not wait unseen for a stream, and claims must still pass.
+/// Two hosts relay hundreds of answers concurrently. A further one must be refused at once
+/// instead of waiting for a free stream, and claims must still get through.
 #[async_std::test]
-async fn streamed_calls_leave_room_for_short_ones() {
+async fn streamed_calls_leave_streams_for_short_ones() {
     let b = listen("b").await;
     let mesh = mesh_to(&[("b", b.address())]);
     eventually("b answers", async || answers(&mesh, "b").await).await;
@@ -257,7 +262,7 @@
     let mut pending = mesh.open_call("b", join_call()).await.unwrap();
 
     mesh.stop();
-    let ended = async_std::future::timeout(PATIENCE, pending.next()).await;
+    let ended = async_std::future::timeout(TIMEOUT, pending.next()).await;
 
     assert_eq!(ended.unwrap(), Err(PeerError::ConnectionLost));
     assert!(mesh.links().is_empty());
@@ -277,7 +282,7 @@
 
     let call = PeerCall::Digest(Box::default());
     assert_eq!(
-        mesh.call("b", call, PATIENCE).await,
+        mesh.call("b", call, TIMEOUT).await,
         Err(PeerError::UnknownHost { host: "b".into() })
     );
     assert!(answers(&mesh, "c").await);
@@ -286,8 +291,8 @@
     assert_eq!(links[0].connect_count, 1);
 }
 
-/// Hosts of two releases meet during a rolling replacement. The old one must
-/// not guess at messages that it doesn't know: both ends say which version they met.
+/// Hosts of two releases connect during a rolling replacement. The old one must not try to
+/// decode messages that it doesn't know: both ends report the version that they found.
 #[async_std::test]
 async fn unknown_version_is_refused_by_the_listener_and_counted() {
     let listener = listen("b").await;
@@ -309,7 +314,7 @@
 }
 
 #[async_std::test]
-async fn unknown_version_is_named_to_the_caller() {
+async fn unknown_version_is_reported_to_the_caller() {
     let listener = TcpListener::bind(any_port()).await.unwrap();
     let mesh = mesh_to(&[("b", listener.local_addr().unwrap())]);
     let (mut stream, _) = listener.accept().await.unwrap();
@@ -322,15 +327,15 @@
     .await;
 }
 
-/// Somebody recorded the bytes of a host's connection and plays them again.
-/// The listener's own random number differs each time, so the proof fails.
+/// Somebody replays the recorded bytes of a host's connection. The listener's nonce differs
+/// each time, so the proof fails.
 #[async_std::test]
-async fn recorded_handshake_does_not_open_a_second_connection() {
+async fn replayed_handshake_is_refused() {
     let listener = listen("b").await;
-    let link = ForgetfulLink::spawn(listener.address()).await;
-    let mesh = mesh_to(&[("b", link.address)]);
+    let proxy = StallingProxy::spawn(listener.address()).await;
+    let mesh = mesh_to(&[("b", proxy.address)]);
     eventually("b answers", async || answers(&mesh, "b").await).await;
-    let recorded = link.sent.lock().unwrap().clone();
+    let recorded = proxy.sent.lock().unwrap().clone();
 
     let mut stream = TcpStream::connect(listener.address()).await.unwrap();
     stream.write_all(&recorded).await.unwrap();
@@ -343,12 +348,12 @@
 }
 
 #[async_std::test]
-async fn connection_that_says_nothing_is_dropped() {
+async fn connection_without_a_handshake_is_closed() {
     let listener = listen("b").await;
     let mut stream = TcpStream::connect(listener.address()).await.unwrap();
 
     let mut rest = Vec::new();
-    let read = async_std::future::timeout(PATIENCE, stream.read_to_end(&mut rest)).await;
+    let read = async_std::future::timeout(TIMEOUT, stream.read_to_end(&mut rest)).await;
 
     assert_eq!(read.unwrap().unwrap(), 0);
 }
--- a/tests/peers_mesh.rs
+++ b/tests/peers_mesh.rs
@@ -24,18 +24,18 @@
 use cardamomgw::peers::RawDocument;
 use cardamomgw::peers::ReplySender;
 use cardamomgw::peers::RequestHead;
-use peers_support::PATIENCE;
+use peers_support::TIMEOUT;
 use peers_support::any_port;
 use peers_support::eventually;
 use peers_support::identity;
 use peers_support::identity_with_key;
 use peers_support::mesh_to;
 
-/// Answers digests at once, documents with a large body, streams on `Serve`,
-/// and leaves `Join` unanswered until the caller goes.
+/// Answers `Digest` at once, `Document` with a large body and `Serve` with a stream, and
+/// leaves `Join` unanswered until the caller cancels it.
 #[derive(Default)]
 struct EchoHandler {
-    given_up: AtomicUsize,
+    cancelled: AtomicUsize,
 }
 
 impl CallHandler for EchoHandler {
@@ -48,7 +48,7 @@
     async fn answer(&self, from: HostName, call: PeerCall, mut replies: ReplySender) {
         match call {
             PeerCall::Digest(mut digest) => {
-                // The version carries the length of the caller's name back.
+                // The version returns the length of the caller's name.
                 digest.version = from.len() as u64;
                 replies.finish(PeerReply::Digest(digest)).await.ok();
             }
@@ -66,17 +66,17 @@
             | PeerCall::Gossip(_) => {}
             PeerCall::Join { .. } => {
                 replies.closed().await;
-                self.given_up.fetch_add(1, Ordering::SeqCst);
+                self.cancelled.fetch_add(1, Ordering::SeqCst);
             }
             PeerCall::Serve { body, .. } => {
-                let cut = body.is_empty();
+                let truncated = body.is_empty();
                 for piece in body.chunks(10) {
                     let piece = Bytes::copy_from_slice(piece);
                     if replies.send(PeerReply::AnswerBody(piece)).await.is_err() {
                         return;
                     }
                 }
-                if !cut {
+                if !truncated {
                     let outcome = RequestOutcome::Done;
                     replies.finish(PeerReply::AnswerEnd { outcome }).await.ok();
                 }
@@ -105,7 +105,7 @@
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
-    async_std::future::timeout(PATIENCE, work)
+    async_std::future::timeout(TIMEOUT, work)
         .await
         .expect("the peer answers in time")
 }
@@ -116,14 +116,14 @@
     let mesh = mesh_to(&[("b", listener.address())]);
     connected(&mesh, "b").await;
 
-    let reply = mesh.call("b", digest_call(), PATIENCE).await.unwrap();
+    let reply = mesh.call("b", digest_call(), TIMEOUT).await.unwrap();
 
     let PeerReply::Digest(digest) = reply else {
         panic!("another reply: {reply:?}");
     };
     assert_eq!(digest.version, "a".len() as u64);
     assert_eq!(
-        mesh.call("c", digest_call(), PATIENCE).await,
+        mesh.call("c", digest_call(), TIMEOUT).await,
         Err(PeerError::UnknownHost { host: "c".into() })
     );
 }
@@ -137,17 +137,17 @@
     let call = serve_call(body.clone());
 
     let mut stream = mesh.open_call("b", call).await.unwrap();
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let mut ended = false;
     while let Some(reply) = within(stream.next()).await.unwrap() {
         match reply {
-            PeerReply::AnswerBody(piece) => got.extend_from_slice(&piece),
+            PeerReply::AnswerBody(piece) => received.extend_from_slice(&piece),
             PeerReply::AnswerEnd { .. } => ended = true,
             other => panic!("another reply: {other:?}"),
         }
     }
 
-    assert_eq!(got, body);
+    assert_eq!(received, body);
     assert!(ended);
 }
 
@@ -164,12 +164,12 @@
 }
 
 #[async_std::test]
-async fn document_larger_than_the_window_arrives_whole() {
+async fn document_larger_than_the_window_arrives_complete() {
     let (listener, _handler) = listen("b").await;
     let mesh = mesh_to(&[("b", listener.address())]);
     connected(&mesh, "b").await;
 
-    let reply = mesh.call("b", PeerCall::Document, PATIENCE).await.unwrap();
+    let reply = mesh.call("b", PeerCall::Document, TIMEOUT).await.unwrap();
 
     let PeerReply::Document(Some(copy)) = reply else {
         panic!("another reply");
@@ -177,8 +177,8 @@
     assert_eq!(copy.body.len(), 1 << 20);
 }
 
-/// A peer's handler dies in the middle of an answer. Its stream must not end
-/// like a whole one: the caller would pass a short answer on as complete.
+/// A peer's handler ends in the middle of an answer. The stream must not end as if it were
+/// complete, or the caller would relay a truncated answer as complete.
 #[async_std::test]
 async fn call_that_the_handler_drops_is_an_error_not_an_end() {
     let (listener, _handler) = listen("b").await;
@@ -191,7 +191,7 @@
 }
 
 #[async_std::test]
-async fn call_that_the_caller_drops_is_told_to_the_handler() {
+async fn handler_notices_a_call_that_the_caller_drops() {
     let (listener, handler) = listen("b").await;
     let mesh = mesh_to(&[("b", listener.address())]);
     connected(&mesh, "b").await;
@@ -206,16 +206,16 @@
 
     assert_eq!(result, Err(PeerError::TimedOut));
     eventually("reset seen", async || {
-        handler.given_up.load(Ordering::SeqCst) == 1
+        handler.cancelled.load(Ordering::SeqCst) == 1
     })
     .await;
 }
 
-/// Callers with stalled clients leave many relayed answers unread. With h2's own
-/// window for the whole connection they would use it up, and claims and digests
-/// beside them would wait as if the peer were dead.
+/// Callers with stalled clients leave many relayed answers unread. They would exhaust h2's
+/// default window of the connection, and claims and digests on the same connection would
+/// stall as if the peer were dead.
 #[async_std::test]
-async fn answers_that_nobody_reads_do_not_hold_up_other_calls() {
+async fn unread_answers_do_not_block_other_calls() {
     let (listener, _handler) = listen("b").await;
     let mesh = mesh_to(&[("b", listener.address())]);
     connected(&mesh, "b").await;
@@ -224,7 +224,7 @@
         unread.push(mesh.open_call("b", PeerCall::Document).await.unwrap());
     }
 
-    let reply = mesh.call("b", digest_call(), PATIENCE).await;
+    let reply = mesh.call("b", digest_call(), TIMEOUT).await;
 
     assert!(reply.is_ok(), "{reply:?}");
     let first = within(unread[0].next()).await.unwrap();
@@ -238,10 +238,10 @@
     connected(&mesh, "b").await;
     let body = Bytes::from(vec![0; MAX_MESSAGE_BYTES + 1]);
 
-    let result = mesh.call("b", serve_call(body), PATIENCE).await;
+    let result = mesh.call("b", serve_call(body), TIMEOUT).await;
 
     assert_eq!(result, Err(PeerError::MessageTooLarge));
-    mesh.call("b", digest_call(), PATIENCE).await.unwrap();
+    mesh.call("b", digest_call(), TIMEOUT).await.unwrap();
 }
 
 #[async_std::test]
@@ -260,8 +260,8 @@
     assert!(mesh.connected_peers().is_empty());
 }
 
-/// An old roster names an address that another host has by now. A claim counted
-/// under the old name would let one host's voice count for two seats.
+/// An old roster names an address that now belongs to another host. If claims were counted
+/// under the old name, one host's vote would count for two seats.
 #[async_std::test]
 async fn host_that_answers_under_another_name_is_not_called() {
     let (listener, _handler) = listen("b").await;
@@ -273,16 +273,16 @@
     .await;
 
     assert_eq!(
-        mesh.call("c", digest_call(), PATIENCE).await,
+        mesh.call("c", digest_call(), TIMEOUT).await,
         Err(PeerError::NotConnected)
     );
 }
 
 #[async_std::test]
-async fn seed_is_called_by_the_name_that_it_gave() {
+async fn seed_is_called_by_the_name_from_its_handshake() {
     let (listener, _handler) = listen("b").await;
     let mesh = PeerMesh::spawn(identity("a"), vec![listener.address()]);
     connected(&mesh, "b").await;
 
-    assert!(mesh.call("b", digest_call(), PATIENCE).await.is_ok());
+    assert!(mesh.call("b", digest_call(), TIMEOUT).await.is_ok());
 }
--- a/tests/peers_support/mod.rs
+++ b/tests/peers_support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of connections between hosts share.
+//! Fixtures shared by the tests of connections between hosts.
 
 // Each test file that includes these fixtures uses some of them.
 #![allow(dead_code)]
@@ -11,10 +11,10 @@
 use cardamomgw::peers::PeerIdentity;
 use cardamomgw::peers::PeerMesh;
 
-/// How long a condition may take to come true on a busy machine.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+/// How long a condition may take to become true on a busy machine.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A host that holds the fleet's key.
+/// A host with the fleet's key.
 pub(crate) fn identity(host: &str) -> PeerIdentity {
     identity_with_key(host, "key")
 }
@@ -47,6 +47,6 @@
             task::sleep(Duration::from_millis(10)).await;
         }
     };
-    let result = async_std::future::timeout(PATIENCE, poll).await;
-    assert!(result.is_ok(), "not in time: {what}");
+    let result = async_std::future::timeout(TIMEOUT, poll).await;
+    assert!(result.is_ok(), "timed out: {what}");
 }
--- a/tests/peers_watch.rs
+++ b/tests/peers_watch.rs
@@ -1,4 +1,4 @@
-//! What operators are told of peers that come, go and are refused.
+//! Logging and counting of peers that connect, disconnect or are refused.
 
 mod peers_support;
 
@@ -20,7 +20,7 @@
 use cardamomgw::peers::PeerMesh;
 use cardamomgw::peers::ReplySender;
 use cardamomgw::settings::LogLevel;
-use peers_support::PATIENCE;
+use peers_support::TIMEOUT;
 use peers_support::any_port;
 use peers_support::identity;
 use peers_support::identity_with_key;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn each_coming_and_going_is_told_once() {
+fn each_connect_and_disconnect_is_logged_once() {
     let mut roll = PeerTracker::default();
 
     let first = update(&mut roll, &[link("b", true), link("c", false)]);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn peer_that_the_roster_dropped_is_not_told_as_lost() {
+fn peer_removed_from_the_roster_is_not_logged_as_lost() {
     let mut roll = PeerTracker::default();
     update(&mut roll, &[link("b", true), link("c", true)]);
 
@@ -98,5 +98,5 @@
             task::sleep(Duration::from_millis(10)).await;
         }
     };
-    async_std::future::timeout(PATIENCE, shown).await.unwrap();
+    async_std::future::timeout(TIMEOUT, shown).await.unwrap();
 }
--- a/tests/process_bench.rs
+++ b/tests/process_bench.rs
@@ -1,4 +1,4 @@
-//! The bench's own parts that failure tests lean on.
+//! Helpers of the test bench that failure tests depend on.
 
 mod support;
 
--- a/tests/process_callers.rs
+++ b/tests/process_callers.rs
@@ -1,4 +1,4 @@
-//! Callers before real processes: each gets its own whole answer, from every host.
+//! Callers of real processes: each gets its own complete answer from every host.
 
 #![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
 
@@ -18,7 +18,7 @@
 use support::generate;
 
 #[async_std::test]
-async fn a_stream_comes_whole_through_each_host() {
+async fn a_stream_is_complete_through_each_host() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
 
     for host in fleet.caller_addresses() {
--- a/tests/process_claims.rs
+++ b/tests/process_claims.rs
@@ -1,4 +1,4 @@
-//! Sends of one id that race for its claim on several hosts.
+//! Concurrent sends of one request id that compete for its claim on several hosts.
 
 #![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
 
@@ -10,15 +10,15 @@
 use support::booking;
 use support::spawn_call;
 
-/// How many bookings are sent twice at once; one in a few splits the seats.
+/// How many bookings are sent twice concurrently; one in a few splits the seats' votes.
 const RACES: usize = 40;
 
-/// A crew's two sends of one booking reach two hosts at once while the third host
-/// is dead. Each host's own seat grants its send, so neither wins, and each takes
-/// the other for the holder that the dead seat may have granted too. Each then
-/// waited for the other's answer: both callers hung for good.
+/// Two sends of one booking reach two hosts concurrently while the third host is dead. Each
+/// host's own seat grants its own send, so neither gets a majority, and each takes the other
+/// for the holder, since the dead seat may have granted that one too. Guards against both
+/// hosts waiting for each other's answer, so that both callers hang forever.
 #[async_std::test]
-async fn sends_that_split_the_seats_are_both_answered_truthfully() {
+async fn sends_that_split_the_votes_are_both_answered_truthfully() {
     let mut fleet = TestFleet::start(FleetPlan {
         engines: 0,
         ..FleetPlan::default()
--- a/tests/process_config.rs
+++ b/tests/process_config.rs
@@ -1,4 +1,4 @@
-//! Configuration: in force everywhere, never an older one, refused whole.
+//! Configuration: applied by all hosts, never replaced by an older one, refused as a whole.
 
 #![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
 
@@ -16,8 +16,8 @@
 use support::call;
 use support::wait_until;
 
-/// Long enough for a wrong version to show if it were taken.
-const WATCH_TIME: Duration = Duration::from_secs(3);
+/// Long enough for a wrong version to show up if it were applied.
+const OBSERVATION_TIME: Duration = Duration::from_secs(3);
 
 async fn service_fleet() -> TestFleet {
     TestFleet::start(FleetPlan {
@@ -27,7 +27,7 @@
     .await
 }
 
-/// An operator edits; one host is cut from the platform but not from its peers.
+/// The document is edited while one host can't reach the platform, but can reach its peers.
 #[async_std::test]
 async fn a_host_cut_from_the_platform_follows_its_peers() {
     let mut fleet = service_fleet().await;
@@ -40,7 +40,7 @@
     }
 }
 
-/// The platform falls back to what it knew before; a host restarts into that.
+/// The platform serves an older document again, and a host restarts while it does.
 #[async_std::test]
 async fn a_restart_into_a_stale_platform_takes_nothing_older() {
     let mut fleet = service_fleet().await;
@@ -56,14 +56,14 @@
     fleet.hosts[0].process.wait_ready().await;
 
     fleet.wait_in_force(0, fleet.document.version).await;
-    task::sleep(WATCH_TIME).await;
+    task::sleep(OBSERVATION_TIME).await;
     for index in 0..fleet.hosts.len() {
         let version = fleet.version_in_force(index).await;
         assert_eq!(version, Some(fleet.document.version));
     }
 }
 
-/// A host starts while the platform is down: its peers have the document.
+/// A host starts while the platform is down, and gets the document from its peers.
 #[async_std::test]
 async fn a_host_starts_while_the_platform_is_down() {
     let mut fleet = service_fleet().await;
@@ -92,10 +92,10 @@
     }
 }
 
-/// An operator publishes a document with a fault in one selector. Nothing of it
-/// may be in force anywhere, the old one stays, and operators are told why.
+/// A document with a fault in one selector is published. No part of it may be applied by any
+/// host, the previous one stays in force, and the status shows why it was refused.
 #[async_std::test]
-async fn a_bad_document_is_refused_whole() {
+async fn an_invalid_document_is_refused_as_a_whole() {
     let mut fleet = service_fleet().await;
     let good = fleet.document.version;
 
@@ -119,8 +119,8 @@
     }
 }
 
-/// Two operators edit version 1 at once and both publish a version 2. Hosts that
-/// already took one of them must not change to the other.
+/// Two operators edit version 1 concurrently and both publish a version 2. Hosts that have
+/// already applied one of them must not switch to the other.
 #[async_std::test]
 async fn two_edits_of_one_version_never_replace_each_other() {
     let mut fleet = service_fleet().await;
@@ -136,7 +136,7 @@
 
     fleet.document.limits.max_waiting = 78;
     fleet.publish();
-    task::sleep(WATCH_TIME).await;
+    task::sleep(OBSERVATION_TIME).await;
 
     for (host, digest) in fleet.hosts.iter().zip(&digests) {
         let status = host.process.status().await;
--- a/tests/process_crash.rs
+++ b/tests/process_crash.rs
@@ -1,4 +1,4 @@
-//! Requests that take down the targets that run them.
+//! Requests that crash the targets that run them.
 
 #![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
 
@@ -14,12 +14,12 @@
 use support::spawn_call;
 use support::wait_for;
 
-/// What the engines can't bear in a prompt.
-const POISON: &str = "boom";
-/// The most targets that a poisonous request may take down.
-const LOST_BOUND: usize = 2;
+/// A prompt that crashes the engines.
+const CRASHING_PROMPT: &str = "boom";
+/// The maximum number of targets that one crashing request may take down.
+const MAX_LOST_ENGINES: usize = 2;
 
-async fn fragile_fleet() -> TestFleet {
+async fn start_fleet() -> TestFleet {
     let fleet = TestFleet::start(FleetPlan {
         engines: 4,
         services: 0,
@@ -29,25 +29,25 @@
     .await;
     for number in 0..4 {
         fleet.engine(number).set_faults(EngineFaults {
-            crash_on: Some(POISON.to_owned()),
+            crash_on: Some(CRASHING_PROMPT.to_owned()),
             ..EngineFaults::default()
         });
     }
     fleet
 }
 
-fn poison(id: &str) -> CallerRequest {
-    CallerRequest::generate(POISON, 4, true)
+fn crashing_request(id: &str) -> CallerRequest {
+    CallerRequest::generate(CRASHING_PROMPT, 4, true)
         .with_token(TOKEN)
         .with_id(id)
         .with_class("briefing")
 }
 
-/// A caller sends a request that crashes each engine that runs it, again and
-/// again, under its old id and under new ones, through every host in turn.
+/// A caller repeatedly sends a request that crashes every engine that runs it, with the same
+/// id and with new ones, through each host in turn.
 #[async_std::test]
-async fn a_poisonous_request_takes_down_two_targets_at_most() {
-    let fleet = fragile_fleet().await;
+async fn a_crashing_request_takes_down_two_targets_at_most() {
+    let fleet = start_fleet().await;
     let hosts = fleet.caller_addresses();
     let id = new_request_id();
 
@@ -57,34 +57,39 @@
             0 => id.clone(),
             _ => new_request_id(),
         };
-        let answer = call(host, &poison(&resent)).await.unwrap();
+        let answer = call(host, &crashing_request(&resent)).await.unwrap();
         assert_ne!(answer.status, 200);
     }
 
-    // Every execution of it took one engine down.
+    // Every execution crashes one engine.
     let runs: usize = (0..4)
         .map(|number| fleet.engine(number).executions().len())
         .sum();
-    assert!(runs <= LOST_BOUND, "{runs} engines were lost");
+    assert!(runs <= MAX_LOST_ENGINES, "{runs} engines were lost");
 }
 
-/// Returns an innocent request, the same but for its id each time.
-fn innocent(round: usize, number: usize) -> CallerRequest {
-    CallerRequest::generate(&format!("innocent {round}-{number}"), 400, true)
+/// Returns a harmless request; repeated calls differ only in the request id.
+fn harmless_request(round: usize, number: usize) -> CallerRequest {
+    CallerRequest::generate(&format!("harmless {round}-{number}"), 400, true)
         .with_token(TOKEN)
         .with_id(&new_request_id())
         .with_class("briefing")
 }
 
-/// Innocent requests run on the engine that a poisonous one takes down, twice
-/// over. They may be told `unknown`, but sent anew each must be served.
+/// Harmless requests run on the engine that a crashing request takes down, twice. They may be
+/// answered `unknown`, but each must be served when it is sent again.
 #[async_std::test]
-async fn innocents_beside_a_poisonous_request_are_served() {
-    let fleet = fragile_fleet().await;
+async fn requests_beside_a_crashing_request_are_served() {
+    let fleet = start_fleet().await;
     let hosts = fleet.caller_addresses();
     for round in 0..2 {
         let running: Vec<_> = (0..8)
-            .map(|number| spawn_call(hosts[number % hosts.len()], &innocent(round, number)))
+            .map(|number| {
+                spawn_call(
+                    hosts[number % hosts.len()],
+                    &harmless_request(round, number),
+                )
+            })
             .collect();
         let busy = || {
             (0..4)
@@ -92,8 +97,10 @@
                 .sum::<u32>()
                 >= 8
         };
-        wait_for("the innocents", busy).await;
-        call(hosts[0], &poison(&new_request_id())).await.unwrap();
+        wait_for("the harmless requests", busy).await;
+        call(hosts[0], &crashing_request(&new_request_id()))
+            .await
+            .unwrap();
         for running in running {
             let answer = running.await.unwrap();
             assert_ne!(answer.status, 422, "{}", answer.text());
@@ -102,7 +109,7 @@
 
     for round in 0..2 {
         for number in 0..8 {
-            let request = innocent(round, number);
+            let request = harmless_request(round, number);
             let answer = call(hosts[1], &request).await.unwrap();
             assert_eq!(answer.status, 200, "{}", answer.text());
         }
--- a/tests/process_leaving.rs
+++ b/tests/process_leaving.rs
@@ -1,4 +1,4 @@
-//! Targets and hosts that leave: no new work, and nothing cut.
+//! Targets and hosts that leave get no new requests and abort none.
 
 #![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
 
@@ -24,14 +24,14 @@
 use support::spawn_call;
 use support::wait_for;
 
-/// A leaving target gets nothing new after this long.
-const LEAVE_BOUND: Duration = Duration::from_secs(3);
-/// How long the test then watches.
-const WATCH_TIME: Duration = Duration::from_secs(2);
-/// Longer than every time-out between hosts.
+/// A leaving target gets no new requests after this time.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long the target is then observed.
+const OBSERVATION_TIME: Duration = Duration::from_secs(2);
+/// Longer than every timeout between hosts.
 const LONG_PAUSE: Duration = Duration::from_secs(6);
 
-/// Callers that go on until they are stopped.
+/// Starts callers that send requests until they are stopped.
 fn endless_load(fleet: &TestFleet) -> LoadRun {
     LoadRun::spawn(endless_plan(fleet.caller_addresses()))
 }
@@ -49,17 +49,17 @@
     }
 }
 
-/// Asserts that engine 1 gets nothing new once the bound has passed.
-async fn assert_left_alone(fleet: &TestFleet) {
-    task::sleep(LEAVE_BOUND).await;
+/// Asserts that engine 1 gets no new requests after [`LEAVE_TIMEOUT`].
+async fn assert_no_new_requests(fleet: &TestFleet) {
+    task::sleep(LEAVE_TIMEOUT).await;
     let before = fleet.engine(0).executions().len();
-    task::sleep(WATCH_TIME).await;
+    task::sleep(OBSERVATION_TIME).await;
     assert_eq!(fleet.engine(0).executions().len(), before);
 }
 
-/// An operator marks an engine as leaving in the configuration.
+/// An engine is marked as leaving in the configuration.
 #[async_std::test]
-async fn a_target_that_leaves_by_configuration_gets_nothing_new() {
+async fn a_target_that_leaves_by_configuration_gets_no_new_requests() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
     let run = endless_load(&fleet);
     wait_for("work on the engine", || {
@@ -69,15 +69,15 @@
 
     fleet.edit(|document| document.targets[0].state = TargetState::Leaving);
 
-    assert_left_alone(&fleet).await;
+    assert_no_new_requests(&fleet).await;
     run.stop();
     let report = run.finish().await;
     assert_eq!(report.done, report.total(), "{report}");
 }
 
-/// The platform's lagging list says that the engine leaves.
+/// The platform's host list, which lags behind, marks the engine as leaving.
 #[async_std::test]
-async fn a_target_that_leaves_by_the_list_gets_nothing_new() {
+async fn a_target_that_leaves_by_the_host_list_gets_no_new_requests() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let run = endless_load(&fleet);
     wait_for("work on the engine", || {
@@ -90,16 +90,16 @@
         state: standins::TargetState::Leaving,
     }]);
 
-    assert_left_alone(&fleet).await;
+    assert_no_new_requests(&fleet).await;
     run.stop();
     let report = run.finish().await;
     assert_eq!(report.done, report.total(), "{report}");
 }
 
-/// A host sleeps while the engine is marked as leaving, and wakes up with its
-/// old view: it must look again before it dispatches.
+/// A host is paused while the engine is marked as leaving, and resumes with a stale view: it
+/// must refresh the view before it dispatches.
 #[async_std::test]
-async fn a_host_that_wakes_up_sends_nothing_to_a_target_that_left() {
+async fn a_resumed_host_sends_nothing_to_a_leaving_target() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
     fleet.hosts[0].process.pause();
     fleet.edit(|document| document.targets[0].state = TargetState::Leaving);
@@ -121,9 +121,9 @@
     assert_eq!(fleet.engine(0).executions().len(), before);
 }
 
-/// A host that is cut from the platform learns from its peers.
+/// A host that can't reach the platform learns from its peers that the engine is leaving.
 #[async_std::test]
-async fn a_host_cut_from_the_platform_leaves_the_target_alone() {
+async fn a_host_cut_from_the_platform_sends_nothing_to_a_leaving_target() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
     fleet.link_to_platform(0, LinkMode::Cut);
     let run = endless_load(&fleet);
@@ -134,14 +134,14 @@
 
     fleet.edit(|document| document.targets[0].state = TargetState::Leaving);
 
-    assert_left_alone(&fleet).await;
+    assert_no_new_requests(&fleet).await;
     run.stop();
     run.finish().await;
 }
 
-/// A long stream runs on the engine when it begins to leave.
+/// A long stream runs on the engine when it starts to leave; it must complete.
 #[async_std::test]
-async fn a_leaving_target_ends_what_it_runs() {
+async fn a_leaving_target_completes_its_running_requests() {
     let mut fleet = TestFleet::start(FleetPlan {
         engines: 1,
         ..FleetPlan::default()
@@ -161,9 +161,9 @@
     );
 }
 
-/// A host gets SIGTERM in the middle of a stream: the stream goes on to its end.
+/// A host gets SIGTERM in the middle of a stream; the stream must complete.
 #[async_std::test]
-async fn a_host_that_drains_cuts_nothing() {
+async fn a_draining_host_completes_its_streams() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
     let id = new_request_id();
     let running = spawn_call(fleet.caller_address(0), &generate(&id, "briefing", 600));
@@ -179,7 +179,7 @@
     assert!(fleet.hosts[0].process.wait_for_exit().await.success());
 }
 
-/// All hosts are restarted one after the other while callers go on.
+/// All hosts are restarted one after the other under load.
 #[async_std::test]
 async fn a_rolling_restart_loses_nothing() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
@@ -200,22 +200,22 @@
     fleet.assert_none_ran_twice();
 }
 
-/// All hosts are replaced by new ones, one after the other, while callers go on.
+/// All hosts are replaced by new ones, one after the other, under load.
 #[async_std::test]
 async fn a_rolling_replacement_loses_nothing() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
-    let mut fresh = Vec::new();
+    let mut new_hosts = Vec::new();
     for _ in 0..fleet.hosts.len() {
-        fresh.push(fleet.spawn_host().await);
+        new_hosts.push(fleet.spawn_host().await);
     }
     let mut gateways = fleet.caller_addresses();
-    gateways.extend(fresh.iter().map(|host| host.process.caller_address()));
+    gateways.extend(new_hosts.iter().map(|host| host.process.caller_address()));
     let run = LoadRun::spawn(LoadPlan {
         tries: 100,
         ..endless_plan(gateways)
     });
 
-    for host in fresh {
+    for host in new_hosts {
         let before = run.ended();
         wait_for("the load", || run.ended() > before + 20).await;
         let mut old = fleet.hosts.remove(0);
--- a/tests/process_operators.rs
+++ b/tests/process_operators.rs
@@ -1,4 +1,4 @@
-//! What operators see of real hosts: counters, readiness, limits in force.
+//! Metrics, readiness and limits of real hosts.
 
 mod support;
 
@@ -33,8 +33,8 @@
     answer.expect("the operators' address answers").text()
 }
 
-/// An operator sees no errors while every caller is refused: refusals from
-/// before a request has a class were never counted.
+/// Guards against refusals that are missing from the metrics because they happen before a
+/// request is classified.
 #[async_std::test]
 async fn early_refusals_are_counted() {
     let fleet = start(1).await;
@@ -55,7 +55,7 @@
     }
 }
 
-/// An operator sees prompt tokens of bookings, which no engine ever read.
+/// Guards against prompt tokens being counted for bookings, which no engine processes.
 #[async_std::test]
 async fn prefill_is_counted_for_engines_only() {
     let fleet = start(1).await;
@@ -77,10 +77,10 @@
     assert!(tokens("class=\"verdict\"").unwrap_or(0.0) > 0.0, "{text}");
 }
 
-/// A balancer goes on sending requests to a host that operators have taken out
-/// of the roster: the host reached its peers, and called itself ready.
+/// Guards against a load balancer that keeps sending requests to a host removed from the
+/// roster: the host still reaches its peers, and would report itself ready.
 #[async_std::test]
-async fn host_whose_seat_was_taken_out_is_not_ready() {
+async fn host_without_a_seat_is_not_ready() {
     let mut fleet = start(3).await;
     let removed = fleet.hosts.remove(2);
     fleet.publish_roster();
@@ -94,8 +94,8 @@
     fleet.wait_ready().await;
 }
 
-/// A host's queue grows past the limit that the document sets: the host went by
-/// the default, which nobody can change.
+/// Guards against a host that applies the default limit of waiting requests instead of the
+/// one in the document.
 #[async_std::test]
 async fn limit_of_waiting_requests_follows_the_document() {
     let plan = FleetPlan {
--- a/tests/process_path.rs
+++ b/tests/process_path.rs
@@ -1,4 +1,4 @@
-//! The whole path through real processes: caller, host, target.
+//! The complete path of a request through real processes: caller, host, target.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::generate;
 
 #[async_std::test]
-async fn booking_and_stream_go_from_end_to_end() {
+async fn booking_and_stream_are_served_end_to_end() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let (slot, briefing) = (new_request_id(), new_request_id());
 
@@ -39,8 +39,8 @@
     assert_eq!(fleet.executions_of(&briefing), 1);
 }
 
-/// A caller sends its booking again to another host, which must not book twice
-/// but give the first one's answer.
+/// A caller resends its booking to another host, which must not run it a second time but
+/// return the answer of the first run.
 #[async_std::test]
 async fn resend_to_another_host_gets_the_same_answer() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
--- a/tests/process_resend.rs
+++ b/tests/process_resend.rs
@@ -1,4 +1,4 @@
-//! At most once, and the truth about what ran, while hosts die, sleep or are cut off.
+//! At-most-once execution and truthful outcomes while hosts die, are paused or are cut off.
 
 #![allow(clippy::panic, clippy::unwrap_used, reason = "fixtures fail by panics")]
 
@@ -23,10 +23,10 @@
 use support::spawn_call;
 use support::wait_for;
 
-/// Longer than every time-out between hosts: a peer is given up after 3 s.
+/// Longer than every timeout between hosts; a silent peer is disconnected after 3 s.
 const LONG_PAUSE: Duration = Duration::from_secs(6);
 
-/// A fleet whose one service has a slot for each host and answers no call.
+/// A fleet whose only service has one slot per host and answers no call.
 async fn stuck_fleet() -> TestFleet {
     let fleet = TestFleet::start(FleetPlan {
         engines: 0,
@@ -41,7 +41,7 @@
     fleet
 }
 
-/// Fills every slot of the service with calls that no host's death ends but one.
+/// Fills every slot of the service with a call from each host.
 async fn fill_slots(fleet: &TestFleet) {
     for host in fleet.caller_addresses() {
         drop(spawn_call(host, &booking(&new_request_id())));
@@ -49,7 +49,7 @@
     wait_for("the busy service", || fleet.executions().len() == 3).await;
 }
 
-/// Asserts that the answer tells no more than what is known.
+/// Asserts that the outcome doesn't contradict the executions.
 fn assert_truthful(fleet: &TestFleet, id: &str, answer: &CallerAnswer) {
     let runs = fleet.executions_of(id);
     assert!(runs <= 1, "ran {runs} times");
@@ -71,9 +71,9 @@
     }
 }
 
-/// A crew books a slot; the host dies after it handed the booking to the service.
-/// The crew sends again through another host. Nobody can know the answer, so
-/// another run would book twice, and a `not-run` would be a lie.
+/// The host dies after it dispatched a booking to the service, and the caller resends it
+/// through another host. The outcome can't be known: a second run would book twice, and
+/// `not-run` would be false.
 #[async_std::test]
 async fn a_booking_whose_holder_died_after_dispatch_is_unknown() {
     let mut fleet = stuck_fleet().await;
@@ -89,11 +89,11 @@
     assert_eq!(fleet.executions_of(&id), 1);
 }
 
-/// A booking waits in a host's queue because the service is busy; the host dies.
-/// The crew sends again through another host. Whatever it is told must be true,
-/// also when the service becomes free later.
+/// The host dies while a booking waits in its queue because the service is busy, and the
+/// caller resends it through another host. The outcome must be true, also when the service
+/// becomes free later.
 #[async_std::test]
-async fn a_booking_whose_holder_died_before_dispatch_gets_the_truth() {
+async fn a_booking_whose_holder_died_before_dispatch_is_answered_truthfully() {
     let mut fleet = stuck_fleet().await;
     fill_slots(&fleet).await;
     let id = new_request_id();
@@ -114,8 +114,8 @@
     }
 }
 
-/// Crews book through all hosts while one is killed at some moment of the path:
-/// before, during or after a dispatch. Callers resend the same ids elsewhere.
+/// Bookings are sent through all hosts while one of them is killed before, during or after a
+/// dispatch. Callers resend the same ids to other hosts.
 #[async_std::test]
 async fn bookings_run_at_most_once_while_a_host_is_killed() {
     let mut fleet = TestFleet::start(FleetPlan {
@@ -144,10 +144,10 @@
     assert!(report.done > 400, "{report}");
 }
 
-/// A host is paused past every time-out with a booking under way, the crew sends
-/// again elsewhere, and the host wakes up with its old beliefs.
+/// A host is paused for longer than every timeout while a booking waits in its queue, the
+/// caller resends it to another host, and the first host resumes with a stale state.
 #[async_std::test]
-async fn a_host_that_wakes_up_late_runs_nothing_twice() {
+async fn a_host_resumed_after_all_timeouts_runs_nothing_twice() {
     let fleet = stuck_fleet().await;
     fill_slots(&fleet).await;
     let id = new_request_id();
@@ -161,11 +161,11 @@
     fleet.service(0).restart().await.unwrap();
     let resent = call(fleet.caller_address(2), &booking(&id)).await.unwrap();
     fleet.hosts[0].process.resume();
-    let woken = waiting.await.unwrap();
+    let resumed = waiting.await.unwrap();
 
     fleet.assert_none_ran_twice();
     let runs = fleet.executions_of(&id);
-    for answer in [&resent, &woken] {
+    for answer in [&resent, &resumed] {
         match answer.outcome() {
             "done" => assert_eq!(runs, 1),
             _ => assert_truthful(&fleet, &id, answer),
@@ -173,9 +173,9 @@
     }
 }
 
-/// Bookings go on through all hosts while one of them sleeps and wakes.
+/// Bookings are sent through all hosts while one of them is paused and resumed.
 #[async_std::test]
-async fn bookings_run_at_most_once_while_a_host_sleeps() {
+async fn bookings_run_at_most_once_while_a_host_is_paused() {
     let fleet = TestFleet::start(FleetPlan {
         engines: 0,
         ..FleetPlan::default()
@@ -203,10 +203,10 @@
     assert_load_truthful(&fleet, &report);
 }
 
-/// A host loses its peers and keeps its callers. It reaches no majority, so it
-/// must dispatch nothing and say so at once; the others go on.
+/// A host is cut off from its peers, but not from its callers. It reaches no majority, so it
+/// must dispatch nothing and refuse at once; the other hosts continue to serve.
 #[async_std::test]
-async fn a_host_cut_from_its_peers_runs_nothing_and_says_so_at_once() {
+async fn a_host_cut_from_its_peers_runs_nothing_and_refuses_at_once() {
     let fleet = TestFleet::start(FleetPlan {
         engines: 0,
         ..FleetPlan::default()
@@ -226,9 +226,9 @@
     assert_eq!(majority.outcome(), "done", "{}", majority.text());
 }
 
-/// As above, but the connections go silent instead of ending.
+/// Like the test above, but the connections go silent instead of being closed.
 #[async_std::test]
-async fn a_host_whose_peers_fall_silent_runs_nothing_and_says_so() {
+async fn a_host_whose_peers_go_silent_runs_nothing_and_refuses() {
     let fleet = TestFleet::start(FleetPlan {
         engines: 0,
         ..FleetPlan::default()
@@ -248,7 +248,7 @@
     assert_eq!(majority.outcome(), "done", "{}", majority.text());
 }
 
-/// The host's connections to all targets are cut, those to its peers stand.
+/// A host's connections to all targets are cut, but not those to its peers.
 #[async_std::test]
 async fn a_host_cut_from_the_targets_answers_truthfully() {
     let fleet = TestFleet::start(FleetPlan {
@@ -269,7 +269,7 @@
     }
 }
 
-/// The platform is gone for every host: what is in force stays in force.
+/// The platform is down for every host; the configuration in force stays in force.
 #[async_std::test]
 async fn bookings_run_while_the_platform_is_down() {
     let fleet = TestFleet::start(FleetPlan {
@@ -288,7 +288,7 @@
     }
 }
 
-/// One connection between two hosts goes silent for good while new ones work.
+/// The existing connections between hosts go silent forever, while new ones work.
 #[async_std::test]
 async fn silent_connections_between_hosts_are_replaced() {
     let fleet = TestFleet::start(FleetPlan {
@@ -309,8 +309,8 @@
     }
 }
 
-/// A service with a single slot before three hosts: whichever host a crew comes
-/// to, its booking must run while the service stands idle.
+/// Three hosts share a service with a single slot. While the service is idle, a booking must
+/// run through whichever host it is sent to.
 #[async_std::test]
 async fn a_target_with_fewer_slots_than_hosts_serves_every_host() {
     let fleet = TestFleet::start(FleetPlan {
--- a/tests/process_tiers.rs
+++ b/tests/process_tiers.rs
@@ -1,4 +1,4 @@
-//! Tiers: the top tier is never refused while lower work is taken.
+//! Tiers: the top tier is never refused while requests of lower tiers are accepted.
 
 #![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
 
@@ -26,7 +26,7 @@
     .await
 }
 
-/// Callers of one class; a digest is long, a verdict short.
+/// Starts callers of one class; a digest is long, a verdict short.
 fn load(fleet: &TestFleet, class: &str, callers: usize, requests: usize, tokens: u32) -> LoadRun {
     LoadRun::spawn(LoadPlan {
         gateways: fleet.caller_addresses(),
@@ -45,7 +45,7 @@
     assert_eq!(report.refusals, 0, "{report}");
 }
 
-/// Digests keep every slot and queue busy when verdicts arrive in a burst.
+/// Digests occupy every slot and queue when a burst of verdicts arrives.
 #[async_std::test]
 async fn verdicts_are_never_refused_while_digests_run() {
     let fleet = small_fleet().await;
@@ -59,7 +59,7 @@
     assert_none_refused(&report);
 }
 
-/// Half the hosts die under the same load; verdicts are sent again, not refused.
+/// Two of five hosts die under the same load; verdicts are resent, and none is refused.
 #[async_std::test]
 async fn verdicts_are_never_refused_after_hosts_died() {
     let mut fleet = TestFleet::start(FleetPlan {
--- a/tests/process_trace.rs
+++ b/tests/process_trace.rs
@@ -1,4 +1,4 @@
-//! A host records its load, and replay plays what was recorded.
+//! A host records a trace, and `replay` replays it.
 
 mod support;
 
@@ -16,7 +16,7 @@
 const REQUESTS: usize = 5;
 
 #[async_std::test]
-async fn recorded_load_can_be_played() {
+async fn a_recorded_trace_can_be_replayed() {
     let fleet = TestFleet::start(FleetPlan {
         records: true,
         ..FleetPlan::default()
--- a/tests/process_whole.rs
+++ b/tests/process_whole.rs
@@ -1,4 +1,4 @@
-//! Whole answers: what targets do wrong never reaches a caller as a good answer.
+//! Complete answers: a target's fault never reaches a caller as a valid answer.
 
 #![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
 
@@ -21,7 +21,7 @@
 
 const TOKENS: u32 = 40;
 
-/// Asks one engine with these faults for a stream.
+/// Requests a stream from one engine with these faults.
 async fn stream_with(faults: EngineFaults) -> (String, CallerAnswer, TestFleet) {
     let fleet = TestFleet::start(FleetPlan {
         engines: 1,
@@ -36,7 +36,7 @@
     (id, answer, fleet)
 }
 
-/// Asks one service with these faults for a booking.
+/// Requests a booking from one service with these faults.
 async fn booking_with(faults: ServiceFaults) -> (String, CallerAnswer, TestFleet) {
     let fleet = TestFleet::start(FleetPlan {
         engines: 0,
@@ -49,15 +49,15 @@
     (id, answer, fleet)
 }
 
-/// Asserts that nothing passes for a good answer, and that the call ran once.
+/// Asserts that the answer is an error or incomplete, and that the call ran once.
 fn assert_not_passed_on(id: &str, answer: &CallerAnswer, fleet: &TestFleet) {
     assert!(answer.status >= 500 || !answer.is_whole, "{answer:?}");
     assert_ne!(answer.outcome(), "not-run");
     assert_eq!(fleet.executions_of(id), 1);
 }
 
-/// The engine's connection is cut in the middle of a stream, and the engine can
-/// resume it: the caller notices nothing and no prompt is processed twice.
+/// The engine's connection is cut in the middle of a stream that the engine can resume: the
+/// caller gets the complete stream, and the prompt is processed only once.
 #[async_std::test]
 async fn a_cut_stream_is_resumed() {
     let (id, answer, fleet) = stream_with(EngineFaults {
@@ -73,7 +73,7 @@
     assert_eq!(fleet.executions_of(&id), 1);
 }
 
-/// The engine's connection goes silent in the middle of a stream; new ones work.
+/// The engine's connection goes silent in the middle of a stream, while new ones work.
 #[async_std::test]
 async fn a_silent_stream_is_resumed() {
     let (id, answer, fleet) = stream_with(EngineFaults {
@@ -105,9 +105,9 @@
     );
 }
 
-/// A resumed stream leaves tokens out: the caller must not take it for whole.
+/// A resumed stream leaves out tokens; it must not look complete to the caller.
 #[async_std::test]
-async fn a_gap_of_a_resumed_stream_never_looks_whole() {
+async fn a_gap_of_a_resumed_stream_never_looks_complete() {
     let (_id, answer, _fleet) = stream_with(EngineFaults {
         cut_after: Some(7),
         gap: 2,
@@ -118,7 +118,7 @@
     assert!(!answer.is_whole, "{}", answer.text());
 }
 
-/// An engine answers with another request's id: nobody gets that answer.
+/// An engine answers with another request's id; no caller may get that answer.
 #[async_std::test]
 async fn a_foreign_stream_is_not_passed_on() {
     let (id, answer, fleet) = stream_with(EngineFaults {
@@ -131,7 +131,7 @@
     assert!(!answer.text().contains("\"offset\""));
 }
 
-/// A service answers with another booking's id: nobody gets that answer.
+/// A service answers with another booking's id; no caller may get that answer.
 #[async_std::test]
 async fn a_foreign_booking_is_not_passed_on() {
     let (id, answer, fleet) = booking_with(ServiceFaults {
@@ -144,7 +144,7 @@
     assert!(!answer.text().contains("echo"));
 }
 
-/// A service's connection ends in the middle of the body.
+/// A service's connection is closed in the middle of the body.
 #[async_std::test]
 async fn a_cut_booking_is_not_passed_on() {
     let (id, answer, fleet) = booking_with(ServiceFaults {
@@ -156,9 +156,9 @@
     assert_not_passed_on(&id, &answer, &fleet);
 }
 
-/// The counterpart of the tests above: the same call with nothing wrong.
+/// The control for the tests above: the same call without a fault.
 #[async_std::test]
-async fn a_booking_is_whole_when_nothing_is_wrong() {
+async fn a_booking_without_faults_is_complete() {
     let (id, answer, fleet) = booking_with(ServiceFaults::default()).await;
 
     let expected = ExpectedAnswer::Echo(booking_body(&id).into_bytes());
@@ -166,11 +166,10 @@
     assert_eq!(fleet.executions_of(&id), 1);
 }
 
-/// A crew's confirmation is lost as the service restarts, and the service shows
-/// one call more than anybody made. The host asked it for the rest of a stream, as
-/// it asks engines, and a plain service runs whatever it is asked.
+/// A service restarts before it has answered a booking. Guards against a host that asks it
+/// for the rest of a stream, as it asks engines: a service would run that as another call.
 #[async_std::test]
-async fn a_restarted_service_is_asked_nothing_more() {
+async fn a_restarted_service_gets_no_resume_request() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let id = new_request_id();
     fleet.service(0).set_faults(ServiceFaults {
--- a/tests/request_timeline.rs
+++ b/tests/request_timeline.rs
@@ -1,4 +1,4 @@
-//! What a log tells of one request.
+//! Extracting the log lines of one request.
 
 use cardamomgw::logs::RequestTimeline;
 
@@ -6,18 +6,18 @@
     format!(r#"{{"level":"info","timestamp":{time},"payload":"p","kv":{{"line":{{{fields}}}}}}}"#)
 }
 
-fn story_of(request: &str, lines: &[String]) -> Vec<String> {
-    let mut story = RequestTimeline::new(request);
+fn timeline_of(request: &str, lines: &[String]) -> Vec<String> {
+    let mut timeline = RequestTimeline::new(request);
     for line in lines {
-        story.add_line(line);
+        timeline.add_line(line);
     }
-    story.lines().to_vec()
+    timeline.lines().to_vec()
 }
 
-/// A caller complains of a 503. The operator has the id and one host's log, in which
-/// the store was lost before the request came and the configuration changed twice.
+/// An operator looks up a request that was answered 503, in the log of one host. The store
+/// was lost before the request arrived, and the catalog changed twice.
 #[test]
-fn a_request_is_told_with_the_beliefs_in_force() {
+fn a_request_is_shown_with_the_state_at_the_time() {
     let log = [
         line(1, r#""event":"catalog-in-force","catalog":3,"peer":null"#),
         line(2, r#""event":"catalog-in-force","catalog":4,"peer":null"#),
@@ -35,10 +35,10 @@
         line(8, r#""event":"store-back","revision":9"#),
     ];
 
-    let story = story_of("id1", &log);
+    let timeline = timeline_of("id1", &log);
 
     assert_eq!(
-        story,
+        timeline,
         [
             "  2 catalog-in-force catalog=4",
             "  3 store-lost reason=\"no answer in time\"",
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_is_no_line_is_passed_over() {
+fn anything_but_a_decision_line_is_ignored() {
     let log = [
         "".to_owned(),
         "{".to_owned(),
@@ -58,5 +58,5 @@
         line(1, r#""event":7"#),
     ];
 
-    assert!(story_of("id1", &log).is_empty());
+    assert!(timeline_of("id1", &log).is_empty());
 }
