--- a/tests/process_crash.rs
+++ b/tests/process_crash.rs
@@ -69,7 +69,7 @@
 }
 
 /// Returns a harmless request; repeated calls differ only in the request id.
-fn harmless_request(round: usize, number: usize) -> CallerRequest {
+fn harmless(round: usize, number: usize) -> CallerRequest {
     CallerRequest::generate(&format!("harmless {round}-{number}"), 400, true)
         .with_token(TOKEN)
         .with_id(&new_request_id())
@@ -84,12 +84,7 @@
     let hosts = fleet.caller_addresses();
     for round in 0..2 {
         let running: Vec<_> = (0..8)
-            .map(|number| {
-                spawn_call(
-                    hosts[number % hosts.len()],
-                    &harmless_request(round, number),
-                )
-            })
+            .map(|number| spawn_call(hosts[number % hosts.len()], &harmless(round, number)))
             .collect();
         let busy = || {
             (0..4)
@@ -109,7 +104,7 @@
 
     for round in 0..2 {
         for number in 0..8 {
-            let request = harmless_request(round, number);
+            let request = harmless(round, number);
             let answer = call(hosts[1], &request).await.unwrap();
             assert_eq!(answer.status, 200, "{}", answer.text());
         }
