--- a/src/gateway/caller_service.rs
+++ b/src/gateway/caller_service.rs
@@ -128,13 +128,13 @@
     let id = classified.id;
     let refused = |kind| (kind, Some(id));
     let bound = request.body_bound(classified.max_body_bytes);
-    let share = host
+    let permit = host
         .body_budget
         .take(bound)
         .ok_or(refused(ErrorKind::Overloaded))?;
     let body = request.read_body(classified.max_body_bytes).await;
     let body = Bytes::from(body.map_err(refused)?);
-    start_request(host, classified, body, share).map_err(refused)
+    start_request(host, classified, body, permit).map_err(refused)
 }
 
 async fn send_answer(
--- a/src/gateway/claim_filter.rs
+++ b/src/gateway/claim_filter.rs
@@ -37,10 +37,10 @@
     held: Option<HeldClaim<UnsentStage>>,
 ) -> ClaimResult {
     let began = boot_now();
-    let (connection, verdict) = zip(open_target(run, target), claim_or_keep(run, held)).await;
-    let claim = match verdict {
+    let (connection, outcome) = zip(open_target(run, target), claim_or_keep(run, held)).await;
+    let claim = match outcome {
         ClaimOutcome::Granted(claim) => claim,
-        lost => return ClaimResult::NoClaim(lost),
+        other => return ClaimResult::NoClaim(other),
     };
     let connection = match connection {
         Ok(connection) => connection,
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -56,8 +56,8 @@
 use crate::roster::SeatIncarnation;
 use crate::settings::HostSettings;
 
-/// Memory limit for the bodies of all waiting and running requests: a quarter of the
-/// 128 MB that a daemon may use.
+/// Memory limit for the bodies of all waiting and running requests: 32 MiB, a quarter
+/// of the 128 MB that a daemon may use.
 const MAX_BODY_BYTES: usize = 32 << 20;
 /// How often expired answers are removed.
 const TRIM_INTERVAL: Duration = Duration::from_secs(1);
@@ -106,11 +106,11 @@
             settings.peer_addresses.clone(),
         );
         let claims = open_claims(settings, incarnation, &mesh);
-        let limits = PolicySettings {
+        let policy_settings = PolicySettings {
             incarnation,
             ..PolicySettings::default()
         };
-        let work = WorkController::spawn(settings.host.clone(), limits);
+        let work = WorkController::spawn(settings.host.clone(), policy_settings);
         let limiter = Arc::new(AccountLimiter::default());
         let kept_bytes = FleetLimits::default().kept_answer_bytes;
         let answers = Arc::new(AnswerCache::new(kept_bytes as usize));
@@ -297,9 +297,9 @@
 
 /// Logs each change of the host's own state.
 async fn log_state_changes(state: Arc<HostState>) {
-    let mut roll = HostTracker::default();
+    let mut tracker = HostTracker::default();
     loop {
-        for change in roll.update(state.snapshot()) {
+        for change in tracker.update(state.snapshot()) {
             state.log.write(&change);
         }
         task::sleep(STATE_POLL_INTERVAL).await;
@@ -317,16 +317,16 @@
         let mut register = claims.register();
         let limits = &document.limits;
         let former = register.set_limits(limits.claim_window_ms, limits.clock_skew_ms);
-        let verdict = register.roster_mut().offer(plan, unix_now());
+        let decision = register.roster_mut().offer(plan, unix_now());
         if !matches!(
-            verdict,
+            decision,
             Ok(RosterDecision::Accepted | RosterDecision::Unchanged)
         ) {
             // A document is refused as a whole, including its limits.
             let (window_ms, skew_ms) = former;
             register.set_limits(window_ms, skew_ms);
         }
-        match verdict {
+        match decision {
             Ok(RosterDecision::Accepted | RosterDecision::Unchanged) => RosterAdmission::Admitted,
             Ok(RosterDecision::Waiting) => RosterAdmission::Waiting,
             Err(refusal) => RosterAdmission::Refused {
--- a/src/gateway/join_filter.rs
+++ b/src/gateway/join_filter.rs
@@ -30,7 +30,7 @@
 
 /// The end of a peer's stream of replies.
 enum ReplyEnd {
-    /// The slot holds the complete answer.
+    /// The buffer holds the complete answer.
     Complete,
     /// The peer refused the call.
     Refused,
@@ -44,14 +44,14 @@
 /// request may have run. If the holder has no answer and a majority bars the attempt,
 /// the request did not run, and the caller gets `refusal`.
 pub(crate) async fn join_holder(run: &RequestRun, holder: ClaimTicket, refusal: RequestRefusal) {
-    run.slot.mark_remote();
+    run.buffer.mark_remote();
     let mut holder = holder;
     for _ in 0..MAX_JOINS {
         let ended = call_holder(run, &holder).await;
         if matches!(ended, ReplyEnd::Complete) {
             return;
         }
-        if run.slot.has_head() {
+        if run.buffer.has_head() {
             break;
         }
         let (id, attempt) = (run.request.id, run.request.attempt);
@@ -64,7 +64,7 @@
             BarOutcome::Held(_) | BarOutcome::Unproven => break,
         }
     }
-    fail_slot(run, ErrorKind::HolderLost);
+    fail_answer(run, ErrorKind::HolderLost);
 }
 
 async fn call_holder(run: &RequestRun, holder: &ClaimTicket) -> ReplyEnd {
@@ -75,25 +75,25 @@
     }
 }
 
-/// Forwards a waiting request to a peer; returns whether the slot has its answer. If it
+/// Forwards a waiting request to a peer; returns whether the buffer has its answer. If it
 /// has none, the claims show whether the peer ran the request.
 pub(crate) async fn forward_to_peer(run: &RequestRun, host: &HostName) -> bool {
-    run.slot.mark_remote();
+    run.buffer.mark_remote();
     match call_peer(run, host, serve_call(run), |_| true).await {
         ReplyEnd::Complete => true,
-        ReplyEnd::Lost if run.slot.has_head() => {
-            run.slot
+        ReplyEnd::Lost if run.buffer.has_head() => {
+            run.buffer
                 .put_end(AnswerEnd::Truncated(ErrorKind::HolderLost));
             true
         }
         ReplyEnd::Refused | ReplyEnd::Lost => {
-            run.slot.mark_local();
+            run.buffer.mark_local();
             false
         }
     }
 }
 
-/// Calls a peer and copies its answer into the slot if `may_pass` accepts its head.
+/// Calls a peer and copies its answer into the buffer if `may_pass` accepts its head.
 async fn call_peer(
     run: &RequestRun,
     host: &HostName,
@@ -126,10 +126,10 @@
             PeerReply::AnswerHead(head) if !may_pass(&head) => {
                 return ReplyEnd::Refused;
             }
-            PeerReply::AnswerHead(head) => run.slot.put_head(head),
-            PeerReply::AnswerBody(bytes) => run.slot.put_bytes(bytes),
+            PeerReply::AnswerHead(head) => run.buffer.put_head(head),
+            PeerReply::AnswerBody(bytes) => run.buffer.put_bytes(bytes),
             PeerReply::AnswerEnd { .. } => {
-                run.slot.put_end(AnswerEnd::Complete);
+                run.buffer.put_end(AnswerEnd::Complete);
                 return ReplyEnd::Complete;
             }
             PeerReply::Refused { .. } => return ReplyEnd::Refused,
@@ -139,14 +139,14 @@
     ReplyEnd::Lost
 }
 
-fn fail_slot(run: &RequestRun, kind: ErrorKind) {
+fn fail_answer(run: &RequestRun, kind: ErrorKind) {
     run.count_error(kind);
-    if run.slot.has_head() {
-        run.slot.put_end(AnswerEnd::Truncated(kind));
+    if run.buffer.has_head() {
+        run.buffer.put_end(AnswerEnd::Truncated(kind));
     } else {
         // Forgotten, so that a resend asks the holder again: it may only have been paused.
-        run.host.answers.forget(run.request.id, &run.slot);
-        RequestRefusal::of(kind).put_answer(&run.slot, run.request.id, RequestOutcome::Unknown);
+        run.host.answers.forget(run.request.id, &run.buffer);
+        RequestRefusal::of(kind).put_answer(&run.buffer, run.request.id, RequestOutcome::Unknown);
     }
 }
 
--- a/src/gateway/peer_service.rs
+++ b/src/gateway/peer_service.rs
@@ -56,7 +56,7 @@
             }
             PeerCall::Join { request, account } => {
                 match self.host.answers.find(request, &account) {
-                    Some(slot) => send_answer(AnswerReader::open(slot), replies).await,
+                    Some(buffer) => send_answer(AnswerReader::open(buffer), replies).await,
                     None => refuse(ErrorKind::HolderLost, replies).await,
                 }
             }
@@ -78,9 +78,9 @@
         let account = identify_account(&view, &head)?;
         let mut request = classify_request(&view, account, head)?;
         request.forwarded = true;
-        let share = self.host.body_budget.take(body.len());
-        let share = share.ok_or(ErrorKind::Overloaded)?;
-        start_request(&self.host, request, body, share)
+        let permit = self.host.body_budget.take(body.len());
+        let permit = permit.ok_or(ErrorKind::Overloaded)?;
+        start_request(&self.host, request, body, permit)
     }
 }
 
--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -1,4 +1,4 @@
-//! Last filters: dispatches the request and relays the answer into the slot.
+//! Last filters: dispatches the request and relays the answer into the buffer.
 
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
 const TARGET_STATE_HEADER: &str = "target-state";
 const STREAM_TYPE: &str = "text/event-stream";
 
-/// Dispatches the request and relays its answer into the slot.
+/// Dispatches the request and relays its answer into the buffer.
 ///
 /// The claim is consumed before the first byte is sent, so the request is never sent to
 /// another target after this point.
@@ -72,20 +72,20 @@
     };
     match relayed {
         Ok(()) => {
-            let mut ledger = run.host.suspects.table();
-            ledger.record_success(run.fingerprint, unix_now());
-            drop(ledger);
+            let mut table = run.host.suspects.table();
+            table.record_success(run.fingerprint, unix_now());
+            drop(table);
             ticket.end(WorkOutcome::Finished);
         }
         Err(kind) => {
             if kind == ErrorKind::TargetLost {
-                note_loss(run, &target);
+                record_loss(run, &target);
                 // Guards against a resend that is faster than the next digest exchange:
                 // a third host would run the request and lose a third target to it.
                 run.host.digests.broadcast_now().await;
             }
             count_waste(run, &target, kind);
-            fail_slot(run, kind);
+            fail_answer(run, kind);
             ticket.end(WorkOutcome::Failed);
         }
     }
@@ -114,26 +114,26 @@
 
 /// Records that the request ran on a target that was lost, and logs it when the request
 /// starts being refused for that.
-fn note_loss(run: &RequestRun, target: &TargetName) {
-    let mut ledger = run.host.suspects.table();
-    let before = ledger.is_refused(run.fingerprint);
-    ledger.record_loss(run.fingerprint, target, unix_now());
-    if !before && ledger.is_refused(run.fingerprint) {
+fn record_loss(run: &RequestRun, target: &TargetName) {
+    let mut table = run.host.suspects.table();
+    let before = table.is_refused(run.fingerprint);
+    table.record_loss(run.fingerprint, target, unix_now());
+    if !before && table.is_refused(run.fingerprint) {
         run.host.log.write(&StateChange::CrashingRequest {
             fingerprint: format!("{:016x}", run.fingerprint),
-            targets: ledger.lost_targets(run.fingerprint),
+            targets: table.lost_targets(run.fingerprint),
         });
     }
 }
 
 /// Reports the failure to the caller: as an error answer if no head was sent yet, by
 /// aborting the message otherwise.
-fn fail_slot(run: &RequestRun, kind: ErrorKind) {
+fn fail_answer(run: &RequestRun, kind: ErrorKind) {
     run.count_error(kind);
-    if run.slot.has_head() {
-        run.slot.put_end(AnswerEnd::Truncated(kind));
+    if run.buffer.has_head() {
+        run.buffer.put_end(AnswerEnd::Truncated(kind));
     } else {
-        RequestRefusal::of(kind).put_answer(&run.slot, run.request.id, RequestOutcome::Unknown);
+        RequestRefusal::of(kind).put_answer(&run.buffer, run.request.id, RequestOutcome::Unknown);
     }
 }
 
@@ -211,9 +211,9 @@
     }
     let mut head = answer.head;
     head.length = Some(body.len() as u64);
-    run.slot.put_head(done_head(run, head));
-    run.slot.put_bytes(Bytes::from(body));
-    run.slot.put_end(AnswerEnd::Complete);
+    run.buffer.put_head(done_head(run, head));
+    run.buffer.put_bytes(Bytes::from(body));
+    run.buffer.put_end(AnswerEnd::Complete);
     Ok(())
 }
 
@@ -231,9 +231,9 @@
 /// Waits until the answer has had no reader for [`UNREAD_TIMEOUT`].
 pub(super) async fn wait_abandoned(run: &RequestRun) {
     loop {
-        run.slot.wait_no_readers().await;
+        run.buffer.wait_no_readers().await;
         async_std::task::sleep(UNREAD_TIMEOUT).await;
-        if run.slot.readers() == 0 {
+        if run.buffer.readers() == 0 {
             return;
         }
     }
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -48,7 +48,7 @@
 
 /// The result of running the filter chain.
 pub(crate) enum ChainResult {
-    /// The slot holds the answer.
+    /// The buffer holds the answer.
     Answered,
     /// The request is refused; whether it ran is not determined yet.
     Refused(RequestRefusal),
@@ -70,14 +70,14 @@
     pub(crate) fingerprint: RequestFingerprint,
     /// The request's body.
     pub(crate) body: Bytes,
-    /// The body's share of the host's memory budget.
+    /// The body's permit from the host's memory budget.
     pub(crate) _permit: BytePermit,
     /// Receives the answer.
-    pub(crate) slot: Arc<AnswerBuffer>,
+    pub(crate) buffer: Arc<AnswerBuffer>,
 }
 
 impl RequestRun {
-    /// Runs the request through the chain until its slot has an answer.
+    /// Runs the request through the chain until its buffer has an answer.
     pub(crate) async fn run(self) {
         let _running = self.host.drain.enter();
         match self.run_filters().await {
@@ -86,15 +86,15 @@
             ChainResult::RefusedHolding(refusal, claim) => self.release_claim(refusal, claim).await,
             ChainResult::Abandoned(claim) => self.abandon(claim).await,
         }
-        let outcome = self.slot.outcome();
+        let outcome = self.buffer.outcome();
         self.meter.ended(outcome);
         self.record();
         let answers = &self.host.answers;
         match outcome {
             // The next attempt must not find the answer of this one, whichever host gave it.
-            RequestOutcome::NotRun => answers.forget(self.request.id, &self.slot),
+            RequestOutcome::NotRun => answers.forget(self.request.id, &self.buffer),
             RequestOutcome::Done | RequestOutcome::Unknown => {
-                answers.finish(self.request.id, &self.slot, boot_now());
+                answers.finish(self.request.id, &self.buffer, boot_now());
             }
         }
     }
@@ -143,11 +143,11 @@
     async fn run_admitted(&self, mut ticket: WorkTicket) -> ChainResult {
         let mut held = None;
         for _ in 0..MAX_TARGETS_TRIED {
-            let place = or(async { Some(ticket.placement().await) }, async {
-                self.slot.wait_no_readers().await;
+            let placement = or(async { Some(ticket.placement().await) }, async {
+                self.buffer.wait_no_readers().await;
                 None
             });
-            let target = match place.await {
+            let target = match placement.await {
                 None => return ChainResult::Abandoned(held),
                 Some(WorkPlacement::Peer(host)) => {
                     if held.is_none() && self.run_peer(&host).await {
@@ -171,7 +171,7 @@
                 Some(WorkPlacement::Target(target)) => target,
             };
             self.meter.placed();
-            let _alone = self
+            let _exclusive = self
                 .host
                 .suspects
                 .acquire_exclusive(self.fingerprint, &target, self.request.deadline)
@@ -185,16 +185,16 @@
                     held = Some(claim);
                     ticket.not_sent();
                 }
-                ClaimResult::NoClaim(verdict) => {
+                ClaimResult::NoClaim(outcome) => {
                     ticket.end(WorkOutcome::Cancelled);
-                    return self.run_unclaimed(verdict).await;
+                    return self.run_unclaimed(outcome).await;
                 }
             }
         }
         refuse(ErrorKind::TargetUnreachable.into(), held)
     }
 
-    /// Forwards the request to a peer; returns whether the slot has its answer.
+    /// Forwards the request to a peer; returns whether the buffer has its answer.
     async fn run_peer(&self, host: &HostName) -> bool {
         !self.request.forwarded && forward_to_peer(self, host).await
     }
@@ -206,8 +206,8 @@
         enqueue_request(&self.host, &view, &self.request, &self.body, source)
     }
 
-    async fn run_unclaimed(&self, verdict: ClaimOutcome) -> ChainResult {
-        match verdict {
+    async fn run_unclaimed(&self, outcome: ClaimOutcome) -> ChainResult {
+        match outcome {
             ClaimOutcome::Held(holder) => {
                 join_holder(self, holder, ErrorKind::AttemptBarred.into()).await;
             }
@@ -251,8 +251,8 @@
 
     /// Releases the claim of a request without readers; no answer is needed.
     async fn abandon(&self, claim: Option<HeldClaim<UnsentStage>>) {
-        self.host.answers.forget(self.request.id, &self.slot);
-        self.slot
+        self.host.answers.forget(self.request.id, &self.buffer);
+        self.buffer
             .put_end(AnswerEnd::Truncated(ErrorKind::HolderLost));
         if let Some(claim) = claim {
             self.host.claims.release(claim).await;
@@ -262,8 +262,8 @@
     /// Refuses with `not-run`, after a majority has barred the attempt.
     pub(super) fn refuse_proven(&self, refusal: RequestRefusal) {
         self.count_error(refusal.kind);
-        self.host.answers.forget(self.request.id, &self.slot);
-        refusal.put_answer(&self.slot, self.request.id, RequestOutcome::NotRun);
+        self.host.answers.forget(self.request.id, &self.buffer);
+        refusal.put_answer(&self.buffer, self.request.id, RequestOutcome::NotRun);
     }
 
     /// Counts an error by its kind and the request's tier.
@@ -273,8 +273,8 @@
 
     fn refuse_unknown(&self, refusal: RequestRefusal) {
         self.count_error(refusal.kind);
-        self.host.answers.forget(self.request.id, &self.slot);
-        refusal.put_answer(&self.slot, self.request.id, RequestOutcome::Unknown);
+        self.host.answers.forget(self.request.id, &self.buffer);
+        refusal.put_answer(&self.buffer, self.request.id, RequestOutcome::Unknown);
     }
 }
 
--- a/src/gateway/request_entry.rs
+++ b/src/gateway/request_entry.rs
@@ -36,11 +36,11 @@
         .get_or_insert(request.id, &request.account, request.attempt);
     match entry {
         AnswerLookup::OtherAccount => Err(ErrorKind::BadRequestId),
-        AnswerLookup::Joined(slot) => Ok(AnswerReader::open(slot)),
-        AnswerLookup::Owned(slot) => {
+        AnswerLookup::Joined(buffer) => Ok(AnswerReader::open(buffer)),
+        AnswerLookup::Owned(buffer) => {
             // The reader is opened before the run starts: a run without a reader treats
             // its caller as gone.
-            let reader = AnswerReader::open(slot.clone());
+            let reader = AnswerReader::open(buffer.clone());
             let series = host
                 .metrics
                 .series(request.tier, &request.class, &request.account);
@@ -52,7 +52,7 @@
                 fingerprint,
                 body,
                 _permit: permit,
-                slot,
+                buffer,
             };
             task::spawn(run.run());
             Ok(reader)
--- a/src/gateway/request_refusal.rs
+++ b/src/gateway/request_refusal.rs
@@ -94,12 +94,12 @@
         (head, body)
     }
 
-    /// Writes the complete answer into a slot.
-    pub(crate) fn put_answer(&self, slot: &AnswerBuffer, id: RequestId, outcome: RequestOutcome) {
+    /// Writes the complete answer into a buffer.
+    pub(crate) fn put_answer(&self, buffer: &AnswerBuffer, id: RequestId, outcome: RequestOutcome) {
         let (head, body) = self.answer(Some(id), outcome);
-        slot.put_head(head);
-        slot.put_bytes(body);
-        slot.put_end(AnswerEnd::Complete);
+        buffer.put_head(head);
+        buffer.put_bytes(body);
+        buffer.put_end(AnswerEnd::Complete);
     }
 
     fn retry_millis(&self, advice: RetryAdvice, id: Option<RequestId>) -> Option<u64> {
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -1,4 +1,4 @@
-//! Relays a token stream from an engine to the slot, resuming it on new connections.
+//! Relays a token stream from an engine to the buffer, resuming it on new connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 /// Timeout for each step of a resumption: connecting, sending and reading the head.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Relays one token stream into the slot.
+/// Relays one token stream into the buffer.
 pub(crate) struct StreamRelay<'r> {
     run: &'r RequestRun,
     ticket: &'r WorkTicket,
@@ -66,7 +66,7 @@
     /// new connections work.
     pub(crate) async fn relay_stream(&mut self, mut answer: TargetAnswer) -> Result<(), ErrorKind> {
         let run = self.run;
-        run.slot.put_head(done_head(run, answer.head.clone()));
+        run.buffer.put_head(done_head(run, answer.head.clone()));
         let mut resumes = 0;
         loop {
             let before = self.guard.next_offset();
@@ -74,7 +74,7 @@
             match relayed {
                 None => return self.cancel().await,
                 Some(Ok(())) => {
-                    run.slot.put_end(AnswerEnd::Complete);
+                    run.buffer.put_end(AnswerEnd::Complete);
                     return Ok(());
                 }
                 Some(Err(ExchangeError::Broken)) => return Err(ErrorKind::TargetFault),
@@ -107,7 +107,7 @@
         while let Some(piece) = answer.next_piece(self.silence_timeout()).await? {
             let relayed = self.guard.take(&piece).map_err(|_| ExchangeError::Broken)?;
             if !relayed.is_empty() {
-                self.run.slot.put_bytes(Bytes::from(relayed));
+                self.run.buffer.put_bytes(Bytes::from(relayed));
                 self.ticket.progressed(self.guard.next_offset());
                 self.run.meter.progressed(self.guard.next_offset());
             }
--- a/src/peers/digest_delta.rs
+++ b/src/peers/digest_delta.rs
@@ -59,7 +59,7 @@
 /// The change of the targets' demand.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum DemandUpdate {
-    /// The set or order of targets changed; holds all of them.
+    /// The set or order of targets changed, or there are too many to index; holds all of them.
     All(Vec<TargetDemand>),
     /// The targets are the same; holds the changed fields.
     Changed(Vec<DemandChange>),
--- a/tests/peers_watch.rs
+++ b/tests/peers_watch.rs
@@ -45,18 +45,18 @@
     }
 }
 
-fn update(roll: &mut PeerTracker, links: &[LinkStatus]) -> Vec<String> {
-    let changes = roll.update(links);
+fn update(tracker: &mut PeerTracker, links: &[LinkStatus]) -> Vec<String> {
+    let changes = tracker.update(links);
     changes.iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn each_connect_and_disconnect_is_logged_once() {
-    let mut roll = PeerTracker::default();
+    let mut tracker = PeerTracker::default();
 
-    let first = update(&mut roll, &[link("b", true), link("c", false)]);
-    let same = update(&mut roll, &[link("b", true), link("c", false)]);
-    let lost = update(&mut roll, &[link("b", false), link("c", true)]);
+    let first = update(&mut tracker, &[link("b", true), link("c", false)]);
+    let same = update(&mut tracker, &[link("b", true), link("c", false)]);
+    let lost = update(&mut tracker, &[link("b", false), link("c", true)]);
 
     assert_eq!(first, ["peer b is connected"]);
     assert!(same.is_empty());
@@ -71,10 +71,10 @@
 
 #[test]
 fn peer_removed_from_the_roster_is_not_logged_as_lost() {
-    let mut roll = PeerTracker::default();
-    update(&mut roll, &[link("b", true), link("c", true)]);
+    let mut tracker = PeerTracker::default();
+    update(&mut tracker, &[link("b", true), link("c", true)]);
 
-    assert!(update(&mut roll, &[link("c", true)]).is_empty());
+    assert!(update(&mut tracker, &[link("c", true)]).is_empty());
 }
 
 #[async_std::test]
