--- a/tests/peers_watch.rs
+++ b/tests/peers_watch.rs
@@ -1,4 +1,4 @@
-//! What operators are told of peers that come, go and are refused.
+//! Logging and counting of peers that connect, disconnect or are refused.
 
 mod peers_support;
 
@@ -20,7 +20,7 @@
 use cardamomgw::peers::PeerMesh;
 use cardamomgw::peers::ReplySender;
 use cardamomgw::settings::LogLevel;
-use peers_support::PATIENCE;
+use peers_support::TIMEOUT;
 use peers_support::any_port;
 use peers_support::identity;
 use peers_support::identity_with_key;
@@ -39,24 +39,24 @@
         host: Some(host.to_owned()),
         connected,
         last_error: (!connected).then_some(PeerError::ConnectionLost),
-        connects: 1,
+        connect_count: 1,
         read_bytes: 0,
         written_bytes: 0,
     }
 }
 
-fn update(roll: &mut PeerTracker, links: &[LinkStatus]) -> Vec<String> {
-    let changes = roll.update(links);
+fn update(tracker: &mut PeerTracker, links: &[LinkStatus]) -> Vec<String> {
+    let changes = tracker.update(links);
     changes.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn each_coming_and_going_is_told_once() {
-    let mut roll = PeerTracker::default();
+fn each_connect_and_disconnect_is_logged_once() {
+    let mut tracker = PeerTracker::default();
 
-    let first = update(&mut roll, &[link("b", true), link("c", false)]);
-    let same = update(&mut roll, &[link("b", true), link("c", false)]);
-    let lost = update(&mut roll, &[link("b", false), link("c", true)]);
+    let first = update(&mut tracker, &[link("b", true), link("c", false)]);
+    let same = update(&mut tracker, &[link("b", true), link("c", false)]);
+    let lost = update(&mut tracker, &[link("b", false), link("c", true)]);
 
     assert_eq!(first, ["peer b is connected"]);
     assert!(same.is_empty());
@@ -70,11 +70,11 @@
 }
 
 #[test]
-fn peer_that_the_roster_dropped_is_not_told_as_lost() {
-    let mut roll = PeerTracker::default();
-    update(&mut roll, &[link("b", true), link("c", true)]);
+fn peer_removed_from_the_roster_is_not_logged_as_lost() {
+    let mut tracker = PeerTracker::default();
+    update(&mut tracker, &[link("b", true), link("c", true)]);
 
-    assert!(update(&mut roll, &[link("c", true)]).is_empty());
+    assert!(update(&mut tracker, &[link("c", true)]).is_empty());
 }
 
 #[async_std::test]
@@ -98,5 +98,5 @@
             task::sleep(Duration::from_millis(10)).await;
         }
     };
-    async_std::future::timeout(PATIENCE, shown).await.unwrap();
+    async_std::future::timeout(TIMEOUT, shown).await.unwrap();
 }
