--- a/src/controllers/config_controller.rs
+++ b/src/controllers/config_controller.rs
@@ -72,7 +72,7 @@
 pub type ExchangeHook = dyn Fn() + Send + Sync;
 
 /// The dependencies of a [`ConfigController`].
-pub struct ConfigParts {
+pub struct ConfigDependencies {
     /// This host's name.
     pub host: HostName,
     /// The connections to the peers; the controller updates their list of seats.
@@ -87,12 +87,12 @@
     pub admit_roster: Box<RosterValidator>,
     /// Called with each view put in force, in order. It must not block, and may call
     /// only [`ConfigController::view`] on the controller.
-    pub accepted: Box<ViewListener>,
+    pub view_listener: Box<ViewListener>,
 }
 
 /// Holds the fleet document in force. Dropping it stops its watch on the platform.
 pub struct ConfigController {
-    parts: ConfigParts,
+    dependencies: ConfigDependencies,
     current: ArcSwapOption<ConfigEntry<FleetView>>,
     tracker: Mutex<ConfigTracker<FleetView>>,
     freshness: Mutex<ViewFreshness>,
@@ -109,11 +109,11 @@
 impl ConfigController {
     /// Starts to follow the platform. Peers are followed through calls to
     /// [`ConfigController::peer_announced`] and [`ConfigController::peer_replied`].
-    pub fn spawn(parts: ConfigParts) -> Arc<Self> {
+    pub fn spawn(dependencies: ConfigDependencies) -> Arc<Self> {
         let (stop, stopped) = async_channel::bounded(1);
-        let platform = Arc::clone(&parts.platform);
+        let platform = Arc::clone(&dependencies.platform);
         let controller = Arc::new(Self {
-            parts,
+            dependencies,
             current: ArcSwapOption::empty(),
             tracker: Mutex::default(),
             freshness: Mutex::new(ViewFreshness::new(boot_now())),
@@ -271,7 +271,7 @@
             return;
         }
         let controller = Arc::downgrade(self);
-        let mesh = Arc::clone(&self.parts.mesh);
+        let mesh = Arc::clone(&self.dependencies.mesh);
         task::spawn(async move {
             let reply = mesh.call(&host, PeerCall::Document, FETCH_TIMEOUT).await;
             let Some(controller) = controller.upgrade() else {
@@ -304,7 +304,7 @@
     }
 
     fn admit(&self, view: &FleetView) -> RosterAdmission {
-        (self.parts.admit_roster)(view.document())
+        (self.dependencies.admit_roster)(view.document())
     }
 
     /// Publishes an outcome. The tracker stays locked until the new view is stored and
@@ -334,47 +334,53 @@
         let seats = &entry.view.document().roster.seats;
         let names: Vec<HostName> = seats.iter().map(|seat| seat.host.clone()).collect();
         self.current.store(Some(Arc::clone(entry)));
-        self.freshness().set_seats(&self.parts.host, &names);
+        self.freshness().set_seats(&self.dependencies.host, &names);
         self.show_freshness();
-        self.parts
+        self.dependencies
             .mesh
             .set_peers(&known_peers(entry.view.document()));
-        (self.parts.accepted)(&entry.view);
+        (self.dependencies.view_listener)(&entry.view);
     }
 
     /// Publishes the new version: peers that are disconnected from the platform follow
     /// within two round trips instead of at their next exchange.
     fn report_accepted(&self, entry: &ConfigEntry<FleetView>) {
         self.trigger_exchange();
-        self.parts.metrics.set_fleet_version(entry.copy.version);
-        self.parts.log.write(&StateChange::ConfigurationAccepted {
-            version: entry.copy.version,
-            digest: entry.digest.iter().map(|b| format!("{b:02x}")).collect(),
-            peer: match &entry.source {
-                ConfigSource::Platform => None,
-                ConfigSource::Peer(host) => Some(host.clone()),
-            },
-        });
+        self.dependencies
+            .metrics
+            .set_fleet_version(entry.copy.version);
+        self.dependencies
+            .log
+            .write(&StateChange::ConfigurationAccepted {
+                version: entry.copy.version,
+                digest: entry.digest.iter().map(|b| format!("{b:02x}")).collect(),
+                peer: match &entry.source {
+                    ConfigSource::Platform => None,
+                    ConfigSource::Peer(host) => Some(host.clone()),
+                },
+            });
     }
 
     fn report_refusal(&self, refusal: &ConfigRefusal) {
-        self.parts.metrics.count_refused_configuration();
+        self.dependencies.metrics.count_refused_configuration();
         let (version, faults) = match refusal {
             ConfigRefusal::Conflict { version } => {
                 let version = *version;
                 let change = StateChange::ConfigurationConflict { version };
-                return self.parts.log.write(&change);
+                return self.dependencies.log.write(&change);
             }
             ConfigRefusal::Invalid { version, faults } => (*version, faults.len()),
             ConfigRefusal::Older { offered, .. } => (*offered, 1),
             ConfigRefusal::VersionMismatch { declared, .. } => (*declared, 1),
             ConfigRefusal::Roster { version, .. } => (*version, 1),
         };
-        self.parts.log.write(&StateChange::ConfigurationRefused {
-            version: Some(version),
-            faults,
-            first_fault: refusal.first_fault(),
-        });
+        self.dependencies
+            .log
+            .write(&StateChange::ConfigurationRefused {
+                version: Some(version),
+                faults,
+                first_fault: refusal.first_fault(),
+            });
     }
 
     /// Records the result of a read of the platform that began at `asked`.
@@ -385,7 +391,7 @@
 
     /// Logs a change of state.
     pub(super) fn log_state_change(&self, change: &StateChange) {
-        self.parts.log.write(change);
+        self.dependencies.log.write(change);
     }
 
     /// Publishes the time until which the view is fresh and wakes waiting requests.
--- a/src/controllers/mod.rs
+++ b/src/controllers/mod.rs
@@ -21,7 +21,7 @@
 pub(crate) use claim_coordinator::ClaimCoordinator;
 pub(crate) use claim_coordinator::ClaimOutcome;
 pub use config_controller::ConfigController;
-pub use config_controller::ConfigParts;
+pub use config_controller::ConfigDependencies;
 pub use config_controller::ExchangeHook;
 pub use config_controller::RosterAdmission;
 pub use config_controller::RosterValidator;
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -24,7 +24,7 @@
 use crate::clock::unix_now;
 use crate::controllers::ClaimCoordinator;
 use crate::controllers::ConfigController;
-use crate::controllers::ConfigParts;
+use crate::controllers::ConfigDependencies;
 use crate::controllers::DigestController;
 use crate::controllers::DrainState;
 use crate::controllers::HostTracker;
@@ -116,7 +116,7 @@
         let answers = Arc::new(AnswerCache::new(kept_bytes as usize));
         // The target controller needs the configuration controller and is created after it.
         let targets_cell = Arc::new(OnceLock::new());
-        let config = ConfigController::spawn(ConfigParts {
+        let config = ConfigController::spawn(ConfigDependencies {
             host: settings.host.clone(),
             mesh: mesh.clone(),
             platform: Arc::new(open_platform(settings)),
--- a/tests/config_support/mod.rs
+++ b/tests/config_support/mod.rs
@@ -13,7 +13,7 @@
 use async_std::task;
 use cardamomgw::clock::boot_now;
 use cardamomgw::controllers::ConfigController;
-use cardamomgw::controllers::ConfigParts;
+use cardamomgw::controllers::ConfigDependencies;
 use cardamomgw::controllers::RosterAdmission;
 use cardamomgw::documents::DocumentClient;
 use cardamomgw::fleet::FleetDocument;
@@ -99,14 +99,14 @@
         let platform = DocumentClient::new(vec![platform], "fleet".to_owned());
         let metrics = RequestMetrics::open().expect("metrics open");
         let log = StateLog::open(LogLevel::Error, metrics.clone()).expect("the log opens");
-        let controller = ConfigController::spawn(ConfigParts {
+        let controller = ConfigController::spawn(ConfigDependencies {
             host: self.name.clone(),
             mesh: mesh.clone(),
             platform: Arc::new(platform),
             log: Arc::new(log),
             metrics,
             admit_roster: Box::new(|_| RosterAdmission::Admitted),
-            accepted: Box::new(|_| {}),
+            view_listener: Box::new(|_| {}),
         });
         let (trigger, triggered) = async_channel::bounded(1);
         controller.set_exchange_trigger(Box::new(move || {
