--- a/src/controllers/host_tracker.rs
+++ b/src/controllers/host_tracker.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct HostSnapshot {
     /// The reason that the host accepts no requests; `None` if it accepts them.
-    pub unready: Option<String>,
+    pub unready_reason: Option<String>,
     /// Whether a majority of voting seats is connected.
     pub majority: bool,
     /// The newest roster known to be active.
@@ -38,16 +38,16 @@
         {
             changes.push(StateChange::RosterActive { number });
         }
-        if last.is_none_or(|last| last.unready != now.unready) {
-            changes.push(readiness_change(now.unready.clone()));
+        if last.is_none_or(|last| last.unready_reason != now.unready_reason) {
+            changes.push(readiness_change(now.unready_reason.clone()));
         }
         self.last = Some(now);
         changes
     }
 }
 
-fn readiness_change(unready: Option<String>) -> StateChange {
-    match unready {
+fn readiness_change(unready_reason: Option<String>) -> StateChange {
+    match unready_reason {
         Some(reason) => StateChange::NotReady { reason },
         None => StateChange::Ready,
     }
--- a/src/gateway/host_state.rs
+++ b/src/gateway/host_state.rs
@@ -90,7 +90,7 @@
     pub(crate) fn snapshot(&self) -> HostSnapshot {
         let roster = self.claims.register().roster().active_tag();
         HostSnapshot {
-            unready: self.unready_reason(),
+            unready_reason: self.unready_reason(),
             majority: self.claims.has_majority(),
             roster: roster.map(|tag| tag.number),
         }
--- a/tests/host_tracker.rs
+++ b/tests/host_tracker.rs
@@ -5,7 +5,7 @@
 
 fn serving() -> HostSnapshot {
     HostSnapshot {
-        unready: None,
+        unready_reason: None,
         majority: true,
         roster: Some(1),
     }
@@ -13,7 +13,7 @@
 
 fn isolated() -> HostSnapshot {
     HostSnapshot {
-        unready: Some("no majority".to_owned()),
+        unready_reason: Some("no majority".to_owned()),
         majority: false,
         ..serving()
     }
@@ -28,7 +28,7 @@
 fn start_reports_readiness_and_no_loss() {
     let mut tracker = HostTracker::default();
     let starting = HostSnapshot {
-        unready: Some("no configuration yet".to_owned()),
+        unready_reason: Some("no configuration yet".to_owned()),
         ..HostSnapshot::default()
     };
 
@@ -68,7 +68,7 @@
     let mut tracker = HostTracker::default();
     lines(&mut tracker, serving());
     let leaving = HostSnapshot {
-        unready: Some("the host is leaving".to_owned()),
+        unready_reason: Some("the host is leaving".to_owned()),
         roster: Some(2),
         ..serving()
     };
