--- a/src/controllers/target_controller.rs
+++ b/src/controllers/target_controller.rs
@@ -143,7 +143,7 @@
     }
 
     /// Applies a new document: removes the targets that it does not name.
-    pub(crate) fn follow(&self, view: &FleetView) {
+    pub(crate) fn apply_view(&self, view: &FleetView) {
         self.lock().retain_targets(view);
         self.apply();
     }
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -139,7 +139,7 @@
         );
         targets_cell.set(Arc::downgrade(&targets)).ok();
         if let Some(view) = config.view() {
-            targets.follow(&view);
+            targets.apply_view(&view);
         }
         let suspects = Arc::new(PoisonGuard::default());
         let digests = DigestController::spawn(
@@ -358,7 +358,7 @@
             work.drain();
         }
         if let Some(targets) = targets.get().and_then(Weak::upgrade) {
-            targets.follow(view);
+            targets.apply_view(view);
         }
     })
 }
