--- a/src/answers/answer_cache.rs
+++ b/src/answers/answer_cache.rs
@@ -111,7 +111,7 @@
 
     /// Removes an id whose request ended without running, so that the next attempt owns
     /// it; the buffer of another attempt stays.
-    pub(crate) fn forget(&self, id: RequestId, buffer: &Arc<AnswerBuffer>) {
+    pub(crate) fn remove(&self, id: RequestId, buffer: &Arc<AnswerBuffer>) {
         let mut entries = self.lock();
         let same = entries
             .get(&id)
--- a/src/gateway/join_filter.rs
+++ b/src/gateway/join_filter.rs
@@ -145,7 +145,7 @@
         run.buffer.put_end(AnswerEnd::Truncated(kind));
     } else {
         // Forgotten, so that a resend asks the holder again: it may only have been paused.
-        run.host.answers.forget(run.request.id, &run.buffer);
+        run.host.answers.remove(run.request.id, &run.buffer);
         RequestRefusal::of(kind).put_answer(&run.buffer, run.request.id, RequestOutcome::Unknown);
     }
 }
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -92,7 +92,7 @@
         let answers = &self.host.answers;
         match outcome {
             // The next attempt must not find the answer of this one, whichever host gave it.
-            RequestOutcome::NotRun => answers.forget(self.request.id, &self.buffer),
+            RequestOutcome::NotRun => answers.remove(self.request.id, &self.buffer),
             RequestOutcome::Done | RequestOutcome::Unknown => {
                 answers.finish(self.request.id, &self.buffer, boot_now());
             }
@@ -251,7 +251,7 @@
 
     /// Releases the claim of a request without readers; no answer is needed.
     async fn abandon(&self, claim: Option<HeldClaim<UnsentStage>>) {
-        self.host.answers.forget(self.request.id, &self.buffer);
+        self.host.answers.remove(self.request.id, &self.buffer);
         self.buffer
             .put_end(AnswerEnd::Truncated(ErrorKind::HolderLost));
         if let Some(claim) = claim {
@@ -262,7 +262,7 @@
     /// Refuses with `not-run`, after a majority has barred the attempt.
     pub(super) fn refuse_proven(&self, refusal: RequestRefusal) {
         self.count_error(refusal.kind);
-        self.host.answers.forget(self.request.id, &self.buffer);
+        self.host.answers.remove(self.request.id, &self.buffer);
         refusal.put_answer(&self.buffer, self.request.id, RequestOutcome::NotRun);
     }
 
@@ -273,7 +273,7 @@
 
     fn refuse_unknown(&self, refusal: RequestRefusal) {
         self.count_error(refusal.kind);
-        self.host.answers.forget(self.request.id, &self.buffer);
+        self.host.answers.remove(self.request.id, &self.buffer);
         refusal.put_answer(&self.buffer, self.request.id, RequestOutcome::Unknown);
     }
 }
