--- a/src/controllers/drain_state.rs
+++ b/src/controllers/drain_state.rs
@@ -35,7 +35,7 @@
     }
 
     /// Counts a request as running until the guard is dropped.
-    pub(crate) fn enter(&self) -> RunningGuard<'_> {
+    pub(crate) fn track_request(&self) -> RunningGuard<'_> {
         self.running.fetch_add(1, Ordering::AcqRel);
         RunningGuard { state: self }
     }
--- a/src/gateway/caller_service.rs
+++ b/src/gateway/caller_service.rs
@@ -102,7 +102,7 @@
     host: &Arc<HostState>,
 ) -> io::Result<()> {
     // A draining host also waits until the answer is written.
-    let _running = host.drain.enter();
+    let _running = host.drain.track_request();
     // A leaving host closes the connection, so that the caller reconnects to another host.
     if host.drain.is_leaving() {
         connection.end_after_answer();
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -79,7 +79,7 @@
 impl RequestRun {
     /// Runs the request through the chain until its buffer has an answer.
     pub(crate) async fn run(self) {
-        let _running = self.host.drain.enter();
+        let _running = self.host.drain.track_request();
         match self.run_filters().await {
             ChainResult::Answered => (),
             ChainResult::Refused(refusal) => self.bar_and_refuse(refusal).await,
