--- /dev/null
+++ b/src/quota/demand_tracker.rs
@@ -0,0 +1,95 @@
+//! Requested tokens per second by priority class, as exponentially decaying averages.
+
+use std::time::Duration;
+
+use super::priority_split::ClassDemand;
+use super::priority_split::PriorityClass;
+
+/// Time constant of the decay: a surge shows within a second, and a single large
+/// request does not look like one.
+const DECAY_TIME: Duration = Duration::from_secs(1);
+/// Lower bound on the host's uptime in the start-up correction: below it, the first
+/// request alone would look like a surge.
+const MIN_UPTIME: Duration = Duration::from_millis(250);
+/// Rate below which a priority class has no demand, in tokens per second.
+const MIN_RATE: f64 = 0.5;
+
+/// Demand on this host by priority class, in tokens per second.
+#[derive(Clone, Debug)]
+pub(super) struct DemandTracker {
+    /// Sorted by priority class, decayed up to `updated_at`.
+    demands: Vec<ClassDemand>,
+    updated_at: Duration,
+    /// When the host started; there are no samples from before.
+    started_at: Duration,
+}
+
+impl DemandTracker {
+    /// Creates the tracker of a host that started at `started_at`.
+    pub(super) const fn new(started_at: Duration) -> Self {
+        Self {
+            demands: Vec::new(),
+            updated_at: started_at,
+            started_at,
+        }
+    }
+
+    /// Adds a request.
+    pub(super) fn record(&mut self, priority_class: PriorityClass, cost: f64, now: Duration) {
+        self.decay(now);
+        let demand = ClassDemand {
+            priority_class,
+            per_second: cost / DECAY_TIME.as_secs_f64(),
+        };
+        add_demand(&mut self.demands, demand);
+    }
+
+    /// Returns the current demand, sorted by priority class.
+    ///
+    /// On a host that has just started, the average is divided by the weight of the time
+    /// observed so far, since it would otherwise be far below the actual rate. Without
+    /// this, hosts that were all killed while an account exceeded its quota admitted
+    /// everything for a third of a second after each restart, a seventh of a window.
+    pub(super) fn demands(&mut self, now: Duration) -> Vec<ClassDemand> {
+        self.decay(now);
+        let uptime = now.saturating_sub(self.started_at).max(MIN_UPTIME);
+        let observed = 1.0 - (-uptime.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
+        let demands = self.demands.iter();
+        demands
+            .map(|demand| ClassDemand {
+                per_second: demand.per_second / observed,
+                ..*demand
+            })
+            .collect()
+    }
+
+    fn decay(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        let factor = (-elapsed / DECAY_TIME.as_secs_f64()).exp();
+        for demand in &mut self.demands {
+            demand.per_second *= factor;
+        }
+        self.demands.retain(|demand| demand.per_second > MIN_RATE);
+        self.updated_at = self.updated_at.max(now);
+    }
+}
+
+/// Adds to the demand of a priority class; `demands` stays sorted by priority class.
+pub(super) fn add_demand(demands: &mut Vec<ClassDemand>, added: ClassDemand) {
+    match demands.binary_search_by_key(&added.priority_class, |demand| demand.priority_class) {
+        Ok(index) => demands[index].per_second += added.per_second,
+        Err(index) => demands.insert(index, added),
+    }
+}
+
+/// Subtracts from the demand of a priority class.
+pub(super) fn subtract_demand(demands: &mut Vec<ClassDemand>, removed: ClassDemand) {
+    if let Ok(index) =
+        demands.binary_search_by_key(&removed.priority_class, |demand| demand.priority_class)
+    {
+        demands[index].per_second -= removed.per_second;
+        if demands[index].per_second <= MIN_RATE {
+            demands.remove(index);
+        }
+    }
+}
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,9 +1,9 @@
-//! What may be spent over all hosts: accounts' allowances and repeats.
+//! Fleet-wide limits: token quotas of accounts and the retry budget.
 //!
-//! Both hold without a store: hosts tell each other what they spent, and a host
-//! that hears nothing keeps within a part that all hosts together may spend.
+//! Neither needs a shared store. Hosts report their usage to each other; a host that
+//! receives no reports limits itself to its own share of the total.
 
-mod demand_track;
+mod demand_tracker;
 mod peer_usage;
 mod priority_split;
 mod quota_limiter;
--- a/src/quota/peer_usage.rs
+++ b/src/quota/peer_usage.rs
@@ -1,4 +1,4 @@
-//! What peers report of the accounts' usage.
+//! Account usage as reported by peers.
 
 use std::time::Duration;
 
@@ -9,77 +9,78 @@
 use crate::ids::AccountName;
 use crate::ids::IncarnationId;
 
-/// How long a peer may be silent before its usage is estimated.
-pub(super) const SILENCE_BOUND: Duration = Duration::from_millis(2000);
-/// The same for a report on behalf of other hosts: they turn to another leader meanwhile.
-const RELAY_SILENCE_BOUND: Duration = Duration::from_millis(3000);
-/// How long the usage of a silent peer is estimated. A host that is gone for
-/// longer has been replaced, or serves nobody.
-const SILENCE_MEMORY: Duration = Duration::from_secs(30);
+/// Time without a report after which a peer's usage is estimated.
+pub(super) const REPORT_TIMEOUT: Duration = Duration::from_millis(2000);
+/// The same for aggregated reports. It is longer because the reporting hosts switch to
+/// another leader in the meantime.
+const AGGREGATE_TIMEOUT: Duration = Duration::from_millis(3000);
+/// How long the usage of an unresponsive peer is estimated. A host that is away for
+/// longer has been replaced or serves no clients.
+const ESTIMATE_PERIOD: Duration = Duration::from_secs(30);
 
-/// What one host tells of an account.
+/// Usage of one account in a report.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AccountUsage {
     /// The account.
     pub account: AccountName,
-    /// What was admitted, summed over the reporting host's life.
+    /// Admitted cost since the reporting host started.
     pub total: f64,
-    /// What is asked for now, by kind, sorted.
+    /// Current demand, sorted by priority class.
     pub demands: Vec<ClassDemand>,
-    /// The share of the account's work that silent hosts of the report get, 0 to 1.
+    /// Share of the account's requests that reach the report's unresponsive hosts, 0 to 1.
     pub unresponsive_share: f64,
 }
 
-/// Whose usage a report tells.
+/// Which hosts a report covers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum UsageScope {
-    /// The reporting host's.
+    /// The reporting host.
     Host,
-    /// That of all hosts that report to it.
+    /// The reporting host and the hosts that report to it.
     Group,
-    /// That of all hosts but the receiver.
+    /// All hosts except the receiver.
     Fleet,
 }
 
-/// Hosts of a report that are silent and may serve callers all the same.
+/// Unresponsive hosts covered by a report. They may still be serving clients.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UnresponsiveHosts {
-    /// How many.
+    /// Number of hosts.
     pub hosts: u16,
-    /// For how long the first of them has been, in milliseconds.
+    /// Time since the last report of the one that has been unresponsive longest, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a peer reports.
+/// A usage report of a peer.
 #[derive(Clone, Debug)]
 pub struct UsageReport {
-    /// The reporting host's present life.
+    /// Incarnation of the reporting host.
     pub incarnation: IncarnationId,
-    /// For how long it has lasted.
+    /// Time since the reporting host started.
     pub uptime: Duration,
-    /// Whose usage it tells.
+    /// Which hosts it covers.
     pub scope: UsageScope,
-    /// The hosts of a group by the hashes of their names.
+    /// Name hashes of the covered hosts; empty for the whole fleet.
     pub covered: Vec<u32>,
-    /// How many hosts it covers.
+    /// Number of covered hosts.
     pub hosts: usize,
-    /// The usage, sorted by account.
+    /// Usage, sorted by account.
     pub accounts: Vec<AccountUsage>,
-    /// Silent hosts among those that it covers.
+    /// Unresponsive hosts among those covered.
     pub unresponsive: UnresponsiveHosts,
 }
 
-/// What a peer told of an account, and how much of the account's work it gets.
+/// An account in a peer's last report, with the peer's share of its requests.
 #[derive(Clone, Debug)]
 pub(super) struct PeerAccount {
-    pub(super) told: AccountUsage,
-    /// The part of what is asked of all hosts that was asked of this one, 0 to 1.
-    pub(super) part: f64,
-    /// What was counted of its usage here.
+    pub(super) reported: AccountUsage,
+    /// Smoothed share of the fleet's demand that arrives at this peer, 0 to 1.
+    pub(super) share: f64,
+    /// Usage of this peer that the local window already includes.
     pub(super) counted: f64,
 }
 
-/// The last report of a peer.
+/// Last report of a peer.
 #[derive(Debug)]
 pub(super) struct PeerUsage {
     pub(super) incarnation: IncarnationId,
@@ -87,16 +88,17 @@
     pub(super) covered: Vec<u32>,
     pub(super) hosts: usize,
     pub(super) unresponsive: UnresponsiveHosts,
-    pub(super) heard: Duration,
-    pub(super) left: bool,
-    /// The part of its hosts that nobody has seen lately, 0 to 1.
+    pub(super) received_at: Duration,
+    /// Whether it announced its shutdown.
+    pub(super) departed: bool,
+    /// Fraction of its hosts without a recent heartbeat anywhere, 0 to 1.
     pub(super) unseen: f64,
     /// Sorted by account.
     pub(super) accounts: Vec<PeerAccount>,
 }
 
 impl UsageReport {
-    /// Makes a host's report of itself.
+    /// Creates a host's report about itself.
     pub fn of_host(
         incarnation: IncarnationId,
         uptime: Duration,
@@ -115,24 +117,25 @@
 }
 
 impl AccountUsage {
-    /// Tells whether a report names the account: it was asked for lately, or `all` are named.
+    /// Returns whether a report includes the account: it has demand, or `all` used accounts
+    /// are included.
     pub(super) fn is_reported(&self, all: bool) -> bool {
         !self.demands.is_empty() || all && self.total > 0.0
     }
 
-    /// Returns what is asked for, in tokens a second, over all kinds.
+    /// Returns the total demand over all priority classes, in tokens per second.
     pub(super) fn demand(&self) -> f64 {
         self.demands.iter().map(|demand| demand.per_second).sum()
     }
 }
 
 impl PeerAccount {
-    /// Returns what stands of the account while nobody asks for it.
-    pub(super) fn at_rest(&self) -> Self {
+    /// Returns the account without demand; its total remains.
+    pub(super) fn without_demand(&self) -> Self {
         Self {
-            told: AccountUsage {
+            reported: AccountUsage {
                 demands: Vec::new(),
-                ..self.told.clone()
+                ..self.reported.clone()
             },
             ..*self
         }
@@ -144,29 +147,35 @@
         find_account(&self.accounts, name)
     }
 
-    /// Tells whether its hosts may consume quota: they have not left, and are not long gone.
-    pub(super) fn counts(&self, now: Duration) -> bool {
-        !self.left && now.saturating_sub(self.heard) < SILENCE_MEMORY
+    /// Returns whether its hosts may be consuming quota: they have not announced a shutdown,
+    /// and their last report is not too old.
+    pub(super) fn may_consume(&self, now: Duration) -> bool {
+        !self.departed && now.saturating_sub(self.received_at) < ESTIMATE_PERIOD
     }
 
-    pub(super) fn is_silent(&self, now: Duration) -> bool {
-        let bound = match self.scope {
-            UsageScope::Host => SILENCE_BOUND,
-            UsageScope::Group | UsageScope::Fleet => RELAY_SILENCE_BOUND,
+    /// Returns whether its last report is older than the timeout for its scope.
+    pub(super) fn is_unresponsive(&self, now: Duration) -> bool {
+        let timeout = match self.scope {
+            UsageScope::Host => REPORT_TIMEOUT,
+            UsageScope::Group | UsageScope::Fleet => AGGREGATE_TIMEOUT,
         };
-        now.saturating_sub(self.heard) > bound
+        now.saturating_sub(self.received_at) > timeout
     }
 }
 
-/// Returns the accounts that a peer told of before and does not now: nobody asks for
-/// them there any more.
-pub(super) fn untold_of(before: Option<&PeerUsage>, accounts: &[PeerAccount]) -> Vec<PeerAccount> {
-    let before = before.into_iter().flat_map(|peer| &peer.accounts);
-    let untold = before.filter(|account| find_account(accounts, &account.told.account).is_none());
-    untold.cloned().collect()
+/// Returns the accounts in a peer's previous report that are missing from the new one:
+/// they no longer have demand there.
+pub(super) fn omitted_accounts(
+    previous: Option<&PeerUsage>,
+    accounts: &[PeerAccount],
+) -> Vec<PeerAccount> {
+    let previous = previous.into_iter().flat_map(|peer| &peer.accounts);
+    let omitted =
+        previous.filter(|account| find_account(accounts, &account.reported.account).is_none());
+    omitted.cloned().collect()
 }
 
 fn find_account<'a>(accounts: &'a [PeerAccount], name: &str) -> Option<&'a PeerAccount> {
-    let found = accounts.binary_search_by(|account| account.told.account.as_str().cmp(name));
+    let found = accounts.binary_search_by(|account| account.reported.account.as_str().cmp(name));
     found.ok().map(|index| &accounts[index])
 }
--- a/src/quota/priority_split.rs
+++ b/src/quota/priority_split.rs
@@ -1,64 +1,64 @@
-//! How an account's allowance is shared out when it asks for more.
+//! Division of an account's quota among priority classes when demand exceeds it.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::ids::TierRank;
 
-/// The share of an even part that every kind of an account's work keeps, however much
-/// more urgent work it asks for. It keeps work of lower tiers alive under an account
-/// that asks for several times its allowance, at the price of a few of its most
-/// urgent requests.
-const KEPT_SHARE: f64 = 0.5;
+/// Fraction of an equal split that each priority class is guaranteed regardless of demand
+/// in more urgent classes. Lower tiers keep being served when an account requests several
+/// times its quota, at the cost of rejecting a few of its most urgent requests.
+const GUARANTEED_SHARE: f64 = 0.5;
 
-/// A kind of an account's work, as far as its allowance tells them apart.
+/// Class of an account's requests that is admitted separately within its quota.
+/// Classes order by urgency.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct PriorityClass {
-    /// The tier of its routes.
+    /// Tier of its routes; 0 is the most urgent.
     pub tier: TierRank,
-    /// Whether its requests tell the tokens that they use. Those that don't count a
+    /// Whether its requests state their token usage. Requests that do not are charged a
     /// small fixed amount.
     pub metered: bool,
 }
 
-/// How much an account asks of one kind, in tokens a second.
+/// Demand of an account in one priority class.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClassDemand {
-    /// The kind.
+    /// The priority class.
     pub priority_class: PriorityClass,
-    /// Tokens a second, over all tries.
+    /// Requested tokens per second, including rejected requests.
     pub per_second: f64,
 }
 
-/// Returns the part of its demand that each lane may have, 0 to 1, where `available`
-/// is there for all. `demands` are sorted by lane.
+/// Returns the fraction of its demand that each class may have, 0 to 1, out of `available`
+/// tokens per second for all of them. `demands` is sorted by priority class.
 ///
-/// Load it answers: an account that asks for several times its allowance. In order of
-/// arrival its detailed answers are refused as often as its small talk, and where what
-/// is left is compared with what a request needs, large requests are refused far
-/// more often than small ones.
+/// This applies when an account requests several times its quota. Admission in order of
+/// arrival would reject its urgent and its casual requests equally often, and comparing
+/// each request with the remaining quota would reject large requests far more often than
+/// small ones.
 ///
-/// A kind that asks for little gets it all; what the others keep is even; the rest
-/// goes by tier. Within a kind each request has the same chance, at each host,
-/// whatever its size.
+/// A class with little demand gets all of it. The other classes are guaranteed an equal
+/// minimum, and the remainder is assigned by tier. Within a class, each request has the
+/// same probability of admission on every host, independent of its size.
 pub(super) fn share_by_priority(available: f64, demands: &[ClassDemand]) -> Vec<f64> {
     let total: f64 = demands.iter().map(|demand| demand.per_second).sum();
     if total <= available {
         return vec![1.0; demands.len()];
     }
-    let kept = available.max(0.0) * KEPT_SHARE / demands.len() as f64;
-    let mut parts: Vec<f64> = demands
+    let guaranteed = available.max(0.0) * GUARANTEED_SHARE / demands.len() as f64;
+    let mut granted: Vec<f64> = demands
         .iter()
-        .map(|demand| demand.per_second.min(kept))
+        .map(|demand| demand.per_second.min(guaranteed))
         .collect();
-    let mut rest = available - parts.iter().sum::<f64>();
-    for (part, demand) in parts.iter_mut().zip(demands) {
-        let more = (demand.per_second - *part).min(rest).max(0.0);
-        *part += more;
-        rest -= more;
+    let mut remainder = available - granted.iter().sum::<f64>();
+    for (share, demand) in granted.iter_mut().zip(demands) {
+        let extra = (demand.per_second - *share).min(remainder).max(0.0);
+        *share += extra;
+        remainder -= extra;
     }
-    let shares = parts.iter().zip(demands);
+    let shares = granted.iter().zip(demands);
     shares
-        .map(|(part, demand)| part / demand.per_second.max(f64::MIN_POSITIVE))
+        .map(|(share, demand)| share / demand.per_second.max(f64::MIN_POSITIVE))
         .collect()
 }
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -1,22 +1,22 @@
-//! The allowances of accounts over all hosts.
+//! Fleet-wide enforcement of account quotas.
 
 use std::time::Duration;
 
-use super::demand_track::DemandTrack;
-use super::demand_track::add_demand;
-use super::demand_track::subtract_demand;
+use super::demand_tracker::DemandTracker;
+use super::demand_tracker::add_demand;
+use super::demand_tracker::subtract_demand;
 use super::peer_usage::AccountUsage;
 use super::peer_usage::PeerAccount;
 use super::peer_usage::PeerUsage;
-use super::peer_usage::SILENCE_BOUND;
+use super::peer_usage::REPORT_TIMEOUT;
 use super::peer_usage::UnresponsiveHosts;
 use super::peer_usage::UsageReport;
 use super::peer_usage::UsageScope;
-use super::peer_usage::untold_of;
+use super::peer_usage::omitted_accounts;
 use super::priority_split::ClassDemand;
 use super::priority_split::PriorityClass;
 use super::priority_split::share_by_priority;
-use super::quota_tolerance::PhasedAllowance;
+use super::quota_tolerance::AllowanceTransition;
 use super::quota_tolerance::QuotaRate;
 use super::quota_tolerance::QuotaTolerance;
 use super::usage_window::UsageWindow;
@@ -26,146 +26,149 @@
 use crate::ids::IncarnationId;
 use crate::sorted::SortedMap;
 
-/// The part of an allowance that is kept for silent peers evenly; the rest is kept by
-/// what each was asked for before it fell silent. Callers may come to another host
-/// once their own is cut off.
-const EVEN_PART: f64 = 0.25;
-/// The weight of a peer's newest report in the part that was asked of it: some seconds
-/// of words count.
-const PART_WEIGHT: f64 = 0.05;
-/// Within which what was spent too much is made good: short against a window, so that
-/// none is exceeded, and long against the delay of peers' reports, so that hosts don't
-/// swing together.
-const BALANCE_TIME: Duration = Duration::from_secs(2);
-/// Within which what is left beyond the reserve may go. All of it at once would be admitted
-/// by each host of a large fleet before any of them heard of the others: at 60 hosts a
-/// hot account got a window's half every three seconds and nothing between.
+/// Fraction of an unresponsive peer's quota share that is an equal split among hosts; the
+/// rest follows the demand it reported before. Clients may move to another host when
+/// theirs is cut off.
+const EVEN_FRACTION: f64 = 0.25;
+/// Weight of a peer's newest report in its smoothed demand share, which covers several
+/// seconds of reports.
+const SHARE_SMOOTHING: f64 = 0.05;
+/// Time over which excess usage is compensated. It is short compared to a window, so that
+/// no window is exceeded, and long compared to the delay of peer reports, so that hosts do
+/// not oscillate together.
+const DEFICIT_TIME: Duration = Duration::from_secs(2);
+/// Time over which the amount above the reserve may be used. Otherwise each host of a large
+/// fleet would admit all of it before receiving reports from the others: with 60 hosts, an
+/// account above its quota got half a window every three seconds and nothing in between.
 const SURPLUS_TIME: Duration = Duration::from_secs(1);
-/// How long the parts of the kinds of work are kept before they are worked out anew.
-const PLAN_AGE: Duration = Duration::from_millis(25);
+/// How long the admission plan of an account is used before it is recomputed.
+const PLAN_TTL: Duration = Duration::from_millis(25);
 
-/// A request as its account's allowance sees it.
+/// A request to be charged to an account's quota.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaRequest {
-    /// Its kind.
+    /// Its priority class.
     pub priority_class: PriorityClass,
-    /// What it counts.
+    /// Amount to charge to the quota.
     pub cost: f64,
 }
 
-/// Whether a request is within its account's allowance.
+/// Whether a request is within its account's quota.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuotaDecision {
-    /// It is, and was counted.
+    /// It is within the quota and was charged.
     Admitted,
-    /// It is not.
+    /// It exceeds the quota.
     Rejected,
 }
 
-/// For how long sums over peers serve several reports.
-const SUM_AGE: Duration = Duration::from_millis(50);
-/// How old a sighting of a host may be before it counts as silent. Sightings are passed on
-/// over two hops, some at a time.
-const SIGHTING_BOUND: Duration = Duration::from_millis(3000);
+/// How long totals over peers are reused for reports.
+const TOTALS_TTL: Duration = Duration::from_millis(50);
+/// Age of a host's last heartbeat above which the host counts as unresponsive. Heartbeat
+/// ages are relayed over two hops, a few per message.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Which part of each kind is admitted now.
+/// Fraction of each priority class that is currently admitted.
 #[derive(Debug)]
-struct SharePlan {
-    made: Duration,
-    /// What may be spent at once, less what this host admitted since.
-    left: f64,
+struct AdmissionPlan {
+    created_at: Duration,
+    /// Amount available when the plan was made, minus what this host has admitted since.
+    available: f64,
     overdraft: f64,
     demands: Vec<ClassDemand>,
-    parts: Vec<f64>,
+    /// Admitted fractions, 0 to 1, in the order of `demands`.
+    fractions: Vec<f64>,
 }
 
 #[derive(Debug)]
 struct AccountState {
     window: UsageWindow,
-    demand: DemandTrack,
+    demand: DemandTracker,
     own_total: f64,
-    /// What was counted of hosts that report here themselves, and of others.
+    /// Counted usage of hosts that report here directly.
     direct_total: f64,
+    /// Counted usage of all other hosts, from aggregated reports.
     relayed_total: f64,
-    /// The sum of what peers told that is asked of them, in tokens a second.
-    told_demand: f64,
-    /// `None` until the account is asked for here.
-    phase: Option<PhasedAllowance>,
-    plan: Option<SharePlan>,
+    /// Sum of the demand that peers reported, in tokens per second.
+    peer_demand: f64,
+    /// `None` until this host gets a request of the account.
+    allowance: Option<AllowanceTransition>,
+    plan: Option<AdmissionPlan>,
 }
 
-/// The allowances of accounts over all hosts.
+/// Fleet-wide quotas of accounts.
 ///
-/// Each host knows what it admitted and was asked for, and what its peers told of both.
-/// While there is enough left it admits everything. Below that each host admits
-/// the same part of what it is asked for, by kind of work, so that all hosts together
-/// keep the rate, and callers are served alike whichever host they come to. For a peer
-/// that is silent though it was not said to have left, its part of the rate is taken
-/// for spent, so that all sides of a split keep within the whole together.
+/// Each host knows its own usage and demand and those that its peers reported. While enough
+/// quota remains, it admits everything. Below that, every host admits the same fraction of
+/// its demand per priority class, so the fleet keeps to the rate and clients are treated
+/// alike on all hosts. The share of a peer that stopped reporting without announcing a
+/// shutdown counts as used, so all sides of a network partition together stay within the
+/// quota.
 #[derive(Debug)]
 pub struct QuotaLimiter {
     tolerance: QuotaTolerance,
     /// When this host started.
-    born: Duration,
-    /// How many hosts there may be, this one included.
+    started_at: Duration,
+    /// Largest possible number of hosts, including this one.
     hosts: usize,
     accounts: SortedMap<AccountName, AccountState>,
     peers: SortedMap<HostName, PeerUsage>,
-    /// Whether hosts report by way of leaders.
+    /// Whether hosts report through group leaders.
     grouped: bool,
-    /// When that last changed.
-    regrouped: Option<Duration>,
-    group_sums: Option<UsageSums>,
-    fleet_sums: Option<UsageSums>,
+    /// When `grouped` last changed.
+    regrouped_at: Option<Duration>,
+    group_totals: Option<UsageTotals>,
+    fleet_totals: Option<UsageTotals>,
 }
 
-/// What is asked of several hosts, for reports on behalf of them.
+/// Totals over several hosts, for aggregated reports.
 #[derive(Clone, Debug)]
-struct UsageSums {
-    made: Duration,
+struct UsageTotals {
+    computed_at: Duration,
     accounts: Vec<AccountUsage>,
     unresponsive: UnresponsiveHosts,
 }
 
 impl QuotaLimiter {
-    /// Makes the ledger of a host that starts now, among so many `hosts`.
+    /// Creates the limiter of a host that starts now in a fleet of `hosts`.
     pub const fn new(tolerance: QuotaTolerance, hosts: usize, now: Duration) -> Self {
         Self {
             tolerance,
-            born: now,
+            started_at: now,
             hosts,
             accounts: SortedMap::new(),
             peers: SortedMap::new(),
             grouped: false,
-            regrouped: None,
-            group_sums: None,
-            fleet_sums: None,
+            regrouped_at: None,
+            group_totals: None,
+            fleet_totals: None,
         }
     }
 
-    /// Notes whether hosts report by way of leaders. What was counted by other ways before
-    /// stays counted, and is not taken once more from the reports to come.
+    /// Sets whether hosts report through group leaders. Usage counted from earlier reports
+    /// stays counted and is not counted again from later ones.
     pub fn set_grouped(&mut self, grouped: bool, now: Duration) {
         if self.grouped == grouped {
             return;
         }
         self.grouped = grouped;
-        self.regrouped = Some(now);
-        self.drop_peers(|_| true);
+        self.regrouped_at = Some(now);
+        self.remove_peers(|_| true);
     }
 
-    /// Notes how many hosts are known, this one included. Those that were never heard
-    /// spend their part all the same.
+    /// Sets the number of known hosts, including this one. Hosts that never reported are
+    /// assumed to use their share.
     ///
-    /// A host that has just started knows of fewer than there are.
+    /// A lower number is ignored on a host that has just started, since it does not know all
+    /// hosts yet.
     pub fn set_host_count(&mut self, hosts: usize, now: Duration) {
-        if now.saturating_sub(self.born) >= SILENCE_BOUND || hosts > self.hosts {
+        if now.saturating_sub(self.started_at) >= REPORT_TIMEOUT || hosts > self.hosts {
             self.hosts = hosts;
         }
     }
 
-    /// Counts a request if it is within the account's allowance; `spread` is 0 to 1,
-    /// evenly.
+    /// Charges a request to the account's quota if it is within it. `spread` is a random
+    /// number, uniform from 0 to 1.
     pub fn try_consume(
         &mut self,
         account: &ClientAccount,
@@ -178,15 +181,19 @@
         };
         let window = self.tolerance.window;
         let state = self.accounts.get_or_insert_with(account.name.clone(), || {
-            AccountState::new(window, self.born)
+            AccountState::new(window, self.started_at)
         });
-        state.demand.note(request.priority_class, request.cost, now);
-        let phase = state.phase.get_or_insert(PhasedAllowance::new(allowance));
-        let allowance = phase.now(allowance, window, now);
-        let rate = self.tolerance.spend_rate(allowance);
-        let made = state.plan.as_ref().map(|plan| plan.made);
-        if made.is_none_or(|made| now.saturating_sub(made) >= PLAN_AGE) {
-            self.make_plan(&account.name, rate, now);
+        state
+            .demand
+            .record(request.priority_class, request.cost, now);
+        let transition = state
+            .allowance
+            .get_or_insert(AllowanceTransition::new(allowance));
+        let allowance = transition.effective(allowance, window, now);
+        let rate = self.tolerance.quota_rate(allowance);
+        let created_at = state.plan.as_ref().map(|plan| plan.created_at);
+        if created_at.is_none_or(|created_at| now.saturating_sub(created_at) >= PLAN_TTL) {
+            self.refresh_plan(&account.name, rate, now);
         }
         match self.accounts.get_mut(&account.name) {
             Some(state) => state.try_consume(request, now, spread),
@@ -194,9 +201,8 @@
         }
     }
 
-    /// Returns what this host tells a peer: of the accounts that were asked for lately, or
-    /// of `all`. To a peer that was told of all once, the totals of the others stand as they
-    /// were.
+    /// Returns this host's usage for a report: accounts with recent demand, or `all`. A peer
+    /// that received all accounts once keeps the totals of those that are left out later.
     pub fn own_usage(&mut self, all: bool, now: Duration) -> Vec<AccountUsage> {
         let accounts = self.accounts.iter_mut();
         accounts
@@ -206,69 +212,70 @@
                 demands: state.demand.demands(now),
                 unresponsive_share: 0.0,
             })
-            .filter(|told| told.is_reported(all))
+            .filter(|usage| usage.is_reported(all))
             .collect()
     }
 
-    /// Returns what this host tells other leaders of the hosts that report to it.
+    /// Returns the usage of this host and its reporting hosts, for other leaders.
     pub fn group_usage(
         &mut self,
         all: bool,
         now: Duration,
     ) -> (Vec<AccountUsage>, UnresponsiveHosts) {
-        let sums = self.sums(UsageScope::Group, now);
-        let wanted = sums.accounts.into_iter();
-        let accounts = wanted.filter(|told| told.is_reported(all));
-        (accounts.collect(), sums.unresponsive)
+        let totals = self.totals(UsageScope::Group, now);
+        let reported = totals.accounts.into_iter();
+        let accounts = reported.filter(|usage| usage.is_reported(all));
+        (accounts.collect(), totals.unresponsive)
     }
 
-    /// Returns what this host tells one that reports to it of all others.
+    /// Returns the usage of all hosts except the receiver, for a host that reports here.
     pub fn fleet_usage(
         &mut self,
         receiver: &str,
         all: bool,
         now: Duration,
     ) -> (Vec<AccountUsage>, UnresponsiveHosts) {
-        let mut sums = self.sums(UsageScope::Fleet, now);
-        let own = self.peers.get(receiver);
-        for told in &mut sums.accounts {
-            let Some(account) = own.and_then(|peer| peer.account(&told.account)) else {
+        let mut totals = self.totals(UsageScope::Fleet, now);
+        let receiver = self.peers.get(receiver);
+        for usage in &mut totals.accounts {
+            let Some(account) = receiver.and_then(|peer| peer.account(&usage.account)) else {
                 continue;
             };
-            told.total = (told.total - account.counted).max(0.0);
-            for demand in &account.told.demands {
-                subtract_demand(&mut told.demands, *demand);
+            usage.total = (usage.total - account.counted).max(0.0);
+            for demand in &account.reported.demands {
+                subtract_demand(&mut usage.demands, *demand);
             }
         }
-        let wanted = sums.accounts.into_iter();
-        let accounts = wanted.filter(|told| told.is_reported(all));
-        (accounts.collect(), sums.unresponsive)
+        let reported = totals.accounts.into_iter();
+        let accounts = reported.filter(|usage| usage.is_reported(all));
+        (accounts.collect(), totals.unresponsive)
     }
 
-    /// Notes which hosts nobody has seen lately: those of a peer that fell silent may
-    /// report elsewhere. `unseen_for` says for how long a host was not seen, and
-    /// `unseen_part` which part of all hosts was not.
+    /// Updates which hosts of unresponsive peers are really unseen: they may be reporting to
+    /// another leader. `time_since_seen` returns the age of a host's last heartbeat, and
+    /// `unseen_share` is the fraction of all hosts without a recent one.
     pub fn set_unseen_hosts(
         &mut self,
         time_since_seen: impl Fn(u32) -> Option<Duration>,
-        unseen_part: f64,
+        unseen_share: f64,
         now: Duration,
     ) {
         for (_, peer) in self.peers.iter_mut() {
-            if !peer.is_silent(now) || !self.grouped {
+            if !peer.is_unresponsive(now) || !self.grouped {
                 peer.unseen = 1.0;
             } else if peer.scope == UsageScope::Fleet {
-                peer.unseen = unseen_part;
+                peer.unseen = unseen_share;
             } else if !peer.covered.is_empty() {
                 let is_unseen =
-                    |host: &&u32| time_since_seen(**host).is_none_or(|age| age > SIGHTING_BOUND);
+                    |host: &&u32| time_since_seen(**host).is_none_or(|age| age > HEARTBEAT_TIMEOUT);
                 let unseen = peer.covered.iter().filter(is_unseen).count();
                 peer.unseen = unseen as f64 / peer.covered.len() as f64;
             }
         }
     }
 
-    /// Takes what a peer told of itself in its present life of `age`.
+    /// Applies the usage that a host reported about itself; `uptime` is the time since it
+    /// started.
     pub fn record_host_usage(
         &mut self,
         host: HostName,
@@ -280,7 +287,7 @@
         self.record_report(host, UsageReport::of_host(incarnation, uptime, usage), now);
     }
 
-    /// Takes a peer's report.
+    /// Applies a peer's report.
     pub fn record_report(&mut self, host: HostName, report: UsageReport, now: Duration) {
         let UsageReport {
             incarnation,
@@ -288,60 +295,64 @@
             ..
         } = report;
         let known = self.peers.remove(&host);
-        let same_life = known
+        let same_incarnation = known
             .as_ref()
             .filter(|peer| peer.incarnation == incarnation && peer.scope == report.scope);
-        // Another report has told of it before.
-        let is_known_otherwise = (self.grouped || self.has_just_regrouped(now))
-            && same_life.is_none()
-            && uptime > SILENCE_BOUND
-            && now.saturating_sub(self.born) > SILENCE_BOUND;
-        let direct = report.scope == UsageScope::Host;
-        self.drop_covered(report.scope);
+        // The usage is already counted from another peer's report.
+        let is_already_counted = (self.grouped || self.has_just_regrouped(now))
+            && same_incarnation.is_none()
+            && uptime > REPORT_TIMEOUT
+            && now.saturating_sub(self.started_at) > REPORT_TIMEOUT;
+        let is_direct = report.scope == UsageScope::Host;
+        self.remove_covered(report.scope);
         let mut accounts: Vec<PeerAccount> = Vec::with_capacity(report.accounts.len());
-        for told in report.accounts {
-            let before = known.as_ref().and_then(|peer| peer.account(&told.account));
-            let counted = same_life.and(before);
-            // Between two reports the later time counts: taken for evenly spent, a part of a
-            // sudden demand would leave the window before it does so in truth. Behind a
-            // silence, or at a host's first report, all of it can't have been spent just now.
-            let since = match same_life {
-                Some(peer) if peer.is_silent(now) => peer.heard,
-                None if uptime > SILENCE_BOUND => now.saturating_sub(uptime),
+        for reported in report.accounts {
+            let previous = known
+                .as_ref()
+                .and_then(|peer| peer.account(&reported.account));
+            let counted = same_incarnation.and(previous);
+            // Usage between two reports is counted at the time of the later one. If it were
+            // spread evenly, part of a surge would leave the window too early. After a gap,
+            // or in a host's first report, the usage cannot all be recent, so it is spread.
+            let since = match same_incarnation {
+                Some(peer) if peer.is_unresponsive(now) => peer.received_at,
+                None if uptime > REPORT_TIMEOUT => now.saturating_sub(uptime),
                 _ => now,
             };
             let window = self.tolerance.window;
-            let born = self.born;
+            let started_at = self.started_at;
             let state = self
                 .accounts
-                .get_or_insert_with(told.account.clone(), || AccountState::new(window, born));
-            let spent = told.total - counted.map_or(0.0, |before| before.told.total);
-            let spent = match is_known_otherwise {
+                .get_or_insert_with(reported.account.clone(), || {
+                    AccountState::new(window, started_at)
+                });
+            let used = reported.total - counted.map_or(0.0, |previous| previous.reported.total);
+            let used = match is_already_counted {
                 true => 0.0,
-                false => spent.max(0.0),
+                false => used.max(0.0),
             };
-            state.take_spent(spent, since, born, now);
-            match direct {
-                true => state.direct_total += spent,
-                false => state.relayed_total += spent,
+            state.add_peer_usage(used, since, started_at, now);
+            match is_direct {
+                true => state.direct_total += used,
+                false => state.relayed_total += used,
             }
-            let part = state.take_demand(before, &told, now);
-            let counted = before.map_or(0.0, |before| before.counted) + spent;
+            let share = state.update_demand(previous, &reported, now);
+            let counted = previous.map_or(0.0, |previous| previous.counted) + used;
             accounts.push(PeerAccount {
-                told,
-                part,
+                reported,
+                share,
                 counted,
             });
         }
-        let untold = untold_of(known.as_ref(), &accounts);
-        for account in &untold {
-            if let Some(state) = self.accounts.get_mut(&account.told.account) {
-                state.told_demand = (state.told_demand - account.told.demand()).max(0.0);
+        let omitted = omitted_accounts(known.as_ref(), &accounts);
+        for account in &omitted {
+            if let Some(state) = self.accounts.get_mut(&account.reported.account) {
+                state.peer_demand = (state.peer_demand - account.reported.demand()).max(0.0);
             }
         }
-        if same_life.is_some() {
-            accounts.extend(untold.iter().map(PeerAccount::at_rest));
-            accounts.sort_by(|left, right| left.told.account.cmp(&right.told.account));
+        if same_incarnation.is_some() {
+            accounts.extend(omitted.iter().map(PeerAccount::without_demand));
+            accounts.sort_by(|left, right| left.reported.account.cmp(&right.reported.account));
         }
         let peer = PeerUsage {
             incarnation,
@@ -349,149 +360,156 @@
             covered: report.covered,
             hosts: report.hosts.max(1),
             unresponsive: report.unresponsive,
-            heard: now,
-            left: false,
+            received_at: now,
+            departed: false,
             unseen: 1.0,
             accounts,
         };
         self.peers.insert(host, peer);
     }
 
-    /// Drops the peers whose hosts a report of this scope covers: a leader's covers all
-    /// others, and what a leader told covers those that report here now.
-    fn drop_covered(&mut self, scope: UsageScope) {
-        self.drop_peers(|peer| scope == UsageScope::Fleet || peer.scope == UsageScope::Fleet);
+    /// Removes the reports that a report of this scope supersedes. A leader's report on the
+    /// fleet covers all other hosts; an earlier one covers the hosts that report here now.
+    fn remove_covered(&mut self, scope: UsageScope) {
+        self.remove_peers(|peer| scope == UsageScope::Fleet || peer.scope == UsageScope::Fleet);
     }
 
-    fn drop_peers(&mut self, is_dropped: impl Fn(&PeerUsage) -> bool) {
-        let dropped = self.peers.values().filter(|peer| is_dropped(peer));
-        for account in dropped.flat_map(|peer| &peer.accounts) {
-            if let Some(state) = self.accounts.get_mut(&account.told.account) {
-                state.told_demand = (state.told_demand - account.told.demand()).max(0.0);
+    fn remove_peers(&mut self, is_removed: impl Fn(&PeerUsage) -> bool) {
+        let removed = self.peers.values().filter(|peer| is_removed(peer));
+        for account in removed.flat_map(|peer| &peer.accounts) {
+            if let Some(state) = self.accounts.get_mut(&account.reported.account) {
+                state.peer_demand = (state.peer_demand - account.reported.demand()).max(0.0);
             }
         }
-        self.peers.retain(|_, peer| !is_dropped(peer));
+        self.peers.retain(|_, peer| !is_removed(peer));
     }
 
-    /// Tells whether hosts have begun to report by another way and may not have done so yet.
+    /// Returns whether the reporting path changed recently, so that some hosts may not have
+    /// reported over the new one yet.
     fn has_just_regrouped(&self, now: Duration) -> bool {
-        let regrouped = self.regrouped;
-        regrouped.is_some_and(|at| now.saturating_sub(at) < SIGHTING_BOUND)
+        let regrouped_at = self.regrouped_at;
+        regrouped_at.is_some_and(|at| now.saturating_sub(at) < HEARTBEAT_TIMEOUT)
     }
 
-    /// Notes that a host has left: it spends nothing any more. What it spent still
-    /// counts, and is not taken twice if it goes on telling until its end.
+    /// Marks a host that announced its shutdown: it will use no more quota. Its past usage
+    /// still counts, and is not counted twice if it keeps reporting until it stops.
     pub fn mark_departed(&mut self, host: &str) {
         if let Some(peer) = self.peers.get_mut(host) {
-            peer.left = true;
+            peer.departed = true;
         }
     }
 
-    /// Works out which part of each kind of an account's work is admitted.
-    fn make_plan(&mut self, name: &str, rate: QuotaRate, now: Duration) {
-        let silent = self.silent_parts(name, now);
-        let unheard = |over: Duration| -> f64 {
-            let spent = silent
+    /// Computes which fraction of each priority class of an account is admitted.
+    fn refresh_plan(&mut self, name: &str, rate: QuotaRate, now: Duration) {
+        let unresponsive = self.unresponsive_shares(name, now);
+        let estimated = |period: Duration| -> f64 {
+            let used = unresponsive
                 .iter()
-                .map(|(part, age)| part * over.min(*age).as_secs_f64());
-            spent.sum::<f64>() * rate.per_second
+                .map(|(share, age)| share * period.min(*age).as_secs_f64());
+            used.sum::<f64>() * rate.per_second
         };
         let Some(state) = self.accounts.get_mut(name) else {
             return;
         };
-        let left = state.window.left(rate, self.born, now, unheard);
+        let available = state
+            .window
+            .available(rate, self.started_at, now, estimated);
         let mut demands = state.demand.demands(now);
-        for peer in self.peers.values().filter(|peer| !peer.is_silent(now)) {
-            let told = peer.account(name).map(|account| &account.told.demands);
-            for demand in told.into_iter().flatten() {
+        for peer in self
+            .peers
+            .values()
+            .filter(|peer| !peer.is_unresponsive(now))
+        {
+            let reported = peer.account(name).map(|account| &account.reported.demands);
+            for demand in reported.into_iter().flatten() {
                 add_demand(&mut demands, *demand);
             }
         }
-        let silent: f64 = silent.iter().map(|(part, _)| part).sum();
-        let own_part = (1.0 - silent).max(0.0);
-        let available = rate.per_second * own_part + balance(left, rate);
-        state.plan = Some(SharePlan {
-            made: now,
-            left,
+        let unresponsive: f64 = unresponsive.iter().map(|(share, _)| share).sum();
+        let responsive = (1.0 - unresponsive).max(0.0);
+        let per_second = rate.per_second * responsive + rate_correction(available, rate);
+        state.plan = Some(AdmissionPlan {
+            created_at: now,
+            available,
             overdraft: rate.overdraft,
-            parts: share_by_priority(available, &demands),
+            fractions: share_by_priority(per_second, &demands),
             demands,
         });
     }
 
-    /// Returns the part of an account's work that silent hosts get, and for how long they
-    /// have been silent.
-    fn silent_parts(&self, name: &str, now: Duration) -> Vec<(f64, Duration)> {
+    /// Returns the shares of an account's requests that reach unresponsive hosts, each with
+    /// the time since their last report.
+    fn unresponsive_shares(&self, name: &str, now: Duration) -> Vec<(f64, Duration)> {
         let counted: usize = self
             .peers
             .values()
-            .filter(|peer| peer.counts(now))
+            .filter(|peer| peer.may_consume(now))
             .map(|peer| peer.hosts)
             .sum();
         let hosts = self.hosts.max(counted + 1) as f64;
-        let mut parts = self.silent_peer_parts(name, hosts, UsageScope::Fleet, now);
-        let unheard = self.hosts.saturating_sub(counted + 1) as f64;
-        if unheard > 0.0 && !self.has_just_regrouped(now) {
-            parts.push((unheard / hosts, now.saturating_sub(self.born)));
+        let mut shares = self.unresponsive_peer_shares(name, hosts, UsageScope::Fleet, now);
+        let unreported = self.hosts.saturating_sub(counted + 1) as f64;
+        if unreported > 0.0 && !self.has_just_regrouped(now) {
+            shares.push((unreported / hosts, now.saturating_sub(self.started_at)));
         }
-        parts
+        shares
     }
 
-    /// The same for those that peers of a scope tell of, where there are so many `hosts`.
-    fn silent_peer_parts(
+    /// Returns the same for the hosts that reports of a scope cover, in a fleet of `hosts`.
+    fn unresponsive_peer_shares(
         &self,
         name: &str,
         hosts: f64,
         scope: UsageScope,
         now: Duration,
     ) -> Vec<(f64, Duration)> {
-        let mut parts = Vec::new();
-        for peer in self.peers_of(scope).filter(|peer| peer.counts(now)) {
+        let mut shares = Vec::new();
+        for peer in self.peers_of(scope).filter(|peer| peer.may_consume(now)) {
             let account = peer.account(name);
-            if peer.is_silent(now) {
-                let asked = account.map_or(0.0, |account| account.part);
-                let even = EVEN_PART * peer.hosts as f64 / hosts;
-                let part = (even + (1.0 - EVEN_PART) * asked) * peer.unseen;
-                parts.push((part, now.saturating_sub(peer.heard)));
+            if peer.is_unresponsive(now) {
+                let demanded = account.map_or(0.0, |account| account.share);
+                let even = EVEN_FRACTION * peer.hosts as f64 / hosts;
+                let share = (even + (1.0 - EVEN_FRACTION) * demanded) * peer.unseen;
+                shares.push((share, now.saturating_sub(peer.received_at)));
             } else if peer.unresponsive.hosts > 0 {
-                let asked = account.map_or(0.0, |account| account.told.unresponsive_share);
-                let part = EVEN_PART * f64::from(peer.unresponsive.hosts) / hosts + asked;
-                parts.push((
-                    part,
+                let demanded = account.map_or(0.0, |account| account.reported.unresponsive_share);
+                let share = EVEN_FRACTION * f64::from(peer.unresponsive.hosts) / hosts + demanded;
+                shares.push((
+                    share,
                     Duration::from_millis(u64::from(peer.unresponsive.age_ms)),
                 ));
             }
         }
-        parts.retain(|(part, _)| *part > 0.0);
-        parts
+        shares.retain(|(share, _)| *share > 0.0);
+        shares
     }
 
-    /// Returns the peers whose reports go into one of this scope.
+    /// Returns the peers whose usage is included in a report of this scope.
     fn peers_of(&self, scope: UsageScope) -> impl Iterator<Item = &PeerUsage> {
         let peers = self.peers.values();
         peers.filter(move |peer| scope != UsageScope::Group || peer.scope == UsageScope::Host)
     }
 
-    /// Returns what is asked of this host and of the peers of a scope together.
-    fn sums(&mut self, scope: UsageScope, now: Duration) -> UsageSums {
-        let held = match scope {
-            UsageScope::Group => &self.group_sums,
-            UsageScope::Host | UsageScope::Fleet => &self.fleet_sums,
+    /// Returns the totals of this host and the peers of a scope.
+    fn totals(&mut self, scope: UsageScope, now: Duration) -> UsageTotals {
+        let cached = match scope {
+            UsageScope::Group => &self.group_totals,
+            UsageScope::Host | UsageScope::Fleet => &self.fleet_totals,
         };
-        if let Some(held) = held
-            && now.saturating_sub(held.made) < SUM_AGE
+        if let Some(cached) = cached
+            && now.saturating_sub(cached.computed_at) < TOTALS_TTL
         {
-            return held.clone();
+            return cached.clone();
         }
-        let sums = self.make_sums(scope, now);
+        let totals = self.compute_totals(scope, now);
         match scope {
-            UsageScope::Group => self.group_sums = Some(sums.clone()),
-            UsageScope::Host | UsageScope::Fleet => self.fleet_sums = Some(sums.clone()),
+            UsageScope::Group => self.group_totals = Some(totals.clone()),
+            UsageScope::Host | UsageScope::Fleet => self.fleet_totals = Some(totals.clone()),
         }
-        sums
+        totals
     }
 
-    fn make_sums(&mut self, scope: UsageScope, now: Duration) -> UsageSums {
+    fn compute_totals(&mut self, scope: UsageScope, now: Duration) -> UsageTotals {
         let mut accounts: Vec<AccountUsage> = self
             .accounts
             .iter_mut()
@@ -509,9 +527,9 @@
             .collect();
         let hosts = self.hosts.max(1) as f64;
         let mut unresponsive = UnresponsiveHosts::default();
-        for peer in self.peers_of(scope).filter(|peer| peer.counts(now)) {
-            if peer.is_silent(now) {
-                let age = now.saturating_sub(peer.heard).as_millis() as u32;
+        for peer in self.peers_of(scope).filter(|peer| peer.may_consume(now)) {
+            if peer.is_unresponsive(now) {
+                let age = now.saturating_sub(peer.received_at).as_millis() as u32;
                 unresponsive.hosts += (peer.hosts as f64 * peer.unseen).round() as u16;
                 unresponsive.age_ms = unresponsive.age_ms.max(age);
             } else {
@@ -519,20 +537,26 @@
                 unresponsive.age_ms = unresponsive.age_ms.max(peer.unresponsive.age_ms);
             }
         }
-        for sum in &mut accounts {
-            for peer in self.peers_of(scope).filter(|peer| !peer.is_silent(now)) {
-                let told = peer.account(&sum.account);
-                for demand in told.into_iter().flat_map(|account| &account.told.demands) {
-                    add_demand(&mut sum.demands, *demand);
+        for total in &mut accounts {
+            for peer in self
+                .peers_of(scope)
+                .filter(|peer| !peer.is_unresponsive(now))
+            {
+                let reported = peer.account(&total.account);
+                for demand in reported
+                    .into_iter()
+                    .flat_map(|account| &account.reported.demands)
+                {
+                    add_demand(&mut total.demands, *demand);
                 }
             }
-            let parts = self.silent_peer_parts(&sum.account, hosts, scope, now);
-            let even = EVEN_PART * f64::from(unresponsive.hosts) / hosts;
-            let all: f64 = parts.iter().map(|(part, _)| part).sum();
-            sum.unresponsive_share = (all - even).max(0.0);
+            let shares = self.unresponsive_peer_shares(&total.account, hosts, scope, now);
+            let even = EVEN_FRACTION * f64::from(unresponsive.hosts) / hosts;
+            let all: f64 = shares.iter().map(|(share, _)| share).sum();
+            total.unresponsive_share = (all - even).max(0.0);
         }
-        UsageSums {
-            made: now,
+        UsageTotals {
+            computed_at: now,
             accounts,
             unresponsive,
         }
@@ -540,85 +564,86 @@
 }
 
 impl AccountState {
-    fn new(window: Duration, born: Duration) -> Self {
+    fn new(window: Duration, started_at: Duration) -> Self {
         Self {
             window: UsageWindow::new(window),
-            demand: DemandTrack::new(born),
+            demand: DemandTracker::new(started_at),
             own_total: 0.0,
             direct_total: 0.0,
             relayed_total: 0.0,
-            told_demand: 0.0,
-            phase: None,
+            peer_demand: 0.0,
+            allowance: None,
             plan: None,
         }
     }
 
     fn try_consume(&mut self, request: QuotaRequest, now: Duration, spread: f64) -> QuotaDecision {
         if let Some(plan) = &mut self.plan {
-            let enough = plan.left + plan.overdraft >= request.cost;
-            if !enough || spread >= plan.part(request.priority_class) {
+            let has_quota = plan.available + plan.overdraft >= request.cost;
+            if !has_quota || spread >= plan.fraction(request.priority_class) {
                 return QuotaDecision::Rejected;
             }
-            plan.left -= request.cost;
+            plan.available -= request.cost;
         }
         self.window.add(request.cost, now);
         self.own_total += request.cost;
         QuotaDecision::Admitted
     }
 
-    /// Counts what a peer spent since `since`, as far as it lies in this host's life.
-    fn take_spent(&mut self, spent: f64, since: Duration, born: Duration, now: Duration) {
-        if since >= born {
-            return self.window.add_since(spent, since, now);
+    /// Adds a peer's usage since `since`, limited to the part after this host started.
+    fn add_peer_usage(&mut self, used: f64, since: Duration, started_at: Duration, now: Duration) {
+        if since >= started_at {
+            return self.window.add_since(used, since, now);
         }
         let length = now.saturating_sub(since).as_secs_f64();
-        let lived = now.saturating_sub(born).as_secs_f64();
+        let uptime = now.saturating_sub(started_at).as_secs_f64();
         self.window
-            .add_since(spent * lived / length.max(0.001), born, now);
+            .add_since(used * uptime / length.max(0.001), started_at, now);
     }
 
-    /// Takes what is asked of a peer; returns its part of all that is asked.
-    fn take_demand(
+    /// Applies the demand that a peer reported; returns the peer's smoothed share of the
+    /// fleet's demand.
+    fn update_demand(
         &mut self,
-        before: Option<&PeerAccount>,
-        told: &AccountUsage,
+        previous: Option<&PeerAccount>,
+        reported: &AccountUsage,
         now: Duration,
     ) -> f64 {
-        let asked = told.demand();
-        let asked_before = before.map_or(0.0, |before| before.told.demand());
-        self.told_demand = (self.told_demand + asked - asked_before).max(0.0);
+        let demand = reported.demand();
+        let previous_demand = previous.map_or(0.0, |previous| previous.reported.demand());
+        self.peer_demand = (self.peer_demand + demand - previous_demand).max(0.0);
         let own: f64 = self
             .demand
             .demands(now)
             .iter()
             .map(|demand| demand.per_second)
             .sum();
-        let part = asked / (self.told_demand + own).max(1.0);
-        match before {
-            Some(before) => before.part + PART_WEIGHT * (part - before.part),
-            None => part,
+        let share = demand / (self.peer_demand + own).max(1.0);
+        match previous {
+            Some(previous) => previous.share + SHARE_SMOOTHING * (share - previous.share),
+            None => share,
         }
     }
 }
 
-impl SharePlan {
-    /// Returns the part of a kind that is admitted, 0 to 1.
-    fn part(&self, priority_class: PriorityClass) -> f64 {
+impl AdmissionPlan {
+    /// Returns the admitted fraction of a priority class, 0 to 1.
+    fn fraction(&self, priority_class: PriorityClass) -> f64 {
         let found = self
             .demands
             .binary_search_by_key(&priority_class, |demand| demand.priority_class);
-        // Nothing of the kind was asked for lately: it is not what asks too much.
-        found.map_or(1.0, |index| self.parts[index])
+        // A class without recent demand is not what exceeds the quota.
+        found.map_or(1.0, |index| self.fractions[index])
     }
 }
 
-/// Returns how much more than the rate may be admitted now, in tokens a second; below 0
-/// where it is less.
-fn balance(left: f64, rate: QuotaRate) -> f64 {
-    let surplus = left - rate.reserved;
+/// Returns the correction to the admission rate, in tokens per second: positive if quota is
+/// left above the reserve, negative otherwise.
+fn rate_correction(available: f64, rate: QuotaRate) -> f64 {
+    let surplus = available - rate.reserved;
     let time = match surplus > 0.0 {
         true => SURPLUS_TIME,
-        false => BALANCE_TIME,
+        false => DEFICIT_TIME,
     };
     surplus / time.as_secs_f64()
 }
--- a/src/quota/quota_tolerance.rs
+++ b/src/quota/quota_tolerance.rs
@@ -1,107 +1,110 @@
-//! How much all hosts together may admit of an account's work.
+//! Fleet-wide admission rate of an account, with tolerance.
 
 use std::time::Duration;
 
 use crate::catalog::TokenRate;
 
-/// The share of what the tolerance permits in a window that hosts use together. The
-/// rest covers what they admitted before they hear of each other: an account that turns
-/// to eight times its usual load keeps its window also where 300 hosts hear each
-/// other once a second.
-const USED_SHARE: f64 = 0.92;
-/// The part of that which may come at once; the rest of it comes evenly over the
-/// window. An account that could use up a window at once took all engines for a
-/// second, and was then refused nearly everything until the window had passed.
-const AT_ONCE_SHARE: f64 = 0.1;
-/// The part of what may come at once that is given out by urgency only.
-const RESERVED_SHARE: f64 = 0.5;
+/// Fraction of the tolerated amount per window that hosts plan to use. The rest covers
+/// requests admitted before reports arrive: it keeps an account within its window when its
+/// load rises to eight times the usual and 300 hosts exchange reports once a second.
+const USABLE_FRACTION: f64 = 0.92;
+/// Fraction of the usable amount that may be admitted as a burst; the rest accrues evenly
+/// over the window. An account that could use a whole window in one burst would occupy all
+/// engines for a second and then have nearly everything rejected until the window had passed.
+const BURST_FRACTION: f64 = 0.1;
+/// Fraction of the burst that is admitted by priority only.
+const RESERVED_FRACTION: f64 = 0.5;
 
-/// How far all hosts together may go beyond an allowance.
+/// How far the fleet may exceed a quota.
 ///
-/// Without it accounts that ask just what they may are refused now and then: what
-/// peers tell comes late, and an account's requests come in clumps.
+/// Without it, accounts that request exactly their quota are rejected occasionally, since
+/// peer reports arrive late and requests arrive in bursts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTolerance {
-    /// The window over which spending is counted.
+    /// Window over which usage is counted.
     pub window: Duration,
-    /// A share of the rate and the burst.
+    /// Fraction of the rate and the burst by which they may be exceeded.
     pub overage: f64,
-    /// A fixed amount in a window.
+    /// Fixed additional amount per window.
     pub slack: f64,
 }
 
-/// What may be admitted of one account's work over any time: so much at once, and so
-/// much more for each second.
+/// Token-bucket parameters of one account: a burst, and a refill rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct QuotaRate {
     pub(super) per_second: f64,
-    pub(super) at_once: f64,
-    /// Below this the most urgent work goes first.
+    pub(super) burst: f64,
+    /// Remaining amount below which requests are admitted by priority.
     pub(super) reserved: f64,
-    /// By how much a request may go beyond what is left.
+    /// Amount by which a request may exceed what remains.
     pub(super) overdraft: f64,
 }
 
 impl QuotaTolerance {
-    /// Returns what may be admitted of an allowance.
-    pub(super) fn spend_rate(self, allowance: TokenRate) -> QuotaRate {
+    /// Returns the admission rate for an allowance.
+    pub(super) fn quota_rate(self, allowance: TokenRate) -> QuotaRate {
         if self.overage <= 0.0 {
             return QuotaRate {
                 per_second: allowance.per_second,
-                at_once: allowance.burst,
+                burst: allowance.burst,
                 reserved: 0.0,
                 overdraft: 0.0,
             };
         }
         let seconds = self.window.as_secs_f64().max(0.001);
-        let worth = allowance.per_second * seconds + allowance.burst;
-        let bound = worth * (1.0 + self.overage) + self.slack;
-        let used = bound * USED_SHARE;
-        let at_once = used * AT_ONCE_SHARE;
+        let nominal = allowance.per_second * seconds + allowance.burst;
+        let limit = nominal * (1.0 + self.overage) + self.slack;
+        let usable = limit * USABLE_FRACTION;
+        let burst = usable * BURST_FRACTION;
         QuotaRate {
-            per_second: (used - at_once) / seconds,
-            at_once,
-            reserved: at_once * RESERVED_SHARE,
-            overdraft: bound - used,
+            per_second: (usable - burst) / seconds,
+            burst,
+            reserved: burst * RESERVED_FRACTION,
+            overdraft: limit - usable,
         }
     }
 }
 
-/// An allowance that may have been lowered a moment ago.
+/// Allowance of an account, with a gradual transition after it was lowered.
 ///
-/// A lower allowance counts for the part of the window that lies behind the change:
-/// what was asked before it was within the one before, and an account that did as
-/// it was told must not be shut out for a whole window.
+/// The lower allowance applies to the part of the window after the change. Usage before it
+/// was within the previous allowance, and a compliant account must not be rejected for a
+/// whole window.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PhasedAllowance {
-    present: TokenRate,
-    before: TokenRate,
-    changed: Duration,
+pub(super) struct AllowanceTransition {
+    current: TokenRate,
+    previous: TokenRate,
+    changed_at: Duration,
 }
 
-impl PhasedAllowance {
-    /// Starts with an allowance that has been in force for long.
+impl AllowanceTransition {
+    /// Starts with an allowance that did not change recently.
     pub(super) const fn new(allowance: TokenRate) -> Self {
         Self {
-            present: allowance,
-            before: allowance,
-            changed: Duration::ZERO,
+            current: allowance,
+            previous: allowance,
+            changed_at: Duration::ZERO,
         }
     }
 
-    /// Returns what counts now, where `wanted` is the allowance in force.
-    pub(super) fn now(&mut self, wanted: TokenRate, window: Duration, now: Duration) -> TokenRate {
-        if wanted != self.present {
-            self.before = self.present;
-            self.present = wanted;
-            self.changed = now;
+    /// Returns the effective allowance, where `configured` is the one in the catalog.
+    pub(super) fn effective(
+        &mut self,
+        configured: TokenRate,
+        window: Duration,
+        now: Duration,
+    ) -> TokenRate {
+        if configured != self.current {
+            self.previous = self.current;
+            self.current = configured;
+            self.changed_at = now;
         }
-        let passed = now.saturating_sub(self.changed).as_secs_f64();
-        let share = (1.0 - passed / window.as_secs_f64().max(0.001)).max(0.0);
-        let blend = |before: f64, present: f64| present + (before - present).max(0.0) * share;
+        let elapsed = now.saturating_sub(self.changed_at).as_secs_f64();
+        let weight = (1.0 - elapsed / window.as_secs_f64().max(0.001)).max(0.0);
+        let blend = |previous: f64, current: f64| current + (previous - current).max(0.0) * weight;
         TokenRate {
-            per_second: blend(self.before.per_second, self.present.per_second),
-            burst: blend(self.before.burst, self.present.burst),
+            per_second: blend(self.previous.per_second, self.current.per_second),
+            burst: blend(self.previous.burst, self.current.burst),
         }
     }
 }
--- a/src/quota/usage_window.rs
+++ b/src/quota/usage_window.rs
@@ -1,103 +1,105 @@
-//! What was spent over the last window, by when.
+//! Usage over the last window, by time.
 
 use std::time::Duration;
 
 use super::quota_tolerance::QuotaRate;
 
-/// In how many parts a window is counted.
-const WINDOW_PARTS: usize = 16;
+/// Number of buckets per window.
+const WINDOW_BUCKETS: usize = 16;
 
-/// What was spent over the last window, in parts of it.
+/// Usage over the last window, in buckets.
 ///
-/// What is left of an allowance is worked out anew from what was spent and when, and
-/// not carried along as a level. Hosts that hear the same words so come to the same
-/// result. A level that each host filled, drew from and bounded for itself drifted
-/// apart: the one that stood highest admitted all that an account sent, and the
-/// callers of all other hosts were refused for as long as the account asked too much.
+/// The remaining quota is computed from the usage history each time rather than kept as a
+/// running level, so hosts that receive the same reports reach the same result. Levels
+/// that each host refilled, drained and capped separately would drift apart: the host with
+/// the highest level would admit everything an account sends, and clients of all other
+/// hosts would be rejected for as long as the account exceeds its quota.
 #[derive(Clone, Debug)]
 pub(super) struct UsageWindow {
-    /// How long one part is.
-    part: Duration,
-    /// The number of the newest part, counted from the start of the clock.
+    /// Length of one bucket.
+    bucket: Duration,
+    /// Number of the newest bucket, counted from the start of the clock.
     newest: u64,
-    /// What was spent in each part, the newest last.
-    spent: [f64; WINDOW_PARTS],
+    /// Usage in each bucket, the newest last.
+    used: [f64; WINDOW_BUCKETS],
 }
 
 impl UsageWindow {
-    /// Makes a window of this length in which nothing was spent.
+    /// Creates a window of this length without usage.
     pub(super) fn new(window: Duration) -> Self {
         Self {
-            part: (window / WINDOW_PARTS as u32).max(Duration::from_millis(1)),
+            bucket: (window / WINDOW_BUCKETS as u32).max(Duration::from_millis(1)),
             newest: 0,
-            spent: [0.0; WINDOW_PARTS],
+            used: [0.0; WINDOW_BUCKETS],
         }
     }
 
-    /// Counts what is spent now.
+    /// Adds usage at the current time.
     pub(super) fn add(&mut self, amount: f64, now: Duration) {
         self.advance(now);
-        self.spent[WINDOW_PARTS - 1] += amount;
+        self.used[WINDOW_BUCKETS - 1] += amount;
     }
 
-    /// Counts what was spent evenly since `from`.
+    /// Adds usage spread evenly over the time since `from`.
     pub(super) fn add_since(&mut self, amount: f64, from: Duration, now: Duration) {
         self.advance(now);
         let length = now.saturating_sub(from);
-        if length <= self.part {
-            self.spent[WINDOW_PARTS - 1] += amount;
+        if length <= self.bucket {
+            self.used[WINDOW_BUCKETS - 1] += amount;
             return;
         }
-        for back in 0..WINDOW_PARTS {
-            let end = now.min(self.part_start(back) + self.part);
-            let start = from.max(self.part_start(back));
+        for back in 0..WINDOW_BUCKETS {
+            let end = now.min(self.bucket_start(back) + self.bucket);
+            let start = from.max(self.bucket_start(back));
             let share = end.saturating_sub(start).as_secs_f64() / length.as_secs_f64();
-            self.spent[WINDOW_PARTS - 1 - back] += amount * share;
+            self.used[WINDOW_BUCKETS - 1 - back] += amount * share;
         }
     }
 
-    /// Returns what may be spent at once now: what is left over every time that ends
-    /// now and lies within the window; below 0 where too much was spent.
+    /// Returns the amount available now: the minimum over all periods that end now and lie
+    /// within the window. It is negative if too much was used.
     ///
-    /// `unheard` says what silent peers may have spent over the last so and so long. A
-    /// host that is younger than the window doesn't know what was spent before
-    /// it started, and assumes that no more was left than what goes by urgency.
-    pub(super) fn left(
+    /// `estimated` returns the possible usage of unresponsive peers over the given last
+    /// period. A host whose uptime is shorter than the window does not know the usage before
+    /// its start, and assumes that only the reserve was left then.
+    pub(super) fn available(
         &mut self,
         rate: QuotaRate,
-        born: Duration,
+        started_at: Duration,
         now: Duration,
-        unheard: impl Fn(Duration) -> f64,
+        estimated: impl Fn(Duration) -> f64,
     ) -> f64 {
         self.advance(now);
-        let age = now.saturating_sub(born);
-        let mut left = rate.at_once;
+        let uptime = now.saturating_sub(started_at);
+        let mut available = rate.burst;
         let mut sum = 0.0;
-        for back in 0..WINDOW_PARTS {
-            sum += self.spent[WINDOW_PARTS - 1 - back];
-            let over = now.saturating_sub(self.part_start(back));
-            if over >= age {
-                let earned = rate.reserved + rate.per_second * age.as_secs_f64();
-                return left.min(earned - sum - unheard(age));
+        for back in 0..WINDOW_BUCKETS {
+            sum += self.used[WINDOW_BUCKETS - 1 - back];
+            let period = now.saturating_sub(self.bucket_start(back));
+            if period >= uptime {
+                let accrued = rate.reserved + rate.per_second * uptime.as_secs_f64();
+                return available.min(accrued - sum - estimated(uptime));
             }
-            let earned = rate.at_once + rate.per_second * over.as_secs_f64();
-            left = left.min(earned - sum - unheard(over));
+            let accrued = rate.burst + rate.per_second * period.as_secs_f64();
+            available = available.min(accrued - sum - estimated(period));
         }
-        left
+        available
     }
 
-    /// Returns when a part began, `back` parts before the newest.
-    fn part_start(&self, back: usize) -> Duration {
+    /// Returns the start of the bucket that is `back` buckets before the newest.
+    fn bucket_start(&self, back: usize) -> Duration {
         let number = self.newest.saturating_sub(back as u64);
-        Duration::from_nanos(self.part.as_nanos() as u64 * number)
+        Duration::from_nanos(self.bucket.as_nanos() as u64 * number)
     }
 
-    /// Lets go of the parts that lie behind the window.
+    /// Moves the window forward and drops buckets that fall out of it.
     fn advance(&mut self, now: Duration) {
-        let number = (now.as_nanos() / self.part.as_nanos()) as u64;
-        let passed = number.saturating_sub(self.newest).min(WINDOW_PARTS as u64) as usize;
-        self.spent.rotate_left(passed);
-        self.spent[WINDOW_PARTS - passed..].fill(0.0);
+        let number = (now.as_nanos() / self.bucket.as_nanos()) as u64;
+        let shift = number
+            .saturating_sub(self.newest)
+            .min(WINDOW_BUCKETS as u64) as usize;
+        self.used.rotate_left(shift);
+        self.used[WINDOW_BUCKETS - shift..].fill(0.0);
         self.newest = self.newest.max(number);
     }
 }
