--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -320,18 +320,18 @@
                 _ => now,
             };
             let window = self.tolerance.window;
-            let started_at = self.started_at;
+            let start = self.started_at;
             let state = self
                 .accounts
                 .get_or_insert_with(reported.account.clone(), || {
-                    AccountState::new(window, started_at)
+                    AccountState::new(window, start)
                 });
             let used = reported.total - counted.map_or(0.0, |previous| previous.reported.total);
             let used = match is_already_counted {
                 true => 0.0,
                 false => used.max(0.0),
             };
-            state.add_peer_usage(used, since, started_at, now);
+            state.add_peer_usage(used, since, start, now);
             match is_direct {
                 true => state.direct_total += used,
                 false => state.relayed_total += used,
