--- a/src/quota/peer_usage.rs
+++ b/src/quota/peer_usage.rs
@@ -73,7 +73,7 @@
 /// An account in a peer's last report, with the peer's share of its requests.
 #[derive(Clone, Debug)]
 pub(super) struct PeerAccount {
-    pub(super) reported: AccountUsage,
+    pub(super) usage: AccountUsage,
     /// Smoothed share of the fleet's demand that arrives at this peer, 0 to 1.
     pub(super) share: f64,
     /// Usage of this peer that the local window already includes.
@@ -133,9 +133,9 @@
     /// Returns the account without demand; its total remains.
     pub(super) fn without_demand(&self) -> Self {
         Self {
-            reported: AccountUsage {
+            usage: AccountUsage {
                 demands: Vec::new(),
-                ..self.reported.clone()
+                ..self.usage.clone()
             },
             ..*self
         }
@@ -171,11 +171,11 @@
 ) -> Vec<PeerAccount> {
     let previous = previous.into_iter().flat_map(|peer| &peer.accounts);
     let omitted =
-        previous.filter(|account| find_account(accounts, &account.reported.account).is_none());
+        previous.filter(|account| find_account(accounts, &account.usage.account).is_none());
     omitted.cloned().collect()
 }
 
 fn find_account<'a>(accounts: &'a [PeerAccount], name: &str) -> Option<&'a PeerAccount> {
-    let found = accounts.binary_search_by(|account| account.reported.account.as_str().cmp(name));
+    let found = accounts.binary_search_by(|account| account.usage.account.as_str().cmp(name));
     found.ok().map(|index| &accounts[index])
 }
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use super::demand_tracker::DemandTracker;
-use super::demand_tracker::add_demand;
-use super::demand_tracker::subtract_demand;
+use super::demand_track::DemandTracker;
+use super::demand_track::add_demand;
+use super::demand_track::subtract_demand;
 use super::peer_usage::AccountUsage;
 use super::peer_usage::PeerAccount;
 use super::peer_usage::PeerUsage;
@@ -242,7 +242,7 @@
                 continue;
             };
             usage.total = (usage.total - account.counted).max(0.0);
-            for demand in &account.reported.demands {
+            for demand in &account.usage.demands {
                 subtract_demand(&mut usage.demands, *demand);
             }
         }
@@ -306,10 +306,8 @@
         let is_direct = report.scope == UsageScope::Host;
         self.remove_covered(report.scope);
         let mut accounts: Vec<PeerAccount> = Vec::with_capacity(report.accounts.len());
-        for reported in report.accounts {
-            let previous = known
-                .as_ref()
-                .and_then(|peer| peer.account(&reported.account));
+        for usage in report.accounts {
+            let previous = known.as_ref().and_then(|peer| peer.account(&usage.account));
             let counted = same_incarnation.and(previous);
             // Usage between two reports is counted at the time of the later one. If it were
             // spread evenly, part of a surge would leave the window too early. After a gap,
@@ -323,10 +321,8 @@
             let start = self.started_at;
             let state = self
                 .accounts
-                .get_or_insert_with(reported.account.clone(), || {
-                    AccountState::new(window, start)
-                });
-            let used = reported.total - counted.map_or(0.0, |previous| previous.reported.total);
+                .get_or_insert_with(usage.account.clone(), || AccountState::new(window, start));
+            let used = usage.total - counted.map_or(0.0, |previous| previous.usage.total);
             let used = match is_already_counted {
                 true => 0.0,
                 false => used.max(0.0),
@@ -336,23 +332,23 @@
                 true => state.direct_total += used,
                 false => state.relayed_total += used,
             }
-            let share = state.update_demand(previous, &reported, now);
+            let share = state.update_demand(previous, &usage, now);
             let counted = previous.map_or(0.0, |previous| previous.counted) + used;
             accounts.push(PeerAccount {
-                reported,
+                usage,
                 share,
                 counted,
             });
         }
         let omitted = omitted_accounts(known.as_ref(), &accounts);
         for account in &omitted {
-            if let Some(state) = self.accounts.get_mut(&account.reported.account) {
-                state.peer_demand = (state.peer_demand - account.reported.demand()).max(0.0);
+            if let Some(state) = self.accounts.get_mut(&account.usage.account) {
+                state.peer_demand = (state.peer_demand - account.usage.demand()).max(0.0);
             }
         }
         if same_incarnation.is_some() {
             accounts.extend(omitted.iter().map(PeerAccount::without_demand));
-            accounts.sort_by(|left, right| left.reported.account.cmp(&right.reported.account));
+            accounts.sort_by(|left, right| left.usage.account.cmp(&right.usage.account));
         }
         let peer = PeerUsage {
             incarnation,
@@ -377,8 +373,8 @@
     fn remove_peers(&mut self, is_removed: impl Fn(&PeerUsage) -> bool) {
         let removed = self.peers.values().filter(|peer| is_removed(peer));
         for account in removed.flat_map(|peer| &peer.accounts) {
-            if let Some(state) = self.accounts.get_mut(&account.reported.account) {
-                state.peer_demand = (state.peer_demand - account.reported.demand()).max(0.0);
+            if let Some(state) = self.accounts.get_mut(&account.usage.account) {
+                state.peer_demand = (state.peer_demand - account.usage.demand()).max(0.0);
             }
         }
         self.peers.retain(|_, peer| !is_removed(peer));
@@ -420,7 +416,7 @@
             .values()
             .filter(|peer| !peer.is_unresponsive(now))
         {
-            let reported = peer.account(name).map(|account| &account.reported.demands);
+            let reported = peer.account(name).map(|account| &account.usage.demands);
             for demand in reported.into_iter().flatten() {
                 add_demand(&mut demands, *demand);
             }
@@ -472,7 +468,7 @@
                 let share = (even + (1.0 - EVEN_FRACTION) * demanded) * peer.unseen;
                 shares.push((share, now.saturating_sub(peer.received_at)));
             } else if peer.unresponsive.hosts > 0 {
-                let demanded = account.map_or(0.0, |account| account.reported.unresponsive_share);
+                let demanded = account.map_or(0.0, |account| account.usage.unresponsive_share);
                 let share = EVEN_FRACTION * f64::from(peer.unresponsive.hosts) / hosts + demanded;
                 shares.push((
                     share,
@@ -545,7 +541,7 @@
                 let reported = peer.account(&total.account);
                 for demand in reported
                     .into_iter()
-                    .flat_map(|account| &account.reported.demands)
+                    .flat_map(|account| &account.usage.demands)
                 {
                     add_demand(&mut total.demands, *demand);
                 }
@@ -606,11 +602,11 @@
     fn update_demand(
         &mut self,
         previous: Option<&PeerAccount>,
-        reported: &AccountUsage,
+        usage: &AccountUsage,
         now: Duration,
     ) -> f64 {
-        let demand = reported.demand();
-        let previous_demand = previous.map_or(0.0, |previous| previous.reported.demand());
+        let demand = usage.demand();
+        let previous_demand = previous.map_or(0.0, |previous| previous.usage.demand());
         self.peer_demand = (self.peer_demand + demand - previous_demand).max(0.0);
         let own: f64 = self
             .demand
