--- a/src/members/gossip_message.rs
+++ b/src/members/gossip_message.rs
@@ -1,4 +1,4 @@
-//! What hosts send each other several times a second.
+//! Messages that hosts exchange several times per second.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 use crate::quota::UsageScope;
 use crate::view::ViewUpdate;
 
-/// A host's name in a few bytes.
+/// Hash of a host's name, used in place of the name to keep messages small.
 pub type HostHash = u32;
 
 /// Returns the hash of a host's name.
@@ -29,78 +29,79 @@
     xxh3_64(host.as_bytes()) as HostHash
 }
 
-/// What a host knows of another one.
+/// What a host knows about another host.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MemberRecord {
-    /// The host.
+    /// Name of the host.
     pub host: HostName,
     /// Its availability zone.
     pub availability_zone: ZoneName,
-    /// Where it takes its peers' calls.
+    /// Address at which it accepts calls of peers.
     pub address: SocketAddr,
-    /// The processor time that it has, in thousandths of a core.
+    /// CPU capacity in thousandths of a core.
     pub capacity: u32,
-    /// Its present life.
+    /// Its current incarnation.
     pub incarnation: IncarnationId,
-    /// How long ago it was last seen, in milliseconds.
+    /// Time since it was last seen, in milliseconds.
     pub age_ms: u32,
-    /// Whether it said that it leaves.
+    /// Whether it announced its shutdown.
     pub leaving: bool,
 }
 
-/// When a known host was last seen.
+/// Time since a known host was last seen.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HeartbeatAge {
-    /// The host.
+    /// Hash of the host's name.
     pub host: HostHash,
-    /// How long ago, in milliseconds.
+    /// Time since it was last seen, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a host sends a peer, in a call and in the answer to one.
+/// Message that a host sends to a peer, both as a call and as the answer to one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GossipMessage {
-    /// The host itself, aged 0.
+    /// The sender itself, with an age of 0.
     pub own: MemberRecord,
-    /// How long its present life has lasted, in milliseconds.
+    /// Time since the sender started, in milliseconds.
     pub uptime_ms: u64,
-    /// How many hosts it knows to serve, itself included.
+    /// Number of live hosts that it knows, including itself.
     pub hosts: u16,
-    /// Whether it has its place in a group, and reports to a leader or is one.
+    /// Whether it belongs to a group and reports to a leader or is one.
     pub grouped: bool,
     /// Some of the other hosts that it knows.
     pub members: Vec<MemberRecord>,
-    /// When hosts were last seen: those of its group between leaders, some of all others.
+    /// Heartbeat ages: between leaders those of the sender's group, otherwise some of all
+    /// other hosts.
     pub heartbeats: Vec<HeartbeatAge>,
-    /// The revision of the last change in its view of the fleet.
+    /// Revision of the last change in its view of the fleet.
     pub revision: StoreRevision,
-    /// The revision up to which that view is complete.
+    /// Revision up to which that view is complete.
     pub complete_revision: StoreRevision,
-    /// The version of the catalog in force there.
+    /// Version of the catalog in use.
     pub catalog: CatalogVersion,
-    /// The revision up to which that catalog is the newest one.
+    /// Revision up to which that catalog is known to be the newest.
     pub catalog_revision: StoreRevision,
-    /// How long ago the catalog was known to be the store's, in milliseconds. It counts
-    /// in an answer only: how long a call was on its way is not known.
+    /// Time since the catalog was known to match the store, in milliseconds. It is used only
+    /// from answers, since the transit time of a call is unknown.
     pub evidence_age_ms: Option<u64>,
-    /// The same of the whole view.
+    /// The same for the whole view.
     pub view_age_ms: Option<u64>,
-    /// Targets and evacuations that the caller's view lacks; in an answer only.
+    /// Targets and evacuations missing from the calling host's view; in answers only.
     pub update: Option<Box<ViewUpdate>>,
-    /// Whose usage and loads the message tells; `None` where it tells of neither.
+    /// Hosts whose usage and loads the message contains; `None` if it contains neither.
     pub scope: Option<UsageScope>,
-    /// What runs at targets; `None` between hosts that use others.
+    /// Load on targets; `None` if the receiver uses other targets.
     pub loads: Option<Vec<TargetLoad>>,
-    /// How many slots the sender wants; in a report to its leader.
+    /// Slots that the sender requests; in a report to its leader.
     pub slot_demands: Option<Vec<SlotDemand>>,
-    /// Which slots it may use, of pools that have too few for all; in the leader's answer.
+    /// Slots that the receiver may use in pools where slots are scarce; in a leader's answer.
     pub slot_grants: Vec<PoolGrants>,
-    /// What was admitted lately of each account's quota.
+    /// Recent quota usage by account.
     pub usage: Vec<AccountUsage>,
-    /// Hosts of the scope that are silent.
+    /// Unresponsive hosts within the scope.
     pub unresponsive: UnresponsiveHosts,
-    /// Limits that targets name, as far as they changed.
+    /// Changed request limits announced by targets.
     pub limits: Vec<TargetLimit>,
-    /// Requests that targets were lost to.
+    /// Requests during which targets crashed.
     pub poison: Vec<PoisonEntry>,
 }
--- a/src/members/gossip_schedule.rs
+++ b/src/members/gossip_schedule.rs
@@ -1,4 +1,4 @@
-//! Which peers to gossip with, and when.
+//! Timing of gossip calls to peers.
 
 use std::time::Duration;
 
@@ -7,73 +7,74 @@
 use crate::ids::HostName;
 use crate::sorted::SortedMap;
 
-/// Which loads a host runs: it rises with each change of them.
+/// Version of a host's loads; it increases with each change.
 pub type LoadVersion = u64;
 
-/// By how much longer the side that is not to call waits before it calls itself: its calls
-/// may get through where those of the other side don't.
-const OTHER_SIDE_FACTOR: f64 = 1.5;
-/// How long the side that doesn't call waits for a new member's call before it connects
-/// by itself: longer than a new member needs to be known.
-const FIRST_PATIENCE: Duration = Duration::from_millis(400);
-/// How long it waits for a member that has called before.
-const LINK_PATIENCE: Duration = Duration::from_millis(2500);
+/// Factor by which the passive side of a pair waits longer before it calls the other side:
+/// its calls may get through where those in the other direction do not.
+const PASSIVE_FACTOR: f64 = 1.5;
+/// How long the passive side waits for the first call of a new member before it connects
+/// itself. It is longer than a new member needs to become known.
+const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long it waits for a call of a member with earlier exchanges.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Which side of a pair calls.
+/// Which host of a pair starts the calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallInitiator {
-    /// This host, always: a member of a group calls its leader.
+    /// Always this host, as when a member calls its group's leader.
     Local,
-    /// One side, by the hash of both names: a pair uses one connection.
+    /// One host of the pair, chosen by the hash of both names so that a pair needs only one
+    /// connection.
     ByHash,
-    /// The side that did not call last. Only an answer says how old the view of the
-    /// platform is, so both sides must get some.
+    /// The host that did not make the previous call. Only answers carry a usable age of the
+    /// view, so both hosts must receive some.
     Alternating,
 }
 
 /// A peer to gossip with.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GossipPeer {
-    /// The peer.
+    /// Name of the peer.
     pub host: HostName,
-    /// How often, while the loads of this host change.
+    /// Call interval while the loads of this host change.
     pub active_interval: Duration,
-    /// How often otherwise.
+    /// Call interval otherwise.
     pub idle_interval: Duration,
-    /// Which side calls.
+    /// Which host starts the calls.
     pub initiator: CallInitiator,
     /// Whether it gets the loads of this host.
     pub sends_loads: bool,
 }
 
-/// A peer that is to be called now.
+/// A peer whose next call is due.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DuePeer {
-    /// The peer.
+    /// Name of the peer.
     pub host: HostName,
     /// Whether it gets the loads of this host.
     pub sends_loads: bool,
-    /// Whether nothing was exchanged with it before.
+    /// Whether there was no exchange with it before.
     pub is_first_exchange: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct PeerState {
-    /// When the last exchange started, or the peer was first known.
-    at: Duration,
-    /// The loads that it was sent, `None` before the first ones.
-    sent: Option<LoadVersion>,
-    /// Whether a call of this host is on its way.
-    running: bool,
-    /// Whether this host called last.
+    /// When the last exchange started, or when the peer became known.
+    started_at: Duration,
+    /// Version of the loads last sent to it; `None` before the first exchange.
+    sent_version: Option<LoadVersion>,
+    /// Whether a call of this host is in progress.
+    in_progress: bool,
+    /// Whether this host made the last call.
     called_last: bool,
-    /// Whether the peer is to be called as soon as possible.
+    /// Whether to call the peer as soon as possible.
     urgent: bool,
-    /// When the last exchange that succeeded started.
-    exchanged: Option<Duration>,
+    /// When the last successful exchange started.
+    last_success: Option<Duration>,
 }
 
-/// Which peers to gossip with, and when. One call serves both sides.
+/// Timing of gossip calls to peers. One call updates both hosts.
 #[derive(Debug)]
 pub struct GossipSchedule {
     own: HostName,
@@ -81,7 +82,7 @@
 }
 
 impl GossipSchedule {
-    /// Makes the schedule of this host.
+    /// Creates the schedule of host `own`.
     pub const fn new(own: HostName) -> Self {
         Self {
             own,
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Tells whether this host is the one of the pair that calls.
+    /// Returns whether this host starts the calls in a pair with `peer`, by the hash of both
+    /// names.
     pub fn calls_by_hash(&self, peer: &str) -> bool {
         let (low, high) = match self.own.as_str() < peer {
             true => (self.own.as_str(), peer),
@@ -99,8 +101,8 @@
         (low == self.own) == odd
     }
 
-    /// Returns the members of a full mesh to which a connection is kept up: those that this
-    /// host calls, and those that should have called and did not.
+    /// Returns the members of a full mesh to which a connection is maintained: those that this
+    /// host calls, and those whose call is overdue.
     pub fn wanted_connections<'a>(
         &mut self,
         members: impl Iterator<Item = &'a HostName>,
@@ -108,24 +110,25 @@
     ) -> Vec<HostName> {
         let wanted = members.filter(|host| {
             let peer = self.peer_state(host, now);
-            let patience = match peer.sent {
-                Some(_) => LINK_PATIENCE,
-                None => FIRST_PATIENCE,
+            let timeout = match peer.sent_version {
+                Some(_) => CALL_TIMEOUT,
+                None => FIRST_CALL_TIMEOUT,
             };
-            let overdue = now.saturating_sub(peer.at) >= patience;
+            let overdue = now.saturating_sub(peer.started_at) >= timeout;
             overdue || self.calls_by_hash(host)
         });
         wanted.cloned().collect()
     }
 
-    /// Returns the peers that are to be called now by a host that runs `loads`.
+    /// Returns the peers to call now, where `loads` is the current version of this host's
+    /// loads.
     pub fn due(&mut self, peers: &[GossipPeer], loads: LoadVersion, now: Duration) -> Vec<DuePeer> {
         let mut due = Vec::new();
         for peer in peers {
             let state = *self.peer_state(&peer.host, now);
-            let wait = match state.sent {
+            let interval = match state.sent_version {
                 None => Duration::ZERO,
-                Some(sent) if sent == loads => peer.idle_interval,
+                Some(version) if version == loads => peer.idle_interval,
                 Some(_) => peer.active_interval,
             };
             let calls = match peer.initiator {
@@ -133,78 +136,80 @@
                 CallInitiator::ByHash => self.calls_by_hash(&peer.host),
                 CallInitiator::Alternating => !state.called_last,
             };
-            let wait = match calls {
+            let interval = match calls {
                 _ if state.urgent => Duration::ZERO,
-                true => wait,
-                false => wait.mul_f64(OTHER_SIDE_FACTOR),
+                true => interval,
+                false => interval.mul_f64(PASSIVE_FACTOR),
             };
-            if !state.running && now.saturating_sub(state.at) >= wait {
+            if !state.in_progress && now.saturating_sub(state.started_at) >= interval {
                 due.push(DuePeer {
                     host: peer.host.clone(),
                     sends_loads: peer.sends_loads,
-                    is_first_exchange: state.sent.is_none(),
+                    is_first_exchange: state.sent_version.is_none(),
                 });
             }
         }
         due
     }
 
-    /// Tells whether nothing was exchanged with the peer before.
+    /// Returns whether there was no exchange with the peer before.
     pub fn is_new(&self, peer: &str) -> bool {
         let state = self.peers.get(peer);
-        state.is_none_or(|state| state.sent.is_none())
+        state.is_none_or(|state| state.sent_version.is_none())
     }
 
-    /// Notes that a call to the peer starts.
+    /// Records the start of a call to the peer.
     pub fn record_call_start(&mut self, peer: &str, now: Duration) {
         if let Some(state) = self.peers.get_mut(peer) {
-            state.running = true;
+            state.in_progress = true;
             state.called_last = true;
             state.urgent = false;
-            state.at = now;
+            state.started_at = now;
         }
     }
 
-    /// Notes that the call to the peer has ended, and the loads that it was sent if it
+    /// Records the end of a call to the peer, with the version of the loads sent if it
     /// answered.
     pub fn record_call_end(&mut self, peer: &str, sent: Option<LoadVersion>) {
         if let Some(state) = self.peers.get_mut(peer) {
-            state.running = false;
-            state.sent = sent.or(state.sent);
-            state.exchanged = sent.map_or(state.exchanged, |_| Some(state.at));
+            state.in_progress = false;
+            state.sent_version = sent.or(state.sent_version);
+            state.last_success = sent.map_or(state.last_success, |_| Some(state.started_at));
         }
     }
 
-    /// Notes that a call of the peer was answered, and the loads that it was sent.
+    /// Records that a call of the peer was answered, with the version of the loads sent.
     pub fn record_answered_call(&mut self, peer: &str, sent: LoadVersion, now: Duration) {
         let state = self.peer_state(peer, now);
-        // That the peer calls again shows that it got the answer before.
-        state.exchanged = state.sent.map(|_| state.at);
-        state.at = now;
+        // The new call shows that the peer received the previous answer.
+        state.last_success = state.sent_version.map(|_| state.started_at);
+        state.started_at = now;
         state.called_last = false;
-        state.sent = Some(sent);
+        state.sent_version = Some(sent);
     }
 
-    /// Returns when the last exchange started in which the peer got what this host tells.
+    /// Returns the start of the last exchange in which the peer received this host's message.
     pub fn last_exchange(&self, peer: &str) -> Option<Duration> {
-        self.peers.get(peer)?.exchanged
+        self.peers.get(peer)?.last_success
     }
 
-    /// Has a peer called as soon as possible: it knows more than this host.
+    /// Schedules a call to a peer as soon as possible, because it has newer data than this
+    /// host.
     pub fn expedite(&mut self, peer: &str) {
         if let Some(state) = self.peers.get_mut(peer) {
             state.urgent = true;
         }
     }
 
-    /// Has all peers called as soon as possible: this host knows more than they do.
+    /// Schedules calls to all peers as soon as possible, because this host has newer data than
+    /// they do.
     pub fn expedite_all(&mut self) {
         for (_, state) in self.peers.iter_mut() {
             state.urgent = true;
         }
     }
 
-    /// Forgets hosts that are no peers any more.
+    /// Removes hosts that are no longer peers.
     pub fn retain(&mut self, is_peer: impl Fn(&str) -> bool) {
         self.peers.retain(|host, _| is_peer(host));
     }
@@ -212,12 +217,12 @@
     fn peer_state(&mut self, host: &str, now: Duration) -> &mut PeerState {
         self.peers
             .get_or_insert_with(host.to_owned(), || PeerState {
-                at: now,
-                sent: None,
-                running: false,
+                started_at: now,
+                sent_version: None,
+                in_progress: false,
                 called_last: false,
                 urgent: false,
-                exchanged: None,
+                last_success: None,
             })
     }
 }
--- a/src/members/group_layout.rs
+++ b/src/members/group_layout.rs
@@ -1,4 +1,4 @@
-//! The groups in which a large fleet gossips.
+//! Gossip groups of a large fleet.
 
 use std::ops::Range;
 
@@ -7,57 +7,59 @@
 use crate::ids::HostName;
 use crate::ids::ZoneName;
 
-/// Up to how many hosts all of them gossip with each other.
+/// Largest number of hosts at which every host gossips with every other.
 const FULL_MESH_HOSTS: usize = 32;
-/// From how many on a fleet that gossips by groups goes on to do so: each change between
-/// the two ways takes seconds until all hosts have made it.
-const LEAST_GROUPED_HOSTS: usize = 24;
-/// How many hosts a group has. A leader exchanges with its members and with the leaders of
-/// all other groups, so the sum of both is least at the root of the fleet's size.
+/// Smallest number of hosts at which a fleet that already uses groups keeps them. The gap to
+/// [`FULL_MESH_HOSTS`] avoids frequent changes of mode, each of which takes seconds until
+/// all hosts have made it.
+const MIN_GROUPED_HOSTS: usize = 24;
+/// Number of hosts per group. A leader exchanges messages with its members and with the
+/// leaders of all other groups; the total is smallest when the group size is the square root
+/// of the fleet size.
 const GROUP_HOSTS: usize = 16;
 
-/// A host as far as the layout depends on it.
+/// Properties of a host that determine its place in the layout.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct LayoutHost {
     /// Its availability zone.
     pub availability_zone: ZoneName,
     /// Its name.
     pub host: HostName,
-    /// The processor time that it has, in thousandths of a core.
+    /// CPU capacity in thousandths of a core.
     pub capacity: u32,
 }
 
-/// Which share of a pool's targets a group prefers.
+/// Share of a pool's targets that a group prefers.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct GroupShare {
-    /// The group among all.
+    /// Index of the group.
     pub index: usize,
-    /// How many groups there are.
+    /// Number of groups.
     pub groups: usize,
-    /// The zones that have hosts, sorted.
+    /// Availability zones that contain hosts, sorted.
     pub zones: Vec<ZoneName>,
 }
 
-/// The groups of a fleet, as far as one host knows it.
+/// Groups of the fleet as known to one host.
 ///
-/// Hosts stand in the order of zones and names, and each group is a run of that order
-/// within one zone. A host that joins or leaves moves at most one host over each border.
+/// Hosts are sorted by zone and name, and each group is a consecutive range within one zone.
+/// A host that joins or leaves moves at most one host across each group boundary.
 #[derive(Clone, Debug, Default)]
 pub struct GroupLayout {
     hosts: Vec<LayoutHost>,
-    /// Where each group starts in `hosts`, and the end of the last one.
+    /// Start index of each group in `hosts`, followed by the end of the last group.
     starts: Vec<usize>,
     own_group: usize,
     grouped: bool,
 }
 
-/// Tells whether so many hosts gossip by groups, where they did or did not before.
-pub fn is_grouped(hosts: usize, before: bool) -> bool {
-    hosts > FULL_MESH_HOSTS || before && hosts >= LEAST_GROUPED_HOSTS
+/// Returns whether a fleet of this size uses groups, where `was_grouped` is the current mode.
+pub fn is_grouped(hosts: usize, was_grouped: bool) -> bool {
+    hosts > FULL_MESH_HOSTS || was_grouped && hosts >= MIN_GROUPED_HOSTS
 }
 
 impl GroupLayout {
-    /// Lays out the live hosts, `own` among them.
+    /// Divides the live hosts, including `own`, into groups.
     pub fn new(own: &LayoutHost, others: Vec<LayoutHost>, grouped: bool) -> Self {
         let mut hosts = others;
         hosts.push(own.clone());
@@ -82,28 +84,28 @@
         }
     }
 
-    /// Tells whether hosts gossip by groups; in a small fleet each does with all others.
+    /// Returns whether hosts gossip in groups rather than in a full mesh.
     pub const fn is_grouped(&self) -> bool {
         self.grouped
     }
 
-    /// Returns how many hosts there are.
+    /// Returns the number of hosts.
     pub fn host_count(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Returns how many groups there are.
+    /// Returns the number of groups.
     pub fn group_count(&self) -> usize {
         self.starts.len().saturating_sub(1)
     }
 
-    /// Returns the group of this host.
+    /// Returns the index of this host's group.
     pub const fn own_group(&self) -> usize {
         self.own_group
     }
 
-    /// Returns the hosts of a group, those first that should lead it. All hosts that know
-    /// the same ones agree on it.
+    /// Returns the hosts of a group by their preference as its leader. All hosts with the same
+    /// membership compute the same order.
     pub fn leader_candidates(&self, group: usize) -> Vec<&HostName> {
         let mut places: Vec<&LayoutHost> = self.hosts[self.range(group)].iter().collect();
         places.sort_by_key(|place| {
@@ -113,7 +115,7 @@
         places.into_iter().map(|place| &place.host).collect()
     }
 
-    /// Tells whether the group is the first of its zone.
+    /// Returns whether the group is the first of its zone.
     pub fn is_first_in_zone(&self, group: usize) -> bool {
         let start = self.starts[group];
         start == 0 || self.hosts[start - 1].availability_zone != self.hosts[start].availability_zone
--- a/src/members/member_table.rs
+++ b/src/members/member_table.rs
@@ -1,4 +1,4 @@
-//! The hosts that this one knows.
+//! Known hosts of the fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,25 +14,26 @@
 use crate::ids::ZoneName;
 use crate::sorted::SortedMap;
 
-/// How long a host may go unseen by anybody before it counts as dead. In a large fleet
-/// heartbeats are up to 3 s old, and a restart takes about a second.
-const DEATH_BOUND: Duration = Duration::from_secs(5);
-/// How many hosts that joined or changed a message names at most.
+/// Time without a heartbeat after which a host counts as dead. In a large fleet heartbeats
+/// are up to 3 s old, and a restart takes about a second.
+const DEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of joined or changed hosts in a message.
 const MAX_CHANGED_RECORDS: usize = 128;
-/// Within which a host counts as seen: heartbeats are passed on over two hops.
-const SEEN_BOUND: Duration = Duration::from_secs(3);
-/// How long a dead host is remembered: as long as a cut is likely to last, since
-/// nobody else may know its address when the cut heals.
-const DEAD_MEMORY: Duration = Duration::from_secs(120);
+/// Maximum heartbeat age of a host that counts as recently seen; heartbeats are relayed over
+/// two hops.
+const SEEN_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a dead host is remembered. It covers the likely duration of a network partition,
+/// since no other host may know its address when the partition ends.
+const DEAD_RETENTION: Duration = Duration::from_secs(120);
 
-/// How a member stands.
+/// Liveness of a member.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberState {
-    /// It was heard of lately.
+    /// It was seen recently.
     Live,
-    /// It said that it leaves.
+    /// It announced its shutdown.
     Leaving,
-    /// It has not been heard of for long.
+    /// It has not been seen for longer than the timeout.
     Dead,
 }
 
@@ -42,240 +43,253 @@
     address: SocketAddr,
     capacity: u32,
     incarnation: IncarnationId,
-    heard: Duration,
+    last_seen: Duration,
     leaving: bool,
-    /// When it joined, or started, or said that it leaves.
+    /// When it joined, restarted or announced its shutdown.
     changed_at: Duration,
 }
 
-/// The hosts that this one knows, without itself.
+/// Known hosts of the fleet, except this one.
 #[derive(Debug)]
 pub struct MemberTable {
     own: HostName,
-    rows: SortedMap<HostName, MemberEntry>,
+    entries: SortedMap<HostName, MemberEntry>,
     by_hash: SortedMap<HostHash, HostName>,
-    /// Whether the set of addresses changed since it was last asked for.
+    /// Whether the set of addresses changed since the last call of `take_changed`.
     changed: bool,
 }
 
 impl MemberTable {
-    /// Makes a table that knows nobody.
+    /// Creates an empty table for host `own`.
     pub fn new(own: HostName) -> Self {
         Self {
             own,
-            rows: SortedMap::new(),
+            entries: SortedMap::new(),
             by_hash: SortedMap::new(),
             changed: false,
         }
     }
 
-    /// Takes a note in.
+    /// Applies a record of a host.
     ///
-    /// The younger word wins. A new life of a host replaces the old one at once:
-    /// a host that was killed is back under its name before it counts as dead.
-    pub fn apply_record(&mut self, note: &MemberRecord, now: Duration) {
-        if note.host == self.own {
+    /// The more recent record wins. A new incarnation replaces the previous one immediately,
+    /// since a killed host returns under its name before the old incarnation counts as dead.
+    pub fn apply_record(&mut self, record: &MemberRecord, now: Duration) {
+        if record.host == self.own {
             return;
         }
-        let heard = now.saturating_sub(Duration::from_millis(u64::from(note.age_ms)));
-        if now.saturating_sub(heard) >= DEAD_MEMORY {
+        let last_seen = now.saturating_sub(Duration::from_millis(u64::from(record.age_ms)));
+        if now.saturating_sub(last_seen) >= DEAD_RETENTION {
             return;
         }
-        if let Some(held) = self.rows.get_mut(&note.host) {
-            if held.heard < heard {
-                self.changed |= held.address != note.address;
-                held.renew(note, heard, now);
+        if let Some(held) = self.entries.get_mut(&record.host) {
+            if held.last_seen < last_seen {
+                self.changed |= held.address != record.address;
+                held.update(record, last_seen, now);
             }
             return;
         }
-        let row = MemberEntry {
-            availability_zone: note.availability_zone.clone(),
-            address: note.address,
-            capacity: note.capacity,
-            incarnation: note.incarnation,
-            heard,
-            leaving: note.leaving,
+        let entry = MemberEntry {
+            availability_zone: record.availability_zone.clone(),
+            address: record.address,
+            capacity: record.capacity,
+            incarnation: record.incarnation,
+            last_seen,
+            leaving: record.leaving,
             changed_at: now,
         };
-        self.rows.insert(note.host.clone(), row);
+        self.entries.insert(record.host.clone(), entry);
         self.by_hash
-            .insert(hash_host(&note.host), note.host.clone());
+            .insert(hash_host(&record.host), record.host.clone());
         self.changed = true;
     }
 
-    /// Takes in when a host was last seen; one that is not known needs a note first.
-    pub fn apply_heartbeat(&mut self, sighting: HeartbeatAge, now: Duration) {
-        let seen = now.saturating_sub(Duration::from_millis(u64::from(sighting.age_ms)));
-        let host = self.by_hash.get(&sighting.host);
-        if let Some(row) = host.and_then(|host| self.rows.get_mut(host)) {
-            row.heard = row.heard.max(seen);
+    /// Applies a heartbeat age; it is ignored for hosts that are not known from a record.
+    pub fn apply_heartbeat(&mut self, heartbeat: HeartbeatAge, now: Duration) {
+        let last_seen = now.saturating_sub(Duration::from_millis(u64::from(heartbeat.age_ms)));
+        let host = self.by_hash.get(&heartbeat.host);
+        if let Some(entry) = host.and_then(|host| self.entries.get_mut(host)) {
+            entry.last_seen = entry.last_seen.max(last_seen);
         }
     }
 
-    /// Returns how long ago a host was last seen, by anybody; `None` for one that is not
-    /// known.
+    /// Returns the time since any host last saw this host; `None` if it is not known.
     pub fn time_since_seen(&self, host: HostHash, now: Duration) -> Option<Duration> {
-        let row = self.rows.get(self.by_hash.get(&host)?)?;
-        Some(now.saturating_sub(row.heard))
+        let entry = self.entries.get(self.by_hash.get(&host)?)?;
+        Some(now.saturating_sub(entry.last_seen))
     }
 
-    /// Returns `count` heartbeats of live hosts from the `skipped`th on, around.
+    /// Returns the heartbeat ages of `count` hosts starting at index `skipped`, wrapping around
+    /// and leaving out dead ones.
     pub fn heartbeats(&self, skipped: usize, count: usize, now: Duration) -> Vec<HeartbeatAge> {
-        let rows = self.live_rows(skipped, count, now);
-        rows.map(|(host, row)| HeartbeatAge {
-            host: hash_host(host),
-            age_ms: now.saturating_sub(row.heard).as_millis() as u32,
-        })
-        .collect()
+        let entries = self.live_entries(skipped, count, now);
+        entries
+            .map(|(host, entry)| HeartbeatAge {
+                host: hash_host(host),
+                age_ms: now.saturating_sub(entry.last_seen).as_millis() as u32,
+            })
+            .collect()
     }
 
-    /// Returns the live hosts as far as the layout of groups depends on them.
+    /// Returns the live hosts as input for the group layout.
     pub fn layout_hosts(&self, now: Duration) -> Vec<LayoutHost> {
-        let rows = self.rows.iter();
-        rows.filter(|(_, row)| row.state(now) == MemberState::Live)
-            .map(|(host, row)| LayoutHost {
-                availability_zone: row.availability_zone.clone(),
+        let entries = self.entries.iter();
+        entries
+            .filter(|(_, entry)| entry.state(now) == MemberState::Live)
+            .map(|(host, entry)| LayoutHost {
+                availability_zone: entry.availability_zone.clone(),
                 host: host.clone(),
-                capacity: row.capacity,
+                capacity: entry.capacity,
             })
             .collect()
     }
 
-    /// Returns how many other hosts serve now.
+    /// Returns the number of other live hosts.
     pub fn live_count(&self, now: Duration) -> usize {
-        let rows = self.rows.values();
-        rows.filter(|row| row.state(now) == MemberState::Live)
+        let entries = self.entries.values();
+        entries
+            .filter(|entry| entry.state(now) == MemberState::Live)
             .count()
     }
 
-    /// Returns how many other hosts somebody has seen lately.
+    /// Returns the number of other hosts that any host saw recently.
     pub fn recently_seen_count(&self, now: Duration) -> usize {
-        let rows = self.rows.values();
-        rows.filter(|row| now.saturating_sub(row.heard) <= SEEN_BOUND)
+        let entries = self.entries.values();
+        entries
+            .filter(|entry| now.saturating_sub(entry.last_seen) <= SEEN_TIMEOUT)
             .count()
     }
 
     /// Returns the address of a host.
     pub fn address_of(&self, host: &str) -> Option<SocketAddr> {
-        self.rows.get(host).map(|row| row.address)
+        self.entries.get(host).map(|entry| entry.address)
     }
 
-    /// Returns `count` dead hosts from the `skipped`th on, around.
+    /// Returns up to `count` dead hosts starting at index `skipped`, wrapping around.
     pub fn dead_names(&self, skipped: usize, count: usize, now: Duration) -> Vec<HostName> {
-        let rows = self.rows.iter();
-        let dead: Vec<&HostName> = rows
-            .filter(|(_, row)| row.state(now) == MemberState::Dead)
+        let entries = self.entries.iter();
+        let dead: Vec<&HostName> = entries
+            .filter(|(_, entry)| entry.state(now) == MemberState::Dead)
             .map(|(host, _)| host)
             .collect();
-        let around = dead.iter().cycle().skip(skipped % dead.len().max(1));
-        around
+        let wrapped = dead.iter().cycle().skip(skipped % dead.len().max(1));
+        wrapped
             .take(count.min(dead.len()))
             .map(|host| HostName::clone(host))
             .collect()
     }
 
-    /// Tells whether the set of addresses changed since this was last asked.
+    /// Returns whether the set of addresses changed since the last call, and resets this.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Forgets hosts that have been dead for long.
+    /// Removes hosts whose retention period has passed.
     pub fn remove_expired(&mut self, now: Duration) {
-        let before = self.rows.len();
-        self.rows
-            .retain(|_, row| now.saturating_sub(row.heard) < DEAD_MEMORY);
-        if self.rows.len() < before {
-            let rows = &self.rows;
-            self.by_hash.retain(|_, host| rows.contains_key(host));
+        let previous_len = self.entries.len();
+        self.entries
+            .retain(|_, entry| now.saturating_sub(entry.last_seen) < DEAD_RETENTION);
+        if self.entries.len() < previous_len {
+            let entries = &self.entries;
+            self.by_hash.retain(|_, host| entries.contains_key(host));
             self.changed = true;
         }
     }
 
-    /// Returns what to tell peers of the other hosts; dead ones are left out, or
-    /// hosts would bring them back to each other for ever.
+    /// Returns the records of all other hosts for peers. Dead hosts are left out, since hosts
+    /// would otherwise keep them alive for each other indefinitely.
     pub fn records(&self, now: Duration) -> Vec<MemberRecord> {
-        self.records_from(0, self.rows.len(), now)
+        self.records_from(0, self.entries.len(), now)
     }
 
-    /// Returns what to tell peers of `count` hosts from the `skipped`th on, around.
+    /// Returns the records of `count` hosts starting at index `skipped`, wrapping around and
+    /// leaving out dead ones.
     pub fn records_from(&self, skipped: usize, count: usize, now: Duration) -> Vec<MemberRecord> {
-        let rows = self.live_rows(skipped, count, now);
-        rows.map(|(host, row)| row.record(host, now)).collect()
+        let entries = self.live_entries(skipped, count, now);
+        entries
+            .map(|(host, entry)| entry.record(host, now))
+            .collect()
     }
 
-    /// Returns those that live of `count` hosts from the `skipped`th on, around.
-    fn live_rows(
+    /// Returns the entries of `count` hosts starting at index `skipped`, wrapping around and
+    /// leaving out dead ones.
+    fn live_entries(
         &self,
         skipped: usize,
         count: usize,
         now: Duration,
     ) -> impl Iterator<Item = (&HostName, &MemberEntry)> {
-        let hosts = self.rows.len();
-        let rows = self.rows.iter().cycle().skip(skipped % hosts.max(1));
-        rows.take(count.min(hosts))
-            .filter(move |(_, row)| now.saturating_sub(row.heard) < DEATH_BOUND)
+        let hosts = self.entries.len();
+        let entries = self.entries.iter().cycle().skip(skipped % hosts.max(1));
+        entries
+            .take(count.min(hosts))
+            .filter(move |(_, entry)| now.saturating_sub(entry.last_seen) < DEAD_TIMEOUT)
     }
 
-    /// Returns what to tell of hosts that joined or changed since then.
+    /// Returns the records of hosts that joined or changed since `since`.
     pub fn changed_records(&self, since: Duration, now: Duration) -> Vec<MemberRecord> {
-        let rows = self.rows.iter();
-        rows.filter(|(_, row)| row.changed_at >= since)
-            .filter(|(_, row)| now.saturating_sub(row.heard) < DEATH_BOUND)
+        let entries = self.entries.iter();
+        entries
+            .filter(|(_, entry)| entry.changed_at >= since)
+            .filter(|(_, entry)| now.saturating_sub(entry.last_seen) < DEAD_TIMEOUT)
             .take(MAX_CHANGED_RECORDS)
-            .map(|(host, row)| row.record(host, now))
+            .map(|(host, entry)| entry.record(host, now))
             .collect()
     }
 
-    /// Returns the names and addresses of all members, dead ones included: a cut
-    /// that heals must be noticed.
+    /// Returns the names and addresses of all members, including dead ones, so that the end of
+    /// a network partition is noticed.
     pub fn addresses(&self) -> Vec<(HostName, SocketAddr)> {
-        let rows = self.rows.iter();
-        rows.map(|(host, row)| (host.clone(), row.address))
+        let entries = self.entries.iter();
+        entries
+            .map(|(host, entry)| (host.clone(), entry.address))
             .collect()
     }
 
-    /// Returns how each member stands.
+    /// Returns the state of each member.
     pub fn states(&self, now: Duration) -> Vec<(HostName, MemberState)> {
-        let rows = self.rows.iter();
-        rows.map(|(host, row)| (host.clone(), row.state(now)))
+        let entries = self.entries.iter();
+        entries
+            .map(|(host, entry)| (host.clone(), entry.state(now)))
             .collect()
     }
 
-    /// Returns the names of the hosts that serve now, sorted.
+    /// Returns the names of the live hosts, sorted.
     pub fn live_names(&self, now: Duration) -> Vec<HostName> {
-        let rows = self.rows.iter();
-        rows.filter(|(_, row)| row.state(now) == MemberState::Live)
+        let entries = self.entries.iter();
+        entries
+            .filter(|(_, entry)| entry.state(now) == MemberState::Live)
             .map(|(host, _)| host.clone())
             .collect()
     }
 
-    /// Returns this host's place among all that there may be, in the order of their names.
+    /// Returns this host's position among all known hosts, in the order of their names.
     pub fn own_position(&self) -> HostPosition {
-        let others = self.rows.iter();
+        let others = self.entries.iter();
         HostPosition {
             index: others.filter(|(host, _)| **host < self.own).count(),
             hosts: self.size(),
         }
     }
 
-    /// Returns how many hosts there may be, this one included. Dead ones count:
-    /// they may serve callers behind a cut.
+    /// Returns the number of known hosts, including this one. Dead hosts count, since they may
+    /// be serving clients on the other side of a network partition.
     pub fn size(&self) -> usize {
-        self.rows.len() + 1
+        self.entries.len() + 1
     }
 }
 
 impl MemberEntry {
-    fn renew(&mut self, note: &MemberRecord, heard: Duration, now: Duration) {
-        if self.incarnation != note.incarnation || self.leaving != note.leaving {
+    fn update(&mut self, record: &MemberRecord, last_seen: Duration, now: Duration) {
+        if self.incarnation != record.incarnation || self.leaving != record.leaving {
             self.changed_at = now;
         }
-        self.availability_zone.clone_from(&note.availability_zone);
-        self.address = note.address;
-        self.capacity = note.capacity;
-        self.incarnation = note.incarnation;
-        self.heard = heard;
-        self.leaving = note.leaving;
+        self.availability_zone.clone_from(&record.availability_zone);
+        self.address = record.address;
+        self.capacity = record.capacity;
+        self.incarnation = record.incarnation;
+        self.last_seen = last_seen;
+        self.leaving = record.leaving;
     }
 
     fn record(&self, host: &HostName, now: Duration) -> MemberRecord {
@@ -285,14 +299,14 @@
             address: self.address,
             capacity: self.capacity,
             incarnation: self.incarnation,
-            age_ms: now.saturating_sub(self.heard).as_millis() as u32,
+            age_ms: now.saturating_sub(self.last_seen).as_millis() as u32,
             leaving: self.leaving,
         }
     }
 
     fn state(&self, now: Duration) -> MemberState {
-        match now.saturating_sub(self.heard) {
-            age if age >= DEATH_BOUND => MemberState::Dead,
+        match now.saturating_sub(self.last_seen) {
+            age if age >= DEAD_TIMEOUT => MemberState::Dead,
             _ if self.leaving => MemberState::Leaving,
             _ => MemberState::Live,
         }
--- a/src/members/mod.rs
+++ b/src/members/mod.rs
@@ -1,8 +1,9 @@
-//! Which hosts there are: learned from seeds, told on by every host.
+//! Fleet membership by gossip.
 //!
-//! There is no list of hosts to read. A host calls its seeds, learns of others and
-//! gossips with them. In a large fleet [`GroupLayout`] says with whom: members of a group
-//! report to its leader, leaders exchange sums. [`GossipSchedule`] says when.
+//! There is no central list of hosts. A host calls its seed nodes, learns about other hosts
+//! and gossips with them. In a large fleet, [`GroupLayout`] determines the peers: members of
+//! a group report to its leader, and leaders exchange totals. [`GossipSchedule`] determines
+//! when to call them.
 
 mod gossip_message;
 mod gossip_schedule;
