--- a/src/catalog/client_account.rs
+++ b/src/catalog/client_account.rs
@@ -1,4 +1,4 @@
-//! One client account: its keys and its allowance.
+//! Client accounts: keys and quotas.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,28 +6,28 @@
 use crate::ids::AccountName;
 use crate::ids::TierRank;
 
-/// How many tokens an account may use over all hosts.
+/// Number of tokens that an account may use over all hosts.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TokenRate {
-    /// Tokens a second.
+    /// Sustained rate in tokens per second.
     pub per_second: f64,
-    /// Tokens beyond that at once.
+    /// Additional tokens that may be used at once.
     pub burst: f64,
 }
 
-/// One client account.
+/// A client account.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClientAccount {
-    /// The account's name; targets are told it in place of the key.
+    /// Name of the account, which targets receive in place of the key.
     pub name: AccountName,
-    /// The keys by which its callers are known.
+    /// Keys that authenticate its clients.
     pub keys: Vec<String>,
-    /// The urgency of its requests in place of the route's.
+    /// Tier of its requests, overriding the route's tier.
     pub tier: Option<TierRank>,
-    /// What it may use; no bound when absent.
+    /// Quota of the account; `None` for unlimited use.
     pub allowance: Option<TokenRate>,
-    /// What a request counts that doesn't tell its tokens.
+    /// Tokens charged for a request that does not state its token usage.
     pub plain_tokens: u64,
-    /// Whether the allowance counts tokens; requests otherwise.
+    /// Whether the quota counts tokens rather than requests.
     pub counts_tokens: bool,
 }
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -1,7 +1,7 @@
-//! What operators configure of routes: where a request goes, for whom, how fast.
+//! Configured routes, target pools and client accounts.
 //!
-//! A [`RouteCatalog`] is one version of the whole, checked and compiled; it is
-//! replaced whole and never changed in place.
+//! A [`RouteCatalog`] is one validated and compiled version of the configuration. It is
+//! immutable; a new version replaces it as a whole.
 
 mod client_account;
 mod route_catalog;
--- a/src/catalog/route_catalog.rs
+++ b/src/catalog/route_catalog.rs
@@ -1,4 +1,4 @@
-//! One version of all routes, pools and accounts, with its indexes.
+//! One version of all routes, pools and accounts, with indexes.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::ids::CatalogVersion;
 use crate::peers::pack_value;
 
-/// What callers may send and how long they may take.
+/// Limits on client requests and connections.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallerLimits {
-    /// The largest head, in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// The largest body, in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// How long a head may take from its first byte.
+    /// Maximum time to receive a head, from its first byte.
     pub head_timeout: Duration,
-    /// How long a connection may stay idle between two requests.
+    /// Maximum idle time of a connection between two requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What holds until a configuration is known: the usual bounds of HTTP servers.
+    /// Returns the limits used until a configuration is known, which are common in HTTP servers.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
@@ -38,33 +38,33 @@
     }
 }
 
-/// The parts of a catalog as its source gives them, in any order.
+/// Contents of a catalog as read from its source, in any order.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CatalogParts {
-    /// The version; it only rises.
+    /// Version of the catalog, which only increases.
     pub version: CatalogVersion,
     /// All routes.
     pub routes: Vec<ServiceRoute>,
     /// All pools.
     pub pools: Vec<TargetPool>,
-    /// All accounts; none means that no request needs a key.
+    /// All accounts; if there are none, no request needs a key.
     pub accounts: Vec<ClientAccount>,
-    /// The bounds of callers.
+    /// Limits on client requests and connections.
     pub limits: CallerLimits,
 }
 
-/// One version of the whole.
+/// A compiled version of the catalog.
 #[derive(Clone, Debug)]
 pub struct RouteCatalog {
     parts: CatalogParts,
-    /// Each key with the place of its account, sorted by key.
+    /// Each key with the index of its account, sorted by key.
     keys: Vec<(String, usize)>,
-    /// The parts as peers get them, once one has asked.
+    /// Encoded contents for peers, created on the first request.
     encoded_parts: OnceLock<Bytes>,
 }
 
 impl RouteCatalog {
-    /// Sorts the parts and builds the indexes.
+    /// Sorts the contents and builds the indexes.
     pub fn compile(mut parts: CatalogParts) -> Self {
         parts
             .routes
@@ -91,22 +91,22 @@
         self.parts.version
     }
 
-    /// Returns the parts as a package for a peer that asks for them.
+    /// Returns the encoded contents for a peer that requests them.
     pub(crate) fn encoded_parts(&self) -> &Bytes {
         self.encoded_parts.get_or_init(|| pack_value(&self.parts))
     }
 
-    /// Returns the bounds of callers.
+    /// Returns the limits on client requests and connections.
     pub const fn limits(&self) -> CallerLimits {
         self.parts.limits
     }
 
-    /// Tells whether requests need a key unless their route is public.
+    /// Returns whether requests need a key unless their route is public.
     pub fn needs_keys(&self) -> bool {
         !self.parts.accounts.is_empty()
     }
 
-    /// Returns a pool.
+    /// Returns the pool of this name.
     pub fn find_pool(&self, name: &str) -> Option<&TargetPool> {
         let pools = &self.parts.pools;
         let index = pools
@@ -124,10 +124,10 @@
         Some(&self.parts.accounts[self.keys[index].1])
     }
 
-    /// Returns the route of `host` whose prefix is the longest that begins `path`.
+    /// Returns the route of `host` with the longest prefix that matches `path`.
     ///
-    /// Prefixes end with a slash, so each candidate is the path up to one of its
-    /// slashes; the longest is tried first.
+    /// Prefixes end with a slash, so each candidate is the path up to one of its slashes. The
+    /// longest candidate is tried first.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&ServiceRoute> {
         let routes = &self.parts.routes;
         let mut end = path.len();
--- a/src/catalog/service_route.rs
+++ b/src/catalog/service_route.rs
@@ -1,4 +1,4 @@
-//! One route: which requests it takes and how they are to be served.
+//! Routes: which requests they match and how these are served.
 
 use std::time::Duration;
 
@@ -8,72 +8,72 @@
 use crate::ids::PoolName;
 use crate::ids::TierRank;
 
-/// What may be repeated of a route's requests.
+/// How a route's requests may be retried and how they are answered.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum CallKind {
-    /// May run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// May run once at most.
+    /// The request may run at most once.
     NonIdempotent,
-    /// A stream of events that may run once at most.
+    /// The answer is an event stream, and the request may run at most once.
     Stream,
-    /// A stream of events that another target can go on with after the last event.
+    /// The answer is an event stream that another target can continue after the last event.
     ResumableStream,
 }
 
 impl CallKind {
-    /// Tells whether the answer is a stream of events.
+    /// Returns whether the answer is an event stream.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
-    /// Tells whether the request may run again after it may have run.
+    /// Returns whether the request may be sent again after it may have run.
     pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
-/// One of the pools among which a route's requests are split.
+/// A pool that receives part of a route's requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PoolShare {
-    /// The pool.
+    /// Name of the pool.
     pub pool: PoolName,
-    /// Its share, relative to the other shares of the route.
+    /// Its weight relative to the route's other pools.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceRoute {
-    /// The route's name.
+    /// Name of the route.
     pub name: String,
-    /// The `Host` that it takes, in lower case.
+    /// The `Host` header that it matches, in lower case.
     pub host: String,
-    /// The beginning of the path; starts and ends with a slash.
+    /// Path prefix that it matches; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// How its requests may be retried and how they are answered.
     pub kind: CallKind,
-    /// The longest time that a caller may be kept waiting.
+    /// Maximum time that a client may be kept waiting.
     pub timeout: Option<Duration>,
-    /// Within which the first event, or the whole answer, is worth the most.
+    /// Latency objective for the first event of a stream or for a complete answer.
     pub objective: Duration,
-    /// The longest pause between two events of a stream that is still in time.
+    /// Objective for the longest pause between two events of a stream.
     pub event_gap_objective: Option<Duration>,
-    /// How long callers wait for the first event before they give up, where that is
-    /// known to be shorter than their deadline.
+    /// Time after which clients give up waiting for the first event, if this is known to be
+    /// shorter than their deadline.
     pub abandon_timeout: Option<Duration>,
-    /// The urgency; 0 is the highest.
+    /// Priority tier; 0 is the most urgent.
     pub tier: TierRank,
-    /// To how many targets one request may be sent at most.
+    /// Maximum number of targets to which one request is sent.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
-    /// The pools and their shares; never empty.
+    /// Pools and their weights; never empty.
     pub shares: Vec<PoolShare>,
 }
 
 impl ServiceRoute {
-    /// Returns the pool for a request, by a number that is spread evenly.
+    /// Returns the pool for a request. `spread` is a uniformly distributed random number.
     pub fn pool_for(&self, spread: u64) -> &PoolName {
         let total: u64 = self
             .shares
--- a/src/catalog/target_pool.rs
+++ b/src/catalog/target_pool.rs
@@ -1,4 +1,4 @@
-//! One pool: the targets that serve the same work.
+//! Pools of interchangeable targets.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 
 use crate::ids::PoolName;
 
-/// One pool of targets.
+/// A pool of interchangeable targets.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TargetPool {
-    /// The pool's name.
+    /// Name of the pool.
     pub name: PoolName,
-    /// Whether its targets are model engines, which batch and stream.
+    /// Whether its targets are model engines, which batch requests and stream answers.
     pub engine: bool,
-    /// What its targets bear while they are cold; `None` where they are never cold.
+    /// Load limit of its targets while they are cold; `None` if they need no warm-up.
     pub cold_limit: Option<ColdLimit>,
 }
 
-/// What a cold target bears; it crashes at a rate well above.
+/// Load limit of a cold target, which crashes at rates far above it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ColdLimit {
-    /// Requests a second, over all hosts.
+    /// Requests per second, over all hosts.
     pub requests_per_second: f64,
-    /// How long a target stays cold after its start.
+    /// How long a target stays cold after it starts.
     pub duration: Duration,
 }
--- a/src/poison/mod.rs
+++ b/src/poison/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the targets that run them.
+//! Poison requests: requests that crash the targets that run them.
 
 mod poison_entry;
 mod poison_guard;
--- a/src/poison/poison_entry.rs
+++ b/src/poison/poison_entry.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of one suspect.
+//! State of one suspect request, as exchanged between hosts.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,14 +7,14 @@
 use crate::ids::TargetName;
 use crate::ids::UnixMillis;
 
-/// Stands for an account, a class and a body; alike on all hosts. A caller that
-/// sends a killing request again may give it a new id, but hardly a new body.
+/// Hash of a request's account, class and body, identical on all hosts. A client that sends a
+/// poison request again may give it a new id, but is unlikely to change the body.
 pub type RequestFingerprint = u64;
 
-/// Makes the fingerprint of a request.
+/// Computes the fingerprint of a request.
 pub fn fingerprint_request(account: &str, class: &str, body: &[u8]) -> RequestFingerprint {
     let mut hasher = Xxh3::new();
-    // The lengths keep "ab" + "c" apart from "a" + "bc".
+    // The length prefixes distinguish "ab" + "c" from "a" + "bc".
     hasher.update(&(account.len() as u64).to_le_bytes());
     hasher.update(account.as_bytes());
     hasher.update(&(class.len() as u64).to_le_bytes());
@@ -23,29 +23,29 @@
     hasher.digest()
 }
 
-/// One target that was lost while it ran the request.
+/// Loss of a target while it ran the request.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TargetLoss {
-    /// When, by the clock of the host that saw it.
+    /// Time of the loss, by the clock of the host that observed it.
     pub at: UnixMillis,
-    /// The target.
+    /// Name of the target.
     pub target: TargetName,
 }
 
-/// What is known of one suspect. Entries of two hosts merge to the same value
-/// in any order, so a lost or repeated digest does no harm.
+/// Known state of one suspect request. Merging entries of two hosts gives the same result in
+/// any order, so lost or repeated messages do no harm.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PoisonEntry {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// The targets that were lost, sorted.
+    /// Losses of targets, sorted.
     pub losses: Vec<TargetLoss>,
-    /// When a target last ran it to the end; losses up to then count no more.
+    /// When a target last completed the request; losses up to then no longer count.
     pub cleared: UnixMillis,
 }
 
 impl PoisonEntry {
-    /// Makes the entry of a request that no target was lost to.
+    /// Creates the entry of a request without losses.
     pub const fn new(fingerprint: RequestFingerprint) -> Self {
         Self {
             fingerprint,
@@ -54,15 +54,15 @@
         }
     }
 
-    /// Takes in what another host knows; returns whether that was news.
+    /// Merges the entry of another host; returns whether this changed anything.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let before = self.clone();
+        let previous = self.clone();
         self.losses.extend(other.losses.iter().cloned());
         self.losses.sort();
         self.losses.dedup();
         self.cleared = self.cleared.max(other.cleared);
         let cleared = self.cleared;
         self.losses.retain(|loss| loss.at > cleared);
-        *self != before
+        *self != previous
     }
 }
--- a/src/poison/poison_guard.rs
+++ b/src/poison/poison_guard.rs
@@ -1,4 +1,4 @@
-//! The suspects of one host, for requests that run at the same time.
+//! Concurrent access to the suspect requests of one host.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -15,39 +15,40 @@
 use crate::ids::TargetName;
 use crate::sorted::SortedMap;
 
-/// How often a suspect looks whether its target runs no other suspect.
-const POLL: Duration = Duration::from_millis(50);
+/// Interval at which a suspect checks whether its target is free of other suspects.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long changes are remembered for peers that were not sent them.
-const CHANGE_MEMORY: Duration = Duration::from_secs(6);
+/// How long changes are kept for peers that have not received them.
+const CHANGE_RETENTION: Duration = Duration::from_secs(6);
 
-/// The suspects of one host.
+/// Suspect requests of one host.
 #[derive(Debug, Default)]
 pub(crate) struct PoisonGuard {
     table: Mutex<PoisonTable>,
-    /// When an entry last changed here, on the boot clock.
-    changed: Mutex<SortedMap<RequestFingerprint, Duration>>,
+    /// When each entry last changed on this host, on the boot clock.
+    changed_at: Mutex<SortedMap<RequestFingerprint, Duration>>,
+    /// The suspect that runs on each target.
     running: Mutex<SortedMap<TargetName, RequestFingerprint>>,
 }
 
-/// Keeps other suspects off a target for as long as it lives.
+/// Exclusive access of one suspect to a target; released on drop.
 #[derive(Debug)]
-pub(crate) struct SuspectGuard<'d> {
-    desk: &'d PoisonGuard,
+pub(crate) struct SuspectGuard<'g> {
+    guard: &'g PoisonGuard,
     target: Option<TargetName>,
 }
 
 impl PoisonGuard {
-    /// Gives access to the table; never held over an await.
+    /// Locks the table. The lock must not be held across an await.
     pub(crate) fn table(&self) -> MutexGuard<'_, PoisonTable> {
         lock(&self.table)
     }
 
-    /// Waits until no other suspect runs on the target, or until `deadline` on
-    /// the boot clock; what is not suspected goes at once.
+    /// Waits until no other suspect runs on the target, or until `deadline` on the boot clock.
+    /// A request that is not suspect proceeds at once.
     ///
-    /// Two suspects that are lost together again could not be told apart, and
-    /// the innocent one would be refused with the other.
+    /// If two suspects ran on a target that crashed again, they could not be distinguished,
+    /// and the harmless one would be rejected with the other.
     pub(crate) async fn acquire_exclusive(
         &self,
         fingerprint: RequestFingerprint,
@@ -55,18 +56,18 @@
         deadline: Duration,
     ) -> SuspectGuard<'_> {
         if !self.table().is_suspect(fingerprint) {
-            return self.guard(None);
+            return self.suspect_guard(None);
         }
         while boot_now() < deadline {
-            if self.try_enter(fingerprint, target) {
-                return self.guard(Some(target.clone()));
+            if self.try_acquire(fingerprint, target) {
+                return self.suspect_guard(Some(target.clone()));
             }
-            task::sleep(POLL).await;
+            task::sleep(POLL_INTERVAL).await;
         }
-        self.guard(None)
+        self.suspect_guard(None)
     }
 
-    /// Takes in what a peer knows.
+    /// Merges the entries of a peer.
     pub(crate) fn merge(&self, entries: &[PoisonEntry]) {
         if entries.is_empty() {
             return;
@@ -74,51 +75,51 @@
         let mut table = self.table();
         for entry in entries {
             if table.merge(entry) {
-                self.note_change(entry.fingerprint);
+                self.mark_changed(entry.fingerprint);
             }
         }
         table.evict_expired(unix_now());
     }
 
-    /// Notes that a target was lost while it ran the request.
+    /// Records that a target was lost while it ran the request.
     pub(crate) fn record_loss(&self, fingerprint: RequestFingerprint, target: &TargetName) {
         self.table().record_loss(fingerprint, target, unix_now());
-        self.note_change(fingerprint);
+        self.mark_changed(fingerprint);
     }
 
-    /// Notes that a target ran the request to its end.
+    /// Records that a target completed the request.
     pub(crate) fn record_success(&self, fingerprint: RequestFingerprint) {
         let was_known = self.table().record_success(fingerprint, unix_now());
         if was_known {
-            self.note_change(fingerprint);
+            self.mark_changed(fingerprint);
         }
     }
 
-    /// Returns what to send a peer: what changed since then, or `all`.
+    /// Returns the entries to send to a peer: those changed since `since`, or `all`.
     pub(crate) fn changed_entries(&self, all: bool, since: Duration) -> Vec<PoisonEntry> {
         let table = self.table();
         if all {
             return table.entries();
         }
-        let mut changed = lock(&self.changed);
+        let mut changed_at = lock(&self.changed_at);
         let now = boot_now();
-        changed.retain(|_, at| now.saturating_sub(*at) < CHANGE_MEMORY);
-        if !changed.values().any(|at| *at >= since) {
+        changed_at.retain(|_, at| now.saturating_sub(*at) < CHANGE_RETENTION);
+        if !changed_at.values().any(|at| *at >= since) {
             return Vec::new();
         }
         let mut entries = table.entries();
         entries.retain(|entry| {
-            let at = changed.get(&entry.fingerprint);
+            let at = changed_at.get(&entry.fingerprint);
             at.is_some_and(|at| *at >= since)
         });
         entries
     }
 
-    fn note_change(&self, fingerprint: RequestFingerprint) {
-        lock(&self.changed).insert(fingerprint, boot_now());
+    fn mark_changed(&self, fingerprint: RequestFingerprint) {
+        lock(&self.changed_at).insert(fingerprint, boot_now());
     }
 
-    fn try_enter(&self, fingerprint: RequestFingerprint, target: &TargetName) -> bool {
+    fn try_acquire(&self, fingerprint: RequestFingerprint, target: &TargetName) -> bool {
         let mut running = lock(&self.running);
         if running.contains_key(target) {
             return false;
@@ -127,15 +128,18 @@
         true
     }
 
-    fn guard(&self, target: Option<TargetName>) -> SuspectGuard<'_> {
-        SuspectGuard { desk: self, target }
+    fn suspect_guard(&self, target: Option<TargetName>) -> SuspectGuard<'_> {
+        SuspectGuard {
+            guard: self,
+            target,
+        }
     }
 }
 
 impl Drop for SuspectGuard<'_> {
     fn drop(&mut self) {
         if let Some(target) = &self.target {
-            lock(&self.desk.running).remove(target);
+            lock(&self.guard.running).remove(target);
         }
     }
 }
--- a/src/poison/poison_table.rs
+++ b/src/poison/poison_table.rs
@@ -1,8 +1,8 @@
-//! Which requests crash the targets that run them.
+//! Detection of requests that crash the targets that run them.
 //!
-//! Load it answers: one request that takes down each target that runs it, sent
-//! again by its caller. Without it the caller empties the fleet, one target a
-//! resend, and everything that ran beside it is lost as well.
+//! It protects against a request that crashes every target that runs it and that the client
+//! sends again. Without it, each resend takes down another target until the whole fleet is
+//! gone, and all requests that ran on the same targets are lost as well.
 
 use super::PoisonEntry;
 use super::RequestFingerprint;
@@ -11,30 +11,30 @@
 use crate::ids::UnixMillis;
 use crate::sorted::SortedMap;
 
-/// How many losses make a request refused. One may be a chance: a target that
-/// fails takes down all that runs there. The second is the last that the users
-/// accept.
+/// Number of losses after which a request is rejected. A single loss may be a coincidence,
+/// since a failing target takes down all requests that run there. Two losses are the most
+/// that users accept.
 const MAX_LOSSES: usize = 2;
-/// How long losses are remembered, in milliseconds: long enough for the people
-/// behind the caller to look, short enough that a mended engine serves again.
-const MEMORY_MS: u64 = 600_000;
-/// Losses of one target within this time are one loss, in milliseconds: several
-/// copies of the request may have run there on behalf of several hosts.
-const SAME_LOSS_MS: u64 = 2_000;
-/// How many suspects are remembered at most; a digest carries them all.
+/// How long losses are remembered, in milliseconds. It is long enough for operators of the
+/// client to react, and short enough that a fixed engine gets the request again.
+const RETENTION_MS: u64 = 600_000;
+/// Losses of one target within this time count as one, in milliseconds. Several copies of the
+/// request may have run there for different hosts.
+const SAME_LOSS_WINDOW_MS: u64 = 2_000;
+/// Maximum number of suspects; a single message may carry all of them.
 const MAX_SUSPECTS: usize = 64;
 
-/// Which requests crash the targets that run them.
+/// Requests suspected of crashing targets.
 ///
-/// Only what ran on a target as it was lost is suspected, and whoever runs to
-/// its end anywhere is cleared on every host.
+/// Only requests that ran on a target when it was lost are suspected. A request that
+/// completes on any target is cleared on every host.
 #[derive(Debug, Default)]
 pub struct PoisonTable {
     entries: SortedMap<RequestFingerprint, PoisonEntry>,
 }
 
 impl PoisonTable {
-    /// Notes that a target was lost while it ran the request.
+    /// Records that a target was lost while it ran the request.
     pub fn record_loss(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -50,8 +50,8 @@
         self.evict_expired(now);
     }
 
-    /// Notes that a target ran the request to its end; returns whether that was news of
-    /// a suspect.
+    /// Records that a target completed the request; returns whether the request was in the
+    /// table.
     pub fn record_success(&mut self, fingerprint: RequestFingerprint, now: UnixMillis) -> bool {
         let Some(entry) = self.entries.get_mut(&fingerprint) else {
             return false;
@@ -61,30 +61,30 @@
         true
     }
 
-    /// Takes in what a peer knows; returns whether that was news.
+    /// Merges the entry of a peer; returns whether this changed anything.
     pub fn merge(&mut self, entry: &PoisonEntry) -> bool {
         self.entries
             .get_or_insert_with(entry.fingerprint, || PoisonEntry::new(entry.fingerprint))
             .merge(entry)
     }
 
-    /// Returns what peers should know.
+    /// Returns all entries for peers.
     pub fn entries(&self) -> Vec<PoisonEntry> {
         self.entries.values().cloned().collect()
     }
 
-    /// Tells whether a target was lost to the request, so that it must run apart
-    /// from other suspects: a second loss then tells which of them it was.
+    /// Returns whether a target was lost while it ran the request. Such a request must not run
+    /// together with other suspects, so that a second loss identifies the cause.
     pub fn is_suspect(&self, fingerprint: RequestFingerprint) -> bool {
-        self.losses(fingerprint) > 0
+        self.count_losses(fingerprint) > 0
     }
 
-    /// Tells whether the request is refused.
+    /// Returns whether the request is rejected.
     pub fn is_refused(&self, fingerprint: RequestFingerprint) -> bool {
-        self.losses(fingerprint) >= MAX_LOSSES
+        self.count_losses(fingerprint) >= MAX_LOSSES
     }
 
-    /// Returns the targets that were lost to a request.
+    /// Returns the targets that were lost while they ran the request.
     pub fn lost_targets(&self, fingerprint: RequestFingerprint) -> Vec<TargetName> {
         self.entries
             .get(&fingerprint)
@@ -94,39 +94,41 @@
             })
     }
 
-    /// Lets go of what is too old, and of the oldest above the bound.
+    /// Removes entries past the retention period, and the oldest ones above the maximum number.
     pub fn evict_expired(&mut self, now: UnixMillis) {
-        let oldest = now.saturating_sub(MEMORY_MS);
+        let cutoff = now.saturating_sub(RETENTION_MS);
         self.entries.retain(|_, entry| {
-            entry.losses.retain(|loss| loss.at >= oldest);
-            !entry.losses.is_empty() || entry.cleared >= oldest
+            entry.losses.retain(|loss| loss.at >= cutoff);
+            !entry.losses.is_empty() || entry.cleared >= cutoff
         });
         while self.entries.len() > MAX_SUSPECTS {
-            let Some(stale) = self.stalest() else {
+            let Some(oldest) = self.oldest_entry() else {
                 return;
             };
-            self.entries.remove(&stale);
+            self.entries.remove(&oldest);
         }
     }
 
-    fn stalest(&self) -> Option<RequestFingerprint> {
+    fn oldest_entry(&self) -> Option<RequestFingerprint> {
         self.entries
             .iter()
             .min_by_key(|(_, entry)| entry.losses.last().map_or(entry.cleared, |loss| loss.at))
             .map(|(fingerprint, _)| *fingerprint)
     }
 
-    fn losses(&self, fingerprint: RequestFingerprint) -> usize {
+    fn count_losses(&self, fingerprint: RequestFingerprint) -> usize {
         let Some(entry) = self.entries.get(&fingerprint) else {
             return 0;
         };
-        let marks = &entry.losses;
-        let repeats = |index: usize| {
-            let mark = &marks[index];
-            marks[..index]
-                .iter()
-                .any(|earlier| earlier.target == mark.target && mark.at - earlier.at < SAME_LOSS_MS)
+        let losses = &entry.losses;
+        let is_duplicate = |index: usize| {
+            let loss = &losses[index];
+            losses[..index].iter().any(|earlier| {
+                earlier.target == loss.target && loss.at - earlier.at < SAME_LOSS_WINDOW_MS
+            })
         };
-        (0..marks.len()).filter(|index| !repeats(*index)).count()
+        (0..losses.len())
+            .filter(|index| !is_duplicate(*index))
+            .count()
     }
 }
