--- a/src/poison/poison_table.rs
+++ b/src/poison/poison_table.rs
@@ -20,7 +20,7 @@
 const RETENTION_MS: u64 = 600_000;
 /// Losses of one target within this time count as one, in milliseconds. Several copies of the
 /// request may have run there for different hosts.
-const SAME_LOSS_WINDOW_MS: u64 = 2_000;
+const SAME_LOSS_MS: u64 = 2_000;
 /// Maximum number of suspects; a single message may carry all of them.
 const MAX_SUSPECTS: usize = 64;
 
@@ -123,9 +123,9 @@
         let losses = &entry.losses;
         let is_duplicate = |index: usize| {
             let loss = &losses[index];
-            losses[..index].iter().any(|earlier| {
-                earlier.target == loss.target && loss.at - earlier.at < SAME_LOSS_WINDOW_MS
-            })
+            losses[..index]
+                .iter()
+                .any(|earlier| earlier.target == loss.target && loss.at - earlier.at < SAME_LOSS_MS)
         };
         (0..losses.len())
             .filter(|index| !is_duplicate(*index))
--- a/src/view/fleet_source.rs
+++ b/src/view/fleet_source.rs
@@ -1,4 +1,4 @@
-//! Where the view comes from.
+//! Interface to the store of routes and targets.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,48 +10,48 @@
 use super::ViewUpdate;
 use crate::ids::StoreRevision;
 
-/// A read that is under way.
+/// A read in progress.
 pub type SourceFuture<'a> =
     Pin<Box<dyn Future<Output = Result<ViewUpdate, SourceError>> + Send + 'a>>;
 
-/// Why a source gave no update.
+/// Error of a read from the store.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum SourceError {
-    /// The changes after the revision are known no more; the whole must be read.
-    #[display("the history is gone")]
+    /// The changes after the revision are no longer available; everything must be read again.
+    #[display("changes since the requested revision are no longer available")]
     HistoryExpired,
-    /// The source refused the call and did nothing.
+    /// The store rejected the request and did nothing.
     #[display("refused with status {status}")]
     Refused {
         /// The HTTP status.
         status: u16,
     },
-    /// No whole answer came in time.
+    /// No complete answer arrived before the timeout.
     #[display("no answer in time")]
     TimedOut,
-    /// No connection, or it ended early.
+    /// The connection failed or was closed early.
     #[display("unreachable: {reason}")]
     Unreachable {
-        /// What the system said.
+        /// Error reported by the operating system or the HTTP client.
         reason: String,
     },
-    /// The answer can't be read.
+    /// The answer could not be parsed.
     #[display("malformed answer: {reason}")]
     Malformed {
-        /// What is wrong with it.
+        /// Why parsing failed.
         reason: String,
     },
 }
 
-/// The store from which routes and targets are read. It can only be read.
+/// Read-only access to the store of routes and targets.
 pub trait FleetSource: Send + Sync + 'static {
     /// Reads everything.
     fn read_all(&self) -> SourceFuture<'_>;
 
-    /// Reads the catalog alone, as it stands now.
+    /// Reads only the current catalog.
     fn read_catalog(&self) -> SourceFuture<'_>;
 
-    /// Waits for changes after a revision, for at most `wait`; the update is empty
-    /// when none came.
+    /// Waits for changes after a revision, for at most `wait`; the update is empty if there
+    /// were none.
     fn watch(&self, after: StoreRevision, wait: Duration) -> SourceFuture<'_>;
 }
--- a/src/view/lease_grace.rs
+++ b/src/view/lease_grace.rs
@@ -1,38 +1,37 @@
-//! When the store was away, and until when what lapsed meanwhile may be back.
+//! Grace period for registrations that expired during a store outage.
 
 use std::time::Duration;
 
-/// How long the store must have been away for a registration to lapse because of
-/// that: targets renew theirs each 1.2 s and lose it after three missed renewals,
-/// one of which may have been due just before the outage. In calm times the last
-/// sign of the store is less than two seconds old.
-const SHORTEST_LAPSE: Duration = Duration::from_millis(2900);
-/// How long after the store's return a lapsed target may still serve. Targets that
-/// live are back within about 2 s; a target that really left must get no new work 2 s
-/// after its removal, so the time ends before that.
+/// Shortest store outage that can cause registrations to expire. Targets renew theirs every
+/// 1.2 s and lose it after three missed renewals, one of which may have been due just before
+/// the outage. In normal operation the last contact with the store is less than 2 s old.
+const MIN_OUTAGE: Duration = Duration::from_millis(2900);
+/// How long after an outage targets with expired registrations may still serve. Running
+/// targets are registered again within about 2 s. A target that really left must get no new
+/// requests 2 s after its removal, so the grace period ends before that.
 const RETURN_GRACE: Duration = Duration::from_millis(1500);
 
-/// When the store was away, as far as this host knows.
+/// Grace period after a store outage, as observed by this host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeaseGrace {
-    grace_until: Option<Duration>,
+    ends_at: Option<Duration>,
 }
 
 impl LeaseGrace {
-    /// Notes a sign of the store, the first one for `without`.
+    /// Records a contact with the store, the first one for `outage`.
     ///
-    /// A sign is an answer or a peer's word for one. Where only this host was cut off,
-    /// others went on reading and vouch for it, and nothing lapsed: what is gone then
-    /// has really left.
-    pub fn note_sign(&mut self, without: Duration, now: Duration) {
-        if without >= SHORTEST_LAPSE {
-            self.grace_until = Some(now + RETURN_GRACE);
+    /// A contact is an answer of the store or a peer's confirmation of one. If only this host
+    /// was cut off, the others kept reading and confirm it. No registration expired in that
+    /// case, so removed targets have really left.
+    pub fn record_contact(&mut self, outage: Duration, now: Duration) {
+        if outage >= MIN_OUTAGE {
+            self.ends_at = Some(now + RETURN_GRACE);
         }
     }
 
-    /// Returns until when a target that was removed now may still serve: its
-    /// registration may have lapsed only because the store was away.
-    pub fn lapse_end(&self, now: Duration) -> Option<Duration> {
-        self.grace_until.filter(|until| *until > now)
+    /// Returns until when a target removed now may still serve, because its registration may
+    /// have expired only due to the outage.
+    pub fn removal_deadline(&self, now: Duration) -> Option<Duration> {
+        self.ends_at.filter(|end| *end > now)
     }
 }
--- a/src/view/mod.rs
+++ b/src/view/mod.rs
@@ -1,7 +1,7 @@
-//! What the host believes of routes and targets, by revision, and how old that is.
+//! The host's view of routes and targets, with revisions and age.
 //!
-//! The same [`ViewUpdate`] comes from the store and from peers, so a host that is
-//! cut off from the store follows what its peers read there.
+//! The store and peers provide the same [`ViewUpdate`], so a host that is cut off from the
+//! store follows it through its peers.
 
 mod fleet_source;
 mod lease_grace;
--- a/src/view/platform_view.rs
+++ b/src/view/platform_view.rs
@@ -1,4 +1,4 @@
-//! The host's view of routes and targets; revisions and versions only rise.
+//! The host's view of routes and targets. Revisions and versions only increase.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,37 +17,37 @@
 use crate::ids::ZoneName;
 use crate::sorted::SortedMap;
 
-/// How long removals are remembered. A peer that has not heard of one for as
-/// long would bring the target back; peers tell each other many times a second.
-const REMOVAL_MEMORY: Duration = Duration::from_secs(120);
+/// How long removals are remembered. A peer that misses a removal for longer would bring the
+/// target back; peers exchange messages many times per second.
+const REMOVAL_RETENTION: Duration = Duration::from_secs(120);
 
-/// A removal that is remembered.
+/// Tombstone of a removed target.
 #[derive(Clone, Copy, Debug)]
-struct RemovalMark {
+struct RemovalTombstone {
     revision: StoreRevision,
-    at: Duration,
+    recorded_at: Duration,
 }
 
 /// The host's view of routes and targets.
 ///
-/// Each record bears the revision at which it was written, and the higher one
-/// wins, so updates of several sources may come in any order and twice.
+/// Each record carries the revision at which it was written, and the higher revision wins, so
+/// updates from several sources may arrive in any order and more than once.
 #[derive(Debug, Default)]
 pub struct PlatformView {
     revision: StoreRevision,
-    /// The revision up to which the catalog is the newest one.
+    /// Revision up to which the catalog is known to be the newest.
     catalog_revision: StoreRevision,
-    /// The revision of the last change that is held.
+    /// Revision of the last applied change.
     changed_at: StoreRevision,
     catalog: Option<Arc<RouteCatalog>>,
     targets: SortedMap<TargetName, TargetRecord>,
-    removals: SortedMap<TargetName, RemovalMark>,
-    /// The highest revision of a removal that is remembered no more.
-    forgotten: StoreRevision,
-    /// Targets whose registration lapsed while the store was away, and until
-    /// when they may still serve.
-    lapses: SortedMap<TargetName, Duration>,
-    /// What was last asked for each availability zone that was ever evacuated.
+    removals: SortedMap<TargetName, RemovalTombstone>,
+    /// Highest revision of a removal whose tombstone was dropped.
+    dropped_revision: StoreRevision,
+    /// Targets whose registrations expired during a store outage, and until when they may
+    /// still serve.
+    lapsed: SortedMap<TargetName, Duration>,
+    /// Latest evacuation setting of each availability zone that was ever evacuated.
     evacuations: SortedMap<ZoneName, ZoneEvacuation>,
 }
 
@@ -57,32 +57,32 @@
         self.revision
     }
 
-    /// Returns the revision up to which the catalog is the newest one. Peers send it apart
-    /// from the targets, so it may be behind them.
+    /// Returns the revision up to which the catalog is known to be the newest. Peers send the
+    /// catalog separately from the targets, so it may be behind them.
     pub const fn catalog_revision(&self) -> StoreRevision {
         self.catalog_revision
     }
 
-    /// Notes that a catalog of this version was the newest one at `revision`; it counts only
-    /// if that one or a newer one is held.
+    /// Records that the catalog of this version was the newest at `revision`. It is ignored
+    /// unless that catalog or a newer one is held.
     pub fn record_catalog_revision(&mut self, version: CatalogVersion, revision: StoreRevision) {
         if self.catalog_version() >= version {
             self.catalog_revision = self.catalog_revision.max(revision);
         }
     }
 
-    /// Returns the revision of the last change that is held. Two hosts that hold the
-    /// same have the same one, whenever each last asked the store.
+    /// Returns the revision of the last applied change. It is the same on two hosts with the
+    /// same contents, whenever each of them last read the store.
     pub const fn changed_at(&self) -> StoreRevision {
         self.changed_at
     }
 
-    /// Returns the catalog in force.
+    /// Returns the catalog in use.
     pub const fn catalog(&self) -> Option<&Arc<RouteCatalog>> {
         self.catalog.as_ref()
     }
 
-    /// Returns the version of the catalog in force; 0 when there is none.
+    /// Returns the version of the catalog in use; 0 if there is none.
     pub fn catalog_version(&self) -> CatalogVersion {
         self.catalog.as_ref().map_or(0, |catalog| catalog.version())
     }
@@ -92,7 +92,7 @@
         self.targets.values()
     }
 
-    /// Returns the availability zones whose targets are to get no new work, sorted.
+    /// Returns the availability zones whose targets must get no new requests, sorted.
     pub fn evacuated_zones(&self) -> Vec<ZoneName> {
         let active = self.evacuations.values().filter(|held| held.active);
         active.map(|held| held.availability_zone.clone()).collect()
@@ -100,27 +100,28 @@
 
     /// Returns all targets and evacuations for a peer.
     ///
-    /// Lapsed targets are left out. The store removed them before the view's revision,
-    /// so a peer that took them for standing would never hear of their removal.
+    /// Lapsed targets are omitted. The store removed them before the view's revision, so a peer
+    /// that took them as registered would never learn of their removal.
     pub fn full_update(&self) -> ViewUpdate {
         ViewUpdate {
             revision: self.revision,
             full: true,
             catalog: None,
-            targets: self.standing_targets().cloned().collect(),
+            targets: self.registered_targets().cloned().collect(),
             removals: Vec::new(),
             evacuations: self.evacuations.values().cloned().collect(),
         }
     }
 
-    /// Returns the targets and evacuations that a peer lacks whose view is complete up to
-    /// `complete`; `None` where it lacks nothing. The catalog is not among them: it may be too
-    /// large for a message that must arrive within the bound on leaving targets.
+    /// Returns the targets and evacuations that changed after `complete`, for a peer whose view
+    /// is complete up to there; `None` if there are none. The catalog is not included, since it
+    /// may be too large for a message that must arrive within the time limit for leaving
+    /// targets.
     pub fn update_since(&self, complete: StoreRevision) -> Option<ViewUpdate> {
-        if complete < self.forgotten {
+        if complete < self.dropped_revision {
             return Some(self.full_update());
         }
-        let targets = self.standing_targets();
+        let targets = self.registered_targets();
         let targets = targets.filter(|target| target.revision > complete);
         let removals = self.removals.iter();
         let evacuations = self.evacuations.values();
@@ -130,10 +131,10 @@
             catalog: None,
             targets: targets.cloned().collect(),
             removals: removals
-                .filter(|(_, mark)| mark.revision > complete)
-                .map(|(name, mark)| TargetRemoval {
+                .filter(|(_, tombstone)| tombstone.revision > complete)
+                .map(|(name, tombstone)| TargetRemoval {
                     name: name.clone(),
-                    revision: mark.revision,
+                    revision: tombstone.revision,
                 })
                 .collect(),
             evacuations: evacuations
@@ -141,68 +142,68 @@
                 .cloned()
                 .collect(),
         };
-        let lacks = !update.targets.is_empty()
+        let has_changes = !update.targets.is_empty()
             || !update.removals.is_empty()
             || !update.evacuations.is_empty();
-        lacks.then_some(update)
+        has_changes.then_some(update)
     }
 
-    /// Takes an update in.
-    pub fn apply(&mut self, update: ViewUpdate, outage: &LeaseGrace, now: Duration) -> ViewChange {
+    /// Applies an update.
+    pub fn apply(&mut self, update: ViewUpdate, grace: &LeaseGrace, now: Duration) -> ViewChange {
         let mut change = ViewChange::default();
         if let Some(parts) = update.catalog {
-            change.catalog = self.raise_catalog(parts);
+            change.catalog = self.replace_catalog(parts);
         }
         if update.full {
             self.end_absent_evacuations(&update.evacuations, update.revision, &mut change);
-            self.remove_absent(&update.targets, update.revision, outage, now, &mut change);
+            self.remove_absent(&update.targets, update.revision, grace, now, &mut change);
         }
         for record in update.targets {
-            self.take_record(record, &mut change);
+            self.apply_record(record, &mut change);
         }
         for removal in update.removals {
-            self.take_removal(removal, outage, now, &mut change);
+            self.apply_removal(removal, grace, now, &mut change);
         }
         for evacuation in update.evacuations {
-            self.take_evacuation(evacuation, &mut change);
+            self.apply_evacuation(evacuation, &mut change);
         }
         self.revision = self.revision.max(update.revision);
-        let forgotten = &mut self.forgotten;
-        self.removals.retain(|_, mark| {
-            let held = now.saturating_sub(mark.at) < REMOVAL_MEMORY;
-            if !held {
-                *forgotten = mark.revision.max(*forgotten);
+        let dropped_revision = &mut self.dropped_revision;
+        self.removals.retain(|_, tombstone| {
+            let keep = now.saturating_sub(tombstone.recorded_at) < REMOVAL_RETENTION;
+            if !keep {
+                *dropped_revision = tombstone.revision.max(*dropped_revision);
             }
-            held
+            keep
         });
         change
     }
 
-    fn standing_targets(&self) -> impl Iterator<Item = &TargetRecord> {
+    fn registered_targets(&self) -> impl Iterator<Item = &TargetRecord> {
         let targets = self.targets.values();
-        targets.filter(|target| !self.lapses.contains_key(&target.name))
+        targets.filter(|target| !self.lapsed.contains_key(&target.name))
     }
 
-    /// Lets go of lapsed targets that did not come back in time.
+    /// Removes targets with expired registrations that were not renewed in time.
     pub fn remove_lapsed(&mut self, now: Duration) -> ViewChange {
         let mut change = ViewChange::default();
-        let due: Vec<TargetName> = self
-            .lapses
+        let expired: Vec<TargetName> = self
+            .lapsed
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(name, _)| name.clone())
             .collect();
-        for name in due {
-            self.lapses.remove(&name);
+        for name in expired {
+            self.lapsed.remove(&name);
             self.targets.remove(&name);
             change.removed.push(name);
         }
         change
     }
 
-    /// Puts a newer catalog in force. An older one is passed over: a slow source
-    /// must not bring back what was replaced.
-    fn raise_catalog(&mut self, parts: CatalogParts) -> Option<CatalogVersion> {
+    /// Replaces the catalog with a newer one. Older catalogs are ignored, so that a slow source
+    /// cannot undo a replacement.
+    fn replace_catalog(&mut self, parts: CatalogParts) -> Option<CatalogVersion> {
         let version = parts.version;
         if self.catalog.is_some() && version <= self.catalog_version() {
             return None;
@@ -215,7 +216,7 @@
         &mut self,
         present: &[TargetRecord],
         revision: StoreRevision,
-        outage: &LeaseGrace,
+        grace: &LeaseGrace,
         now: Duration,
         change: &mut ViewChange,
     ) {
@@ -229,11 +230,11 @@
             .collect();
         for name in absent {
             let removal = TargetRemoval { name, revision };
-            self.take_removal(removal, outage, now, change);
+            self.apply_removal(removal, grace, now, change);
         }
     }
 
-    /// Ends the evacuations that a whole update doesn't name.
+    /// Ends the evacuations that a full update does not contain.
     fn end_absent_evacuations(
         &mut self,
         present: &[ZoneEvacuation],
@@ -251,11 +252,11 @@
                 revision,
                 active: false,
             };
-            self.take_evacuation(ended, change);
+            self.apply_evacuation(ended, change);
         }
     }
 
-    fn take_evacuation(&mut self, evacuation: ZoneEvacuation, change: &mut ViewChange) {
+    fn apply_evacuation(&mut self, evacuation: ZoneEvacuation, change: &mut ViewChange) {
         let held = self.evacuations.get(&evacuation.availability_zone);
         if held.is_some_and(|held| held.revision >= evacuation.revision) {
             return;
@@ -268,9 +269,9 @@
         self.evacuations.insert(zone, evacuation);
     }
 
-    fn take_record(&mut self, record: TargetRecord, change: &mut ViewChange) {
-        if let Some(mark) = self.removals.get(&record.name)
-            && mark.revision >= record.revision
+    fn apply_record(&mut self, record: TargetRecord, change: &mut ViewChange) {
+        if let Some(tombstone) = self.removals.get(&record.name)
+            && tombstone.revision >= record.revision
         {
             return;
         }
@@ -278,9 +279,9 @@
             if held.revision > record.revision {
                 return;
             }
-            // Written again after a lapse: it is back.
+            // The target registered again after its registration had lapsed.
             if held.revision < record.revision {
-                self.lapses.remove(&record.name);
+                self.lapsed.remove(&record.name);
             }
             if *held == record {
                 return;
@@ -291,39 +292,39 @@
         self.targets.insert(record.name.clone(), record);
     }
 
-    fn take_removal(
+    fn apply_removal(
         &mut self,
         removal: TargetRemoval,
-        outage: &LeaseGrace,
+        grace: &LeaseGrace,
         now: Duration,
         change: &mut ViewChange,
     ) {
         let Some(held) = self.targets.get(&removal.name) else {
-            self.note_removal(removal, now);
+            self.record_removal(removal, now);
             return;
         };
-        if held.revision > removal.revision || self.lapses.contains_key(&removal.name) {
+        if held.revision > removal.revision || self.lapsed.contains_key(&removal.name) {
             return;
         }
         let ready = held.phase == super::TargetPhase::Ready;
-        if ready && let Some(until) = outage.lapse_end(now) {
-            self.lapses.insert(removal.name.clone(), until);
+        if ready && let Some(until) = grace.removal_deadline(now) {
+            self.lapsed.insert(removal.name.clone(), until);
         } else {
             self.targets.remove(&removal.name);
             change.removed.push(removal.name.clone());
         }
-        self.note_removal(removal, now);
+        self.record_removal(removal, now);
     }
 
-    fn note_removal(&mut self, removal: TargetRemoval, now: Duration) {
+    fn record_removal(&mut self, removal: TargetRemoval, now: Duration) {
         self.changed_at = self.changed_at.max(removal.revision);
-        let mark = RemovalMark {
+        let tombstone = RemovalTombstone {
             revision: removal.revision,
-            at: now,
+            recorded_at: now,
         };
-        let held = self.removals.get_or_insert_with(removal.name, || mark);
-        if held.revision < mark.revision {
-            *held = mark;
+        let held = self.removals.get_or_insert_with(removal.name, || tombstone);
+        if held.revision < tombstone.revision {
+            *held = tombstone;
         }
     }
 }
--- a/src/view/shared_view.rs
+++ b/src/view/shared_view.rs
@@ -1,4 +1,4 @@
-//! The view as the whole process shares it.
+//! Thread-safe access to the view.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,121 +20,121 @@
 use crate::ids::StoreRevision;
 use crate::ids::ZoneName;
 
-/// The view behind a lock, the catalog behind an atomic pointer for the requests'
-/// path, and the age of what is believed.
+/// View shared by the whole process: the view behind a lock, the catalog behind an atomic
+/// pointer for the request path, and the age of both.
 #[derive(Debug, Default)]
 pub struct SharedView {
     state: Mutex<ViewState>,
     catalog: ArcSwapOption<RouteCatalog>,
-    /// Boot time in milliseconds at which the call was begun whose answer last
-    /// showed what the store held; 0 before the first.
+    /// Boot time in milliseconds at which the catalog was last known to match the store; 0
+    /// before the first answer. The time of an answer is the start of its call.
     evidence_ms: AtomicU64,
-    /// The same for the whole view, with all targets.
+    /// The same for the whole view, including all targets.
     view_ms: AtomicU64,
 }
 
 #[derive(Debug, Default)]
 struct ViewState {
     view: PlatformView,
-    outage: LeaseGrace,
+    grace: LeaseGrace,
 }
 
 impl SharedView {
-    /// Takes in what the store answered, whole or the catalog alone, to a call that was
-    /// begun at `begun`.
+    /// Applies an answer of the store with the whole view or only the catalog, to a call that
+    /// started at `called_at`.
     pub fn apply_store_response(
         &self,
         update: ViewUpdate,
-        begun: Duration,
+        called_at: Duration,
         now: Duration,
     ) -> ViewChange {
         let mut state = self.lock();
-        self.note_sign(&mut state, begun, now);
-        // A read of the catalog alone names no revision.
+        self.record_contact(&mut state, called_at, now);
+        // A read of only the catalog has no revision.
         let revision = update.revision;
-        let all = revision > 0;
+        let is_full = revision > 0;
         let change = self.apply(&mut state, update, now);
         let version = state.view.catalog_version();
         state.view.record_catalog_revision(version, revision);
         drop(state);
-        raise(&self.evidence_ms, begun);
-        if all {
-            raise(&self.view_ms, begun);
+        raise(&self.evidence_ms, called_at);
+        if is_full {
+            raise(&self.view_ms, called_at);
         }
         change
     }
 
-    /// Takes in what the store answered to a call that was begun at `begun` and that asked for
-    /// changes of the targets alone. It proves nothing about the catalog.
+    /// Applies an answer of the store with only changes of targets, to a call that started at
+    /// `called_at`. It does not confirm the catalog.
     pub fn apply_store_targets(
         &self,
         update: ViewUpdate,
-        begun: Duration,
+        called_at: Duration,
         now: Duration,
     ) -> ViewChange {
         let mut state = self.lock();
         let change = self.apply(&mut state, update, now);
         drop(state);
-        raise(&self.view_ms, begun);
+        raise(&self.view_ms, called_at);
         change
     }
 
-    /// Takes in what a peer believes. Its view proves nothing about its age; see
+    /// Applies the view of a peer. This does not affect the age of the local view; see
     /// [`SharedView::confirm_catalog`].
     pub fn apply_peer_view(&self, update: ViewUpdate, now: Duration) -> ViewChange {
         let mut state = self.lock();
         self.apply(&mut state, update, now)
     }
 
-    /// Takes a peer's word that the catalog of this version was the store's at
-    /// `shown`; it counts only if this host holds that catalog or a newer one.
-    pub fn confirm_catalog(&self, version: CatalogVersion, shown: Duration, now: Duration) {
+    /// Records a peer's confirmation that the catalog of this version matched the store at
+    /// `confirmed_at`. It is ignored unless this host holds that catalog or a newer one.
+    pub fn confirm_catalog(&self, version: CatalogVersion, confirmed_at: Duration, now: Duration) {
         let mut state = self.lock();
         if version == 0 || state.view.catalog_version() < version {
             return;
         }
-        self.note_sign(&mut state, shown, now);
+        self.record_contact(&mut state, confirmed_at, now);
         drop(state);
-        raise(&self.evidence_ms, shown);
+        raise(&self.evidence_ms, confirmed_at);
     }
 
-    /// Notes that the catalog of this version was the newest one at `revision`, by a peer; it
-    /// counts only if this host holds that catalog or a newer one.
+    /// Records a peer's statement that the catalog of this version was the newest at `revision`.
+    /// It is ignored unless this host holds that catalog or a newer one.
     pub fn record_catalog_revision(&self, version: CatalogVersion, revision: StoreRevision) {
         self.lock().view.record_catalog_revision(version, revision);
     }
 
-    /// Takes a peer's word that its view, whose last change is `revision`, was the store's
-    /// at `shown`; it counts only if this host holds that change.
-    pub fn confirm_view(&self, revision: StoreRevision, shown: Duration) {
+    /// Records a peer's confirmation that its view, whose last change is `revision`, matched
+    /// the store at `confirmed_at`. It is ignored unless this host holds that change.
+    pub fn confirm_view(&self, revision: StoreRevision, confirmed_at: Duration) {
         if revision > 0 && self.held_versions().0 >= revision {
-            raise(&self.view_ms, shown);
+            raise(&self.view_ms, confirmed_at);
         }
     }
 
-    /// Lets go of lapsed targets that did not come back in time.
+    /// Removes targets with expired registrations that were not renewed in time.
     pub fn remove_lapsed(&self, now: Duration) -> ViewChange {
         self.lock().view.remove_lapsed(now)
     }
 
-    /// Returns the catalog in force.
+    /// Returns the catalog in use.
     pub fn catalog(&self) -> Option<Arc<RouteCatalog>> {
         self.catalog.load_full()
     }
 
-    /// Returns how long ago the view was known to be the store's; `None` before
-    /// the first answer.
+    /// Returns the time since the catalog was known to match the store; `None` before the first
+    /// answer.
     pub fn evidence_age(&self, now: Duration) -> Option<Duration> {
         age_of(&self.evidence_ms, now)
     }
 
-    /// Returns how long ago all targets were known to be the store's; `None` before the
+    /// Returns the time since the whole view was known to match the store; `None` before the
     /// first answer.
     pub fn view_age(&self, now: Duration) -> Option<Duration> {
         age_of(&self.view_ms, now)
     }
 
-    /// Returns the revision of the last change that is held, and the catalog's version.
+    /// Returns the revision of the last applied change and the version of the catalog.
     pub fn held_versions(&self) -> (StoreRevision, CatalogVersion) {
         let state = self.lock();
         (state.view.changed_at(), state.view.catalog_version())
@@ -145,12 +145,12 @@
         self.lock().view.revision()
     }
 
-    /// Returns the revision up to which the catalog is the newest one.
+    /// Returns the revision up to which the catalog is known to be the newest.
     pub fn catalog_revision(&self) -> StoreRevision {
         self.lock().view.catalog_revision()
     }
 
-    /// Returns the revision up to which all of the view is complete.
+    /// Returns the revision up to which the whole view is complete.
     pub fn complete_revision(&self) -> StoreRevision {
         let state = self.lock();
         let targets = state.view.revision();
@@ -162,7 +162,7 @@
         self.lock().view.targets().cloned().collect()
     }
 
-    /// Returns the availability zones whose targets are to get no new work.
+    /// Returns the availability zones whose targets must get no new requests.
     pub fn evacuated_zones(&self) -> Vec<ZoneName> {
         self.lock().view.evacuated_zones()
     }
@@ -172,28 +172,28 @@
         self.lock().view.full_update()
     }
 
-    /// Returns the targets and evacuations that a peer lacks whose view is complete up to
-    /// `complete`; `None` where it lacks nothing.
+    /// Returns the targets and evacuations that changed after `complete`, for a peer whose view
+    /// is complete up to there; `None` if there are none.
     pub fn update_since(&self, complete: StoreRevision) -> Option<ViewUpdate> {
         self.lock().view.update_since(complete)
     }
 
     fn apply(&self, state: &mut ViewState, update: ViewUpdate, now: Duration) -> ViewChange {
-        let outage = state.outage;
-        let change = state.view.apply(update, &outage, now);
+        let grace = state.grace;
+        let change = state.view.apply(update, &grace, now);
         if change.catalog.is_some() {
             self.catalog.store(state.view.catalog().cloned());
         }
         change
     }
 
-    /// Notes a sign of the store before it counts as evidence: how long there was
-    /// none says whether registrations may have lapsed.
-    fn note_sign(&self, state: &mut ViewState, shown: Duration, now: Duration) {
+    /// Records a contact with the store at `contact_at`. This must be called before the age is
+    /// updated: the time without contact determines whether registrations may have expired.
+    fn record_contact(&self, state: &mut ViewState, contact_at: Duration, now: Duration) {
         let last = self.evidence_ms.load(Ordering::Acquire);
         if last > 0 {
-            let without = shown.saturating_sub(Duration::from_millis(last));
-            state.outage.note_sign(without, now);
+            let outage = contact_at.saturating_sub(Duration::from_millis(last));
+            state.grace.record_contact(outage, now);
         }
     }
 
@@ -202,15 +202,15 @@
     }
 }
 
-fn age_of(shown_ms: &AtomicU64, now: Duration) -> Option<Duration> {
-    match shown_ms.load(Ordering::Acquire) {
+fn age_of(time_ms: &AtomicU64, now: Duration) -> Option<Duration> {
+    match time_ms.load(Ordering::Acquire) {
         0 => None,
-        shown => Some(now.saturating_sub(Duration::from_millis(shown))),
+        time => Some(now.saturating_sub(Duration::from_millis(time))),
     }
 }
 
-fn raise(shown_ms: &AtomicU64, shown: Duration) {
-    // The clock's first millisecond is not worth telling from "never".
-    let shown = (shown.as_millis() as u64).max(1);
-    shown_ms.fetch_max(shown, Ordering::AcqRel);
+fn raise(time_ms: &AtomicU64, time: Duration) {
+    // 0 means "never", so the first millisecond of the clock counts as 1.
+    let time = (time.as_millis() as u64).max(1);
+    time_ms.fetch_max(time, Ordering::AcqRel);
 }
--- a/src/view/target_record.rs
+++ b/src/view/target_record.rs
@@ -1,4 +1,4 @@
-//! One target as it registered itself.
+//! Registrations of targets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,35 +11,35 @@
 use crate::ids::TargetName;
 use crate::ids::ZoneName;
 
-/// Whether a target takes new work.
+/// Whether a target accepts new requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TargetPhase {
-    /// It takes new work.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what runs and takes nothing new.
+    /// It completes running requests and accepts no new ones.
     Draining,
 }
 
-/// One target as it registered itself.
+/// A target's registration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetRecord {
-    /// The target's name, unique for one life of it.
+    /// Name of the target, unique while it runs.
     pub name: TargetName,
-    /// The pool that it serves.
+    /// Pool that it belongs to.
     pub pool: PoolName,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub availability_zone: ZoneName,
-    /// How many requests it runs at once.
+    /// Number of requests that it can run concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub phase: TargetPhase,
-    /// When this life of it began, in milliseconds of its own clock; a target may
-    /// start again under its old name and then knows nothing of before.
+    /// Start time in milliseconds of the target's own clock. A target may restart under the
+    /// same name and then keeps no state from before.
     pub started_at_ms: u64,
-    /// For how long it stays cold, as of this registration.
+    /// Remaining time for which it is cold, as of this registration.
     pub cold_remaining: Duration,
-    /// The revision of the store at which it was written.
+    /// Store revision at which it was written.
     pub revision: StoreRevision,
 }
--- a/src/view/view_update.rs
+++ b/src/view/view_update.rs
@@ -1,4 +1,4 @@
-//! What a source shows of the fleet, and what that changed.
+//! Updates of the view and the changes that they cause.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,47 +10,47 @@
 use crate::ids::StoreRevision;
 use crate::ids::TargetName;
 
-/// A target that is registered no more.
+/// Removal of a target's registration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetRemoval {
-    /// The target.
+    /// Name of the target.
     pub name: TargetName,
-    /// The revision at which it was removed.
+    /// Revision at which it was removed.
     pub revision: StoreRevision,
 }
 
-/// What a source shows.
+/// Update of the view from the store or a peer.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ViewUpdate {
-    /// The revision up to which the source has shown everything.
+    /// Revision up to which the update is complete.
     pub revision: StoreRevision,
-    /// Whether `targets` holds every target: one that is absent is gone.
+    /// Whether `targets` contains every target; absent ones have been removed.
     pub full: bool,
-    /// The catalog, where the source has another than before.
+    /// The catalog, if the source has a different one than before.
     pub catalog: Option<CatalogParts>,
-    /// Targets as they were written.
+    /// Written registrations.
     pub targets: Vec<TargetRecord>,
-    /// Targets that are registered no more.
+    /// Removed registrations.
     pub removals: Vec<TargetRemoval>,
-    /// Availability zones that are evacuated, or no longer are.
+    /// Started and ended evacuations of availability zones.
     pub evacuations: Vec<ZoneEvacuation>,
 }
 
-/// What an update changed.
+/// Changes caused by an update.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ViewChange {
-    /// The version of the catalog that came into force.
+    /// Version of the catalog that was put in use.
     pub catalog: Option<CatalogVersion>,
-    /// Targets that are new or differ.
+    /// Targets that are new or changed.
     pub changed: Vec<TargetName>,
-    /// Targets that are gone.
+    /// Removed targets.
     pub removed: Vec<TargetName>,
     /// Availability zones whose evacuation started or ended.
     pub evacuations: Vec<ZoneEvacuation>,
 }
 
 impl ViewChange {
-    /// Tells whether nothing changed.
+    /// Returns whether nothing changed.
     pub fn is_empty(&self) -> bool {
         self.catalog.is_none()
             && self.changed.is_empty()
--- a/src/view/zone_evacuation.rs
+++ b/src/view/zone_evacuation.rs
@@ -1,4 +1,4 @@
-//! Whether the targets of an availability zone take new work.
+//! Evacuations of availability zones.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,13 +6,13 @@
 use crate::ids::StoreRevision;
 use crate::ids::ZoneName;
 
-/// What the operator last asked for an availability zone.
+/// The operator's latest evacuation setting for an availability zone.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ZoneEvacuation {
     /// The availability zone.
     pub availability_zone: ZoneName,
-    /// The revision of the store at which it was written or removed.
+    /// Store revision at which it was written or removed.
     pub revision: StoreRevision,
-    /// Whether the zone's targets are to get no new work.
+    /// Whether the zone's targets must get no new requests.
     pub active: bool,
 }
