--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -1,4 +1,4 @@
-//! Quotas of a large fleet whose hosts report by way of leaders, in virtual time.
+//! Quotas in a large fleet whose hosts report through group leaders, in simulated time.
 
 use std::time::Duration;
 
@@ -17,19 +17,19 @@
 use rand_chacha::ChaCha8Rng;
 
 const HOSTS: usize = 300;
-const GROUP: usize = 15;
+const GROUP_HOSTS: usize = 15;
 const STEP: Duration = Duration::from_millis(20);
 const WINDOW: Duration = Duration::from_secs(8);
 const RATE: f64 = 100_000.0;
 const SLACK: f64 = 140_000.0;
 
-/// Hosts in groups; the first live host of each leads it.
-struct GroupWorld {
-    ledgers: Vec<QuotaLimiter>,
+/// Simulated fleet of grouped hosts. The first live host of each group is its leader.
+struct GroupFleet {
+    limiters: Vec<QuotaLimiter>,
     dead: Vec<usize>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     admitted: Vec<(Duration, f64)>,
-    refused: usize,
+    rejected: usize,
 }
 
 fn account() -> ClientAccount {
@@ -50,51 +50,52 @@
     format!("e{host:03}")
 }
 
-impl GroupWorld {
-    /// Starts hosts that know each other at `start`.
+impl GroupFleet {
+    /// Starts all hosts at `start`, each with the full number of hosts.
     fn new(start: Duration) -> Self {
         let tolerance = QuotaTolerance {
             window: WINDOW,
             overage: 0.25,
             slack: SLACK,
         };
-        let ledger = || {
-            let mut ledger = QuotaLimiter::new(tolerance, HOSTS, start);
-            ledger.set_grouped(true, start);
-            ledger
+        let limiter = || {
+            let mut limiter = QuotaLimiter::new(tolerance, HOSTS, start);
+            limiter.set_grouped(true, start);
+            limiter
         };
         Self {
-            ledgers: (0..HOSTS).map(|_| ledger()).collect(),
+            limiters: (0..HOSTS).map(|_| limiter()).collect(),
             dead: Vec::new(),
-            chance: ChaCha8Rng::seed_from_u64(11),
+            rng: ChaCha8Rng::seed_from_u64(11),
             admitted: Vec::new(),
-            refused: 0,
+            rejected: 0,
         }
     }
 
     fn leader_of(&self, group: usize) -> usize {
-        let mut hosts = group * GROUP..(group + 1) * GROUP;
+        let mut hosts = group * GROUP_HOSTS..(group + 1) * GROUP_HOSTS;
         hosts
             .find(|host| !self.dead.contains(host))
             .expect("a group has a live host")
     }
 
-    /// Lets callers ask all hosts for so much a second, and hosts report, until `end`.
+    /// Sends requests of `per_second` tokens per second in total to random hosts, and exchanges
+    /// reports, until `end`.
     fn run(&mut self, start: Duration, from: Duration, end: Duration, per_second: f64) {
         let mut now = from;
         while now < end {
-            self.ask(per_second, now);
-            self.report(start, now);
+            self.send_requests(per_second, now);
+            self.exchange_reports(start, now);
             now += STEP;
         }
     }
 
-    fn ask(&mut self, per_second: f64, now: Duration) {
+    fn send_requests(&mut self, per_second: f64, now: Duration) {
         let cost = 1000.0;
         let mut expected = per_second * STEP.as_secs_f64() / cost;
-        while self.chance.random::<f64>() < expected {
+        while self.rng.random::<f64>() < expected {
             expected -= 1.0;
-            let host = self.chance.random_range(0..HOSTS);
+            let host = self.rng.random_range(0..HOSTS);
             if self.dead.contains(&host) {
                 continue;
             }
@@ -105,32 +106,32 @@
                 },
                 cost,
             };
-            let spread = self.chance.random::<f64>();
-            match self.ledgers[host].try_consume(&account(), request, now, spread) {
+            let spread = self.rng.random::<f64>();
+            match self.limiters[host].try_consume(&account(), request, now, spread) {
                 QuotaDecision::Admitted => self.admitted.push((now, cost)),
-                QuotaDecision::Rejected => self.refused += 1,
+                QuotaDecision::Rejected => self.rejected += 1,
             }
         }
     }
 
-    /// Lets members report each 200 ms, and leaders exchange each 500 ms.
-    fn report(&mut self, start: Duration, now: Duration) {
+    /// Members report every 200 ms, and leaders exchange reports every 500 ms.
+    fn exchange_reports(&mut self, start: Duration, now: Duration) {
         let tick = (now.as_millis() / STEP.as_millis()) as usize;
         for host in 0..HOSTS {
-            let leader = self.leader_of(host / GROUP);
+            let leader = self.leader_of(host / GROUP_HOSTS);
             if host == leader || self.dead.contains(&host) || !(host + tick).is_multiple_of(10) {
                 continue;
             }
-            self.send(host, leader, UsageScope::Host, start, now);
-            self.send(leader, host, UsageScope::Fleet, start, now);
+            self.send_report(host, leader, UsageScope::Host, start, now);
+            self.send_report(leader, host, UsageScope::Fleet, start, now);
         }
-        let groups = HOSTS / GROUP;
+        let groups = HOSTS / GROUP_HOSTS;
         for group in (0..groups).filter(|group| (group + tick).is_multiple_of(25)) {
             let from = self.leader_of(group);
             for other in (0..groups).filter(|other| *other != group) {
                 let to = self.leader_of(other);
-                self.send(from, to, UsageScope::Group, start, now);
-                self.send(to, from, UsageScope::Group, start, now);
+                self.send_report(from, to, UsageScope::Group, start, now);
+                self.send_report(to, from, UsageScope::Group, start, now);
             }
         }
         if tick.is_multiple_of(50) {
@@ -143,21 +144,28 @@
                 true => None,
                 false => Some(Duration::from_millis(500)),
             };
-            for ledger in &mut self.ledgers {
-                ledger.set_unseen_hosts(time_since_seen, 1.0, now);
+            for limiter in &mut self.limiters {
+                limiter.set_unseen_hosts(time_since_seen, 1.0, now);
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, scope: UsageScope, start: Duration, now: Duration) {
+    fn send_report(
+        &mut self,
+        from: usize,
+        to: usize,
+        scope: UsageScope,
+        start: Duration,
+        now: Duration,
+    ) {
         let receiver = name_of(to);
-        let ledger = &mut self.ledgers[from];
+        let limiter = &mut self.limiters[from];
         let (accounts, unresponsive) = match scope {
-            UsageScope::Host => (ledger.own_usage(false, now), Default::default()),
-            UsageScope::Group => ledger.group_usage(false, now),
-            UsageScope::Fleet => ledger.fleet_usage(&receiver, false, now),
+            UsageScope::Host => (limiter.own_usage(false, now), Default::default()),
+            UsageScope::Group => limiter.group_usage(false, now),
+            UsageScope::Fleet => limiter.fleet_usage(&receiver, false, now),
         };
-        let group = from / GROUP * GROUP..(from / GROUP + 1) * GROUP;
+        let group = from / GROUP_HOSTS * GROUP_HOSTS..(from / GROUP_HOSTS + 1) * GROUP_HOSTS;
         let members = group.filter(|host| !self.dead.contains(host));
         let covered: Vec<u32> = match scope {
             UsageScope::Host => vec![hash_host(&name_of(from))],
@@ -176,10 +184,10 @@
             accounts,
             unresponsive,
         };
-        self.ledgers[to].record_report(name_of(from), report, now);
+        self.limiters[to].record_report(name_of(from), report, now);
     }
 
-    /// Returns the most that was admitted in any window that ends behind `from`.
+    /// Returns the largest amount admitted in any window that ends at or after `from`.
     fn largest_window(&self, from: Duration) -> f64 {
         let ends = self.admitted.iter().filter(|(at, _)| *at >= from);
         ends.map(|(end, _)| {
@@ -191,7 +199,7 @@
     }
 }
 
-fn bound() -> f64 {
+fn window_limit() -> f64 {
     RATE * WINDOW.as_secs_f64() * 1.25 + SLACK
 }
 
@@ -199,52 +207,62 @@
     Duration::from_secs(seconds)
 }
 
-/// Guards against requests within their quota that are rejected for want of reports.
+/// Guards against rejections within the quota due to missing reports.
 #[test]
 fn an_account_within_its_quota_is_served_by_300_hosts() {
     let start = seconds(100);
-    let mut world = GroupWorld::new(start);
+    let mut fleet = GroupFleet::new(start);
 
-    world.run(start, start, seconds(104), 0.0);
-    world.run(start, seconds(104), seconds(120), RATE * 0.95);
+    fleet.run(start, start, seconds(104), 0.0);
+    fleet.run(start, seconds(104), seconds(120), RATE * 0.95);
 
-    let asked = world.admitted.len() + world.refused;
-    assert!(world.refused * 200 < asked, "{} of {asked}", world.refused);
+    let total = fleet.admitted.len() + fleet.rejected;
+    assert!(
+        fleet.rejected * 200 < total,
+        "{} of {total}",
+        fleet.rejected
+    );
 }
 
-/// Guards against hosts that each admit what is left before any hears of the others.
+/// Guards against an exceeded quota because each host admits the remaining amount before it
+/// receives reports of the others.
 #[test]
-fn a_hot_account_keeps_its_quota_over_300_hosts() {
+fn an_account_above_its_quota_is_limited_over_300_hosts() {
     let start = seconds(100);
-    let mut world = GroupWorld::new(start);
+    let mut fleet = GroupFleet::new(start);
 
-    world.run(start, start, seconds(104), RATE * 0.5);
-    world.run(start, seconds(104), seconds(120), RATE * 8.0);
+    fleet.run(start, start, seconds(104), RATE * 0.5);
+    fleet.run(start, seconds(104), seconds(120), RATE * 8.0);
 
-    let largest = world.largest_window(start);
-    assert!(largest <= bound(), "{largest} of {}", bound());
-    let late = world.largest_window(seconds(114));
+    let largest = fleet.largest_window(start);
+    assert!(largest <= window_limit(), "{largest} of {}", window_limit());
+    let late = fleet.largest_window(seconds(114));
     assert!(late >= RATE * WINDOW.as_secs_f64(), "{late}");
 }
 
-/// Guards against usage that counts twice, or not at all, as members turn to another leader.
+/// Guards against usage that is counted twice or not at all when members switch to another
+/// leader.
 #[test]
-fn leaders_that_die_change_nothing_for_accounts() {
+fn failed_leaders_do_not_affect_accounts() {
     let start = seconds(100);
-    let mut world = GroupWorld::new(start);
-    world.run(start, start, seconds(110), RATE * 0.85);
-    world.refused = 0;
+    let mut fleet = GroupFleet::new(start);
+    fleet.run(start, start, seconds(110), RATE * 0.85);
+    fleet.rejected = 0;
 
-    world.dead = (0..HOSTS / GROUP)
+    fleet.dead = (0..HOSTS / GROUP_HOSTS)
         .step_by(4)
-        .map(|group| group * GROUP)
+        .map(|group| group * GROUP_HOSTS)
         .collect();
-    world.run(start, seconds(110), seconds(125), RATE * 0.85);
-
-    let asked = world.admitted.len() + world.refused;
-    assert!(world.refused * 100 < asked, "{} of {asked}", world.refused);
-    let hot = seconds(125);
-    world.run(start, hot, seconds(140), RATE * 8.0);
-    let largest = world.largest_window(hot);
-    assert!(largest <= bound(), "{largest} of {}", bound());
+    fleet.run(start, seconds(110), seconds(125), RATE * 0.85);
+
+    let total = fleet.admitted.len() + fleet.rejected;
+    assert!(
+        fleet.rejected * 100 < total,
+        "{} of {total}",
+        fleet.rejected
+    );
+    let surge = seconds(125);
+    fleet.run(start, surge, seconds(140), RATE * 8.0);
+    let largest = fleet.largest_window(surge);
+    assert!(largest <= window_limit(), "{largest} of {}", window_limit());
 }
