--- a/tests/group_layout.rs
+++ b/tests/group_layout.rs
@@ -1,10 +1,10 @@
-//! The groups in which a large fleet gossips.
+//! Gossip groups of a large fleet.
 
 use cardamomgw::members::GroupLayout;
 use cardamomgw::members::LayoutHost;
 use cardamomgw::members::is_grouped;
 
-fn place(index: usize) -> LayoutHost {
+fn layout_host(index: usize) -> LayoutHost {
     LayoutHost {
         availability_zone: format!("z{}", index % 5),
         host: format!("e{index:03}"),
@@ -15,13 +15,13 @@
 fn layout_of(own: usize, hosts: &[usize]) -> GroupLayout {
     let others = hosts.iter().filter(|index| **index != own);
     GroupLayout::new(
-        &place(own),
-        others.map(|index| place(*index)).collect(),
+        &layout_host(own),
+        others.map(|index| layout_host(*index)).collect(),
         true,
     )
 }
 
-/// Guards against hosts that report to different leaders, or to none.
+/// Guards against hosts that report to different leaders or to none.
 #[test]
 fn all_hosts_agree_on_groups_and_leaders() {
     let hosts: Vec<usize> = (0..295).collect();
@@ -42,7 +42,7 @@
     assert!(first.group_count() <= 20, "{}", first.group_count());
 }
 
-/// Guards against a small host as the leader of a group that has a large one.
+/// Guards against a small host leading a group that contains a large one.
 #[test]
 fn the_largest_host_of_a_group_leads_it() {
     let hosts: Vec<usize> = (0..295).collect();
@@ -56,9 +56,9 @@
     }
 }
 
-/// Guards against a fleet whose groups all change as one host dies.
+/// Guards against all groups changing when one host fails.
 #[test]
-fn a_host_that_dies_moves_few_others() {
+fn a_failed_host_moves_few_others() {
     let hosts: Vec<usize> = (0..295).collect();
     let fewer: Vec<usize> = hosts
         .iter()
@@ -73,9 +73,9 @@
     assert!(moved.count() <= 4);
 }
 
-/// Guards against a fleet that changes to and fro between two ways of gossip.
+/// Guards against a fleet that alternates between full mesh and groups.
 #[test]
-fn a_fleet_at_the_border_stays_as_it_was() {
+fn a_fleet_at_the_threshold_keeps_its_mode() {
     assert!(!is_grouped(32, false));
     assert!(is_grouped(33, false));
     assert!(is_grouped(28, true));
--- a/tests/members_table.rs
+++ b/tests/members_table.rs
@@ -1,4 +1,4 @@
-//! Which hosts there are, by word of mouth.
+//! Membership by gossip.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_host_that_nobody_hears_of_is_dead_and_still_called() {
+fn an_unseen_host_is_dead_and_keeps_its_address() {
     let mut table = MemberTable::new("e1".into());
     table.apply_record(&record("e2", 1, 0), seconds(100));
 
@@ -44,18 +44,18 @@
     assert_eq!(
         table.addresses().len(),
         1,
-        "a cut that heals must be noticed"
+        "the end of a network partition must be noticed"
     );
     assert!(
         table.records(seconds(110)).is_empty(),
-        "or all keep it alive for ever"
+        "hosts must not keep a dead host alive for each other"
     );
 }
 
-/// Two hosts tell each other of a third one that died. Each word seemed to be news
-/// of it, and it lived on for both.
+/// Guards against a dead host that stays alive because two hosts keep relaying its record to
+/// each other and each relay counts as a new heartbeat.
 #[test]
-fn hearsay_ages_on_its_way() {
+fn relayed_records_keep_their_age() {
     let mut table = MemberTable::new("e1".into());
     table.apply_record(&record("e2", 1, 0), seconds(100));
 
@@ -68,20 +68,20 @@
 }
 
 #[test]
-fn a_new_life_replaces_the_old_one_and_the_host_itself_is_no_member() {
+fn a_new_incarnation_replaces_the_old_one_and_the_host_itself_is_no_member() {
     let mut table = MemberTable::new("e1".into());
     table.apply_record(&record("e2", 1, 0), seconds(100));
     table.apply_record(&record("e2", 2, 0), seconds(101));
     table.apply_record(&record("e1", 9, 0), seconds(101));
 
-    let notes = table.records(seconds(101));
+    let records = table.records(seconds(101));
 
-    assert_eq!(notes.len(), 1);
-    assert_eq!(notes[0].incarnation, 2);
+    assert_eq!(records.len(), 1);
+    assert_eq!(records[0].incarnation, 2);
 }
 
 #[test]
-fn only_changed_addresses_are_connected_anew() {
+fn only_changed_addresses_are_reported_as_changed() {
     let mut table = MemberTable::new("e1".into());
     table.apply_record(&record("e2", 1, 0), seconds(100));
 
--- a/tests/platform_view.rs
+++ b/tests/platform_view.rs
@@ -39,7 +39,7 @@
     }
 }
 
-fn whole(revision: u64, targets: &[TargetRecord]) -> ViewUpdate {
+fn full_update(revision: u64, targets: &[TargetRecord]) -> ViewUpdate {
     ViewUpdate {
         revision,
         full: true,
@@ -66,149 +66,153 @@
     }
 }
 
-/// A host that was cut off tells a peer what it believes. Targets that are long gone
-/// came back with it and got requests.
+/// Guards against removed targets that return with the outdated view of a host that was cut off,
+/// and then get requests.
 #[test]
-fn an_old_view_brings_nothing_back() {
-    let feed = SharedView::default();
+fn an_outdated_view_restores_no_removed_targets() {
+    let view = SharedView::default();
     let now = seconds(100);
-    feed.apply_store_response(whole(5, &[target("a", 3), target("b", 4)]), now, now);
-    feed.apply_store_response(removal("a", 9), now, now);
+    view.apply_store_response(full_update(5, &[target("a", 3), target("b", 4)]), now, now);
+    view.apply_store_response(removal("a", 9), now, now);
 
-    feed.apply_peer_view(whole(5, &[target("a", 3), target("b", 4)]), now);
+    view.apply_peer_view(full_update(5, &[target("a", 3), target("b", 4)]), now);
 
-    let names: Vec<String> = feed.targets().into_iter().map(|held| held.name).collect();
+    let names: Vec<String> = view.targets().into_iter().map(|held| held.name).collect();
     assert_eq!(names, ["b"]);
 }
 
 #[test]
-fn catalogs_only_rise() {
-    let feed = SharedView::default();
-    feed.apply_peer_view(with_catalog(7), seconds(1));
+fn catalog_versions_only_increase() {
+    let view = SharedView::default();
+    view.apply_peer_view(with_catalog(7), seconds(1));
 
-    let change = feed.apply_peer_view(with_catalog(5), seconds(2));
+    let change = view.apply_peer_view(with_catalog(5), seconds(2));
 
     assert!(change.is_empty());
-    assert_eq!(feed.catalog().unwrap().version(), 7);
+    assert_eq!(view.catalog().unwrap().version(), 7);
 }
 
-/// The store was away for five seconds, and registrations lapsed meanwhile. They are
-/// back within two seconds; a host that believed the gap had no target for as long.
+/// Guards against a host without targets after a store outage of five seconds, during which
+/// registrations expired. Running targets register again within two seconds.
 #[test]
-fn what_lapsed_in_an_outage_may_serve_until_it_is_back() {
-    let feed = SharedView::default();
+fn targets_that_lapsed_in_an_outage_serve_until_they_register_again() {
+    let view = SharedView::default();
     let targets = [target("back", 3), target("gone", 4)];
-    feed.apply_store_response(whole(5, &targets), seconds(100), seconds(100));
+    view.apply_store_response(full_update(5, &targets), seconds(100), seconds(100));
 
-    feed.apply_store_response(whole(8, &[]), seconds(105), seconds(105));
-    let during = feed.targets().len();
+    view.apply_store_response(full_update(8, &[]), seconds(105), seconds(105));
+    let during = view.targets().len();
     let registered = ViewUpdate {
         revision: 9,
         targets: vec![target("back", 9)],
         ..ViewUpdate::default()
     };
-    feed.apply_store_response(registered, seconds(106), seconds(106));
-    let change = feed.remove_lapsed(seconds(107));
+    view.apply_store_response(registered, seconds(106), seconds(106));
+    let change = view.remove_lapsed(seconds(107));
 
     assert_eq!(during, 2);
     assert_eq!(change.removed, ["gone"]);
-    assert_eq!(feed.targets().len(), 1);
+    assert_eq!(view.targets().len(), 1);
 }
 
-/// The first answer behind an outage may be that of another read than the watch: it
-/// makes the view young, and the watch then took what had lapsed for gone.
+/// Guards against lapsed targets being removed when a read other than the watch is the first to
+/// succeed after an outage. That read makes the view current, so the watch alone would not
+/// notice the outage.
 #[test]
-fn an_outage_is_known_whichever_read_ends_it() {
-    let feed = SharedView::default();
+fn an_outage_is_detected_whichever_read_ends_it() {
+    let view = SharedView::default();
     let first = ViewUpdate {
         catalog: Some(catalog(7)),
-        ..whole(5, &[target("a", 3)])
+        ..full_update(5, &[target("a", 3)])
     };
-    feed.apply_store_response(first, seconds(100), seconds(100));
+    view.apply_store_response(first, seconds(100), seconds(100));
 
-    feed.apply_store_response(with_catalog(7), seconds(105), seconds(105));
-    feed.apply_store_response(removal("a", 6), seconds(105), seconds(106));
+    view.apply_store_response(with_catalog(7), seconds(105), seconds(105));
+    view.apply_store_response(removal("a", 6), seconds(105), seconds(106));
 
-    assert_eq!(feed.targets().len(), 1);
+    assert_eq!(view.targets().len(), 1);
 }
 
-/// A host was cut off while its peers went on reading the store. As the cut healed it
-/// took a target that had left for one that had lapsed, and sent to it for two seconds
-/// more.
+/// Guards against two more seconds of requests to a target that left, after a host was cut off
+/// while its peers kept reading the store. The removal must not be taken for a lapse.
 #[test]
-fn nothing_lapses_while_peers_reach_the_store() {
-    let feed = SharedView::default();
+fn no_target_lapses_while_peers_reach_the_store() {
+    let view = SharedView::default();
     let first = ViewUpdate {
         catalog: Some(catalog(7)),
-        ..whole(5, &[target("a", 3)])
+        ..full_update(5, &[target("a", 3)])
     };
-    feed.apply_store_response(first, seconds(100), seconds(100));
+    view.apply_store_response(first, seconds(100), seconds(100));
     for second in 101..=112 {
-        feed.confirm_catalog(7, seconds(second), seconds(second));
+        view.confirm_catalog(7, seconds(second), seconds(second));
     }
 
-    let change = feed.apply_store_response(removal("a", 6), seconds(113), seconds(113));
+    let change = view.apply_store_response(removal("a", 6), seconds(113), seconds(113));
 
     assert_eq!(change.removed, ["a"]);
 }
 
-/// Without an outage a removal counts at once.
+/// Without an outage a removal takes effect immediately.
 #[test]
-fn a_removal_in_calm_times_is_one() {
-    let feed = SharedView::default();
-    feed.apply_store_response(whole(5, &[target("a", 3)]), seconds(100), seconds(100));
+fn a_removal_without_an_outage_takes_effect_immediately() {
+    let view = SharedView::default();
+    view.apply_store_response(
+        full_update(5, &[target("a", 3)]),
+        seconds(100),
+        seconds(100),
+    );
 
-    let change = feed.apply_store_response(removal("a", 6), seconds(101), seconds(101));
+    let change = view.apply_store_response(removal("a", 6), seconds(101), seconds(101));
 
     assert_eq!(change.removed, ["a"]);
 }
 
-/// A peer vouches for a catalog that this host doesn't hold yet. To take its word
-/// would let in keys that the newer catalog took away.
+/// Guards against accepting keys that a newer catalog removed. A peer's confirmation of a catalog
+/// that this host does not hold yet must not make its older catalog current.
 #[test]
-fn a_peers_word_counts_only_for_what_is_held() {
-    let feed = SharedView::default();
-    feed.apply_store_response(with_catalog(7), seconds(100), seconds(100));
+fn a_peers_confirmation_counts_only_for_a_held_catalog() {
+    let view = SharedView::default();
+    view.apply_store_response(with_catalog(7), seconds(100), seconds(100));
 
-    feed.confirm_catalog(8, seconds(110), seconds(110));
-    let unheld = feed.evidence_age(seconds(111));
-    feed.confirm_catalog(7, seconds(110), seconds(110));
-    let held = feed.evidence_age(seconds(111));
+    view.confirm_catalog(8, seconds(110), seconds(110));
+    let not_held = view.evidence_age(seconds(111));
+    view.confirm_catalog(7, seconds(110), seconds(110));
+    let held = view.evidence_age(seconds(111));
 
-    assert_eq!(unheld, Some(seconds(11)));
+    assert_eq!(not_held, Some(seconds(11)));
     assert_eq!(held, Some(seconds(1)));
 }
 
-/// A host was suspended for ten seconds as it waited for the store. What it believes
-/// is as old as the call's begin, not as its end.
+/// Guards against a view that appears current after the host was suspended for ten seconds while
+/// it waited for the store. The age counts from the start of the call, not from its end.
 #[test]
-fn evidence_has_the_age_of_the_calls_begin() {
-    let feed = SharedView::default();
+fn the_age_counts_from_the_start_of_the_call() {
+    let view = SharedView::default();
 
-    feed.apply_store_response(with_catalog(7), seconds(100), seconds(110));
+    view.apply_store_response(with_catalog(7), seconds(100), seconds(110));
 
-    assert_eq!(feed.evidence_age(seconds(110)), Some(seconds(10)));
+    assert_eq!(view.evidence_age(seconds(110)), Some(seconds(10)));
 }
 
-/// The store was away, and two targets were replaced meanwhile. One host had the news
-/// from the store and let the old ones serve on for a moment, as lapsed registrations
-/// come back; its peer took its view in that moment. The peer held the old ones for
-/// ever: it sent to them what their successors refused, three requests of four.
+/// Guards against a peer that keeps lapsed targets forever. Two targets were replaced during a
+/// store outage. One host kept the old ones for the grace period, and its peer received its view
+/// at that time. The peer would then keep using the old targets, and three of four requests would
+/// be refused by their successors.
 #[test]
-fn a_peer_takes_no_lapsed_target_for_one_that_stands() {
+fn a_peer_does_not_take_a_lapsed_target_as_registered() {
     let (first, second) = (SharedView::default(), SharedView::default());
     let start = seconds(100);
     let known = [target("old", 3), target("other", 4)];
-    first.apply_store_response(whole(5, &known), start, start);
-    second.apply_store_response(whole(5, &known), start, start);
-    let back = start + seconds(10);
-    first.apply_store_response(ViewUpdate::default(), back, back);
-    first.apply_store_response(removal("old", 8), back, back);
-    assert_eq!(first.targets().len(), 2, "it may still come back");
+    first.apply_store_response(full_update(5, &known), start, start);
+    second.apply_store_response(full_update(5, &known), start, start);
+    let outage_end = start + seconds(10);
+    first.apply_store_response(ViewUpdate::default(), outage_end, outage_end);
+    first.apply_store_response(removal("old", 8), outage_end, outage_end);
+    assert_eq!(first.targets().len(), 2, "it may still register again");
 
-    second.apply_peer_view(first.full_update(), back);
+    second.apply_peer_view(first.full_update(), outage_end);
 
-    second.remove_lapsed(back + seconds(2));
+    second.remove_lapsed(outage_end + seconds(2));
     let names: Vec<String> = second.targets().into_iter().map(|held| held.name).collect();
     assert_eq!(names, ["other"]);
 }
@@ -225,10 +229,10 @@
     }
 }
 
-/// Guards against an evacuation that ends because a peer is behind, or that goes on after
-/// the operator took it back.
+/// Guards against an evacuation that ends because a peer is behind, or that continues after the
+/// operator revoked it.
 #[test]
-fn the_newest_word_on_an_evacuation_holds() {
+fn the_newest_evacuation_setting_wins() {
     let view = SharedView::default();
     let now = seconds(100);
 
@@ -244,47 +248,48 @@
     assert!(view.evacuated_zones().is_empty());
 }
 
-/// Guards against an evacuation that goes on because its end fell into a lost history: the
-/// store is read whole then.
+/// Guards against an evacuation that continues because its end was among changes that are no
+/// longer available. Everything is read again in that case.
 #[test]
-fn a_whole_read_ends_an_evacuation_that_it_does_not_name() {
+fn a_full_read_ends_an_evacuation_that_it_does_not_contain() {
     let view = SharedView::default();
     let now = seconds(100);
     view.apply_store_response(evacuation("za", 5, true), now, now);
 
-    let change = view.apply_store_response(whole(9, &[]), now, now);
+    let change = view.apply_store_response(full_update(9, &[]), now, now);
 
     assert_eq!(change.evacuations.len(), 1);
     assert!(view.evacuated_zones().is_empty());
 }
 
-/// Guards against a host that starts during an evacuation, and learns the view from a peer.
+/// Guards against a host that misses an evacuation because it starts during it and receives the
+/// view from a peer.
 #[test]
-fn peers_pass_an_evacuation_on() {
+fn peers_relay_an_evacuation() {
     let view = SharedView::default();
-    let young = SharedView::default();
+    let started = SharedView::default();
     let late = SharedView::default();
     let now = seconds(100);
-    view.apply_store_response(whole(3, &[target("a", 3)]), now, now);
+    view.apply_store_response(full_update(3, &[target("a", 3)]), now, now);
     view.apply_store_response(evacuation("za", 5, true), now, now);
-    late.apply_peer_view(whole(3, &[target("a", 3)]), now);
+    late.apply_peer_view(full_update(3, &[target("a", 3)]), now);
 
-    young.apply_peer_view(view.full_update(), now);
+    started.apply_peer_view(view.full_update(), now);
     let lacking = view.update_since(3).expect("it lacks the evacuation");
     late.apply_peer_view(lacking, now);
 
-    assert_eq!(young.evacuated_zones(), ["za"]);
+    assert_eq!(started.evacuated_zones(), ["za"]);
     assert_eq!(late.evacuated_zones(), ["za"]);
 }
 
-/// Guards against a host that never reads a catalog since its targets are newer than it.
+/// Guards against a host that never reads a catalog because its targets are newer.
 #[test]
 fn the_store_is_read_from_the_catalogs_revision_on() {
     let view = SharedView::default();
     let now = seconds(100);
     let first = ViewUpdate {
         catalog: Some(catalog(7)),
-        ..whole(5, &[target("a", 3)])
+        ..full_update(5, &[target("a", 3)])
     };
     view.apply_store_response(first, now, now);
 
--- a/tests/poison_table.rs
+++ b/tests/poison_table.rs
@@ -1,17 +1,17 @@
-//! Requests that crash targets, as the ledgers of several hosts see them.
+//! Detection of requests that crash targets, over several hosts.
 
 use cardamomgw::ids::TargetName;
 use cardamomgw::poison::PoisonTable;
 use cardamomgw::poison::RequestFingerprint;
 use cardamomgw::poison::fingerprint_request;
 
-const MINUTE: u64 = 60_000;
+const MINUTE_MS: u64 = 60_000;
 
-fn killer() -> RequestFingerprint {
+fn poison() -> RequestFingerprint {
     fingerprint_request("harbour", "digest", b"poison")
 }
 
-fn innocent() -> RequestFingerprint {
+fn harmless() -> RequestFingerprint {
     fingerprint_request("harbour", "digest", b"weather")
 }
 
@@ -19,7 +19,7 @@
     format!("engine-{number}")
 }
 
-/// Exchanges all entries, as two digests do.
+/// Exchanges all entries in both directions, as gossip messages do.
 fn exchange(left: &mut PoisonTable, right: &mut PoisonTable) {
     for entry in left.entries() {
         right.merge(&entry);
@@ -29,58 +29,57 @@
     }
 }
 
-/// A caller sends a request again and again, each time to another host and with
-/// a new id, and each time an engine dies. Two hosts saw one loss each; after
-/// one exchange both must refuse it.
+/// Guards against a client that resends a crashing request to different hosts with new ids. Two
+/// hosts observed one loss each; after one exchange both must reject the request.
 #[test]
-fn second_loss_on_another_host_refuses_on_both() {
+fn second_loss_on_another_host_rejects_on_both() {
     let (mut left, mut right) = (PoisonTable::default(), PoisonTable::default());
-    left.record_loss(killer(), &target(1), MINUTE);
-    right.record_loss(killer(), &target(2), MINUTE + 5_000);
-    assert!(!left.is_refused(killer()));
+    left.record_loss(poison(), &target(1), MINUTE_MS);
+    right.record_loss(poison(), &target(2), MINUTE_MS + 5_000);
+    assert!(!left.is_refused(poison()));
 
     exchange(&mut left, &mut right);
 
-    assert!(left.is_refused(killer()) && right.is_refused(killer()));
+    assert!(left.is_refused(poison()) && right.is_refused(poison()));
 }
 
 #[test]
-fn request_that_ran_beside_it_is_cleared_everywhere_by_one_success() {
+fn concurrent_request_is_cleared_everywhere_by_one_success() {
     let (mut left, mut right) = (PoisonTable::default(), PoisonTable::default());
-    left.record_loss(innocent(), &target(1), MINUTE);
+    left.record_loss(harmless(), &target(1), MINUTE_MS);
     exchange(&mut left, &mut right);
 
-    right.record_success(innocent(), MINUTE + 3_000);
+    right.record_success(harmless(), MINUTE_MS + 3_000);
     exchange(&mut left, &mut right);
     exchange(&mut left, &mut right);
 
-    assert!(!left.is_suspect(innocent()) && !right.is_suspect(innocent()));
+    assert!(!left.is_suspect(harmless()) && !right.is_suspect(harmless()));
 }
 
 #[test]
-fn copies_lost_with_one_target_are_one_loss() {
+fn copies_lost_with_one_target_count_as_one_loss() {
     let mut table = PoisonTable::default();
 
-    table.record_loss(killer(), &target(1), MINUTE);
-    table.record_loss(killer(), &target(1), MINUTE + 10);
+    table.record_loss(poison(), &target(1), MINUTE_MS);
+    table.record_loss(poison(), &target(1), MINUTE_MS + 10);
 
-    assert!(table.is_suspect(killer()));
-    assert!(!table.is_refused(killer()));
+    assert!(table.is_suspect(poison()));
+    assert!(!table.is_refused(poison()));
 }
 
 #[test]
-fn refusal_ends_with_the_memory_and_memory_is_bounded() {
+fn rejection_ends_after_retention_and_table_size_is_limited() {
     let mut table = PoisonTable::default();
-    table.record_loss(killer(), &target(1), MINUTE);
-    table.record_loss(killer(), &target(2), MINUTE);
+    table.record_loss(poison(), &target(1), MINUTE_MS);
+    table.record_loss(poison(), &target(2), MINUTE_MS);
     for other in 0..1000u32 {
         let other = fingerprint_request("harbour", "digest", &other.to_le_bytes());
-        table.record_loss(other, &target(3), MINUTE / 2);
+        table.record_loss(other, &target(3), MINUTE_MS / 2);
     }
-    assert!(table.is_refused(killer()));
+    assert!(table.is_refused(poison()));
     assert!(table.entries().len() <= 64);
 
-    table.evict_expired(20 * MINUTE);
+    table.evict_expired(20 * MINUTE_MS);
 
-    assert!(!table.is_suspect(killer()));
+    assert!(!table.is_suspect(poison()));
 }
