--- a/src/members/gossip_schedule.rs
+++ b/src/members/gossip_schedule.rs
@@ -24,7 +24,7 @@
 pub enum CallInitiator {
     /// Always this host, as when a member calls its group's leader.
     Local,
-    /// One host of the pair, chosen by the hash of both names so that a pair needs only one
+    /// One host of the pair, selected by the hash of both names so that a pair needs only one
     /// connection.
     ByHash,
     /// The host that did not make the previous call. Only answers carry a usable age of the
--- a/src/poison/poison_entry.rs
+++ b/src/poison/poison_entry.rs
@@ -41,7 +41,7 @@
     /// Losses of targets, sorted.
     pub losses: Vec<TargetLoss>,
     /// When a target last completed the request; losses up to then no longer count.
-    pub cleared: UnixMillis,
+    pub cleared_at: UnixMillis,
 }
 
 impl PoisonEntry {
@@ -50,7 +50,7 @@
         Self {
             fingerprint,
             losses: Vec::new(),
-            cleared: 0,
+            cleared_at: 0,
         }
     }
 
@@ -60,9 +60,9 @@
         self.losses.extend(other.losses.iter().cloned());
         self.losses.sort();
         self.losses.dedup();
-        self.cleared = self.cleared.max(other.cleared);
-        let cleared = self.cleared;
-        self.losses.retain(|loss| loss.at > cleared);
+        self.cleared_at = self.cleared_at.max(other.cleared_at);
+        let cleared_at = self.cleared_at;
+        self.losses.retain(|loss| loss.at > cleared_at);
         *self != previous
     }
 }
--- a/src/poison/poison_table.rs
+++ b/src/poison/poison_table.rs
@@ -56,7 +56,7 @@
         let Some(entry) = self.entries.get_mut(&fingerprint) else {
             return false;
         };
-        entry.cleared = entry.cleared.max(now);
+        entry.cleared_at = entry.cleared_at.max(now);
         entry.losses.clear();
         true
     }
@@ -99,7 +99,7 @@
         let cutoff = now.saturating_sub(RETENTION_MS);
         self.entries.retain(|_, entry| {
             entry.losses.retain(|loss| loss.at >= cutoff);
-            !entry.losses.is_empty() || entry.cleared >= cutoff
+            !entry.losses.is_empty() || entry.cleared_at >= cutoff
         });
         while self.entries.len() > MAX_SUSPECTS {
             let Some(oldest) = self.oldest_entry() else {
@@ -112,7 +112,7 @@
     fn oldest_entry(&self) -> Option<RequestFingerprint> {
         self.entries
             .iter()
-            .min_by_key(|(_, entry)| entry.losses.last().map_or(entry.cleared, |loss| loss.at))
+            .min_by_key(|(_, entry)| entry.losses.last().map_or(entry.cleared_at, |loss| loss.at))
             .map(|(fingerprint, _)| *fingerprint)
     }
 
