--- a/src/quota/demand_track.rs
+++ b/src/quota/demand_track.rs
@@ -1,94 +1,94 @@
-//! How much of each kind is asked for, as decaying rates.
+//! Requested tokens per second by priority class, as exponentially decaying averages.
 
 use std::time::Duration;
 
 use super::priority_split::ClassDemand;
 use super::priority_split::PriorityClass;
 
-/// How long the memory is: a sudden demand shows within a second, and single large
-/// requests don't look like one.
-const MEMORY: Duration = Duration::from_secs(1);
-/// The age that a host is taken to have at least: before, its first request alone would
-/// look like a sudden demand.
-const LEAST_AGE: Duration = Duration::from_millis(250);
-/// Below this a lane asks for nothing any more, in tokens a second.
-const LEAST_RATE: f64 = 0.5;
+/// Time constant of the decay: a surge shows within a second, and a single large
+/// request does not look like one.
+const DECAY_TIME: Duration = Duration::from_secs(1);
+/// Lower bound on the host's uptime in the start-up correction: below it, the first
+/// request alone would look like a surge.
+const MIN_UPTIME: Duration = Duration::from_millis(250);
+/// Rate below which a priority class has no demand, in tokens per second.
+const MIN_RATE: f64 = 0.5;
 
-/// How much of each kind is asked for, in tokens a second.
+/// Demand on this host by priority class, in tokens per second.
 #[derive(Clone, Debug)]
-pub(super) struct DemandTrack {
-    /// Sorted by lane; as of `counted_at`.
+pub(super) struct DemandTracker {
+    /// Sorted by priority class, decayed up to `updated_at`.
     demands: Vec<ClassDemand>,
-    counted_at: Duration,
-    /// When the host started: nothing was counted before.
-    began: Duration,
+    updated_at: Duration,
+    /// When the host started; there are no samples from before.
+    started_at: Duration,
 }
 
-impl DemandTrack {
-    /// Begins to count on a host that started at `began`.
-    pub(super) const fn new(began: Duration) -> Self {
+impl DemandTracker {
+    /// Creates the tracker of a host that started at `started_at`.
+    pub(super) const fn new(started_at: Duration) -> Self {
         Self {
             demands: Vec::new(),
-            counted_at: began,
-            began,
+            updated_at: started_at,
+            started_at,
         }
     }
 
-    /// Counts a request.
-    pub(super) fn note(&mut self, priority_class: PriorityClass, cost: f64, now: Duration) {
+    /// Adds a request.
+    pub(super) fn record(&mut self, priority_class: PriorityClass, cost: f64, now: Duration) {
         self.decay(now);
         let demand = ClassDemand {
             priority_class,
-            per_second: cost / MEMORY.as_secs_f64(),
+            per_second: cost / DECAY_TIME.as_secs_f64(),
         };
         add_demand(&mut self.demands, demand);
     }
 
-    /// Returns what is asked for now, sorted by lane.
+    /// Returns the current demand, sorted by priority class.
     ///
-    /// A host that has just started takes what it was asked so far for the rate that it
-    /// is, and not for the little that its memory holds of it: hosts that were killed
-    /// together under an account that asked too much admitted it all for a third of
-    /// a second each time, a seventh of a window.
+    /// On a host that has just started, the average is divided by the weight of the time
+    /// observed so far, since it would otherwise be far below the actual rate. Without
+    /// this, hosts that were all killed while an account exceeded its quota admitted
+    /// everything for a third of a second after each restart, a seventh of a window.
     pub(super) fn demands(&mut self, now: Duration) -> Vec<ClassDemand> {
         self.decay(now);
-        let age = now.saturating_sub(self.began).max(LEAST_AGE);
-        let seen = 1.0 - (-age.as_secs_f64() / MEMORY.as_secs_f64()).exp();
+        let uptime = now.saturating_sub(self.started_at).max(MIN_UPTIME);
+        let observed = 1.0 - (-uptime.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
         let demands = self.demands.iter();
         demands
             .map(|demand| ClassDemand {
-                per_second: demand.per_second / seen,
+                per_second: demand.per_second / observed,
                 ..*demand
             })
             .collect()
     }
 
     fn decay(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.counted_at).as_secs_f64();
-        let factor = (-passed / MEMORY.as_secs_f64()).exp();
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        let factor = (-elapsed / DECAY_TIME.as_secs_f64()).exp();
         for demand in &mut self.demands {
             demand.per_second *= factor;
         }
-        self.demands.retain(|demand| demand.per_second > LEAST_RATE);
-        self.counted_at = self.counted_at.max(now);
+        self.demands.retain(|demand| demand.per_second > MIN_RATE);
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
-/// Adds a demand to those of its lane; `demands` stay sorted by lane.
-pub(super) fn add_demand(demands: &mut Vec<ClassDemand>, more: ClassDemand) {
-    match demands.binary_search_by_key(&more.priority_class, |demand| demand.priority_class) {
-        Ok(index) => demands[index].per_second += more.per_second,
-        Err(index) => demands.insert(index, more),
+/// Adds to the demand of a priority class; `demands` stays sorted by priority class.
+pub(super) fn add_demand(demands: &mut Vec<ClassDemand>, added: ClassDemand) {
+    match demands.binary_search_by_key(&added.priority_class, |demand| demand.priority_class) {
+        Ok(index) => demands[index].per_second += added.per_second,
+        Err(index) => demands.insert(index, added),
     }
 }
 
-/// Takes a demand from those of its lane.
-pub(super) fn subtract_demand(demands: &mut Vec<ClassDemand>, less: ClassDemand) {
+/// Subtracts from the demand of a priority class.
+pub(super) fn subtract_demand(demands: &mut Vec<ClassDemand>, removed: ClassDemand) {
     if let Ok(index) =
-        demands.binary_search_by_key(&less.priority_class, |demand| demand.priority_class)
+        demands.binary_search_by_key(&removed.priority_class, |demand| demand.priority_class)
     {
-        demands[index].per_second -= less.per_second;
-        if demands[index].per_second <= LEAST_RATE {
+        demands[index].per_second -= removed.per_second;
+        if demands[index].per_second <= MIN_RATE {
             demands.remove(index);
         }
     }
