--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -3,7 +3,7 @@
 //! Neither needs a shared store. Hosts report their usage to each other; a host that
 //! receives no reports limits itself to its own share of the total.
 
-mod demand_track;
+mod demand_tracker;
 mod peer_usage;
 mod priority_split;
 mod quota_limiter;
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use super::demand_track::DemandTracker;
-use super::demand_track::add_demand;
-use super::demand_track::subtract_demand;
+use super::demand_tracker::DemandTracker;
+use super::demand_tracker::add_demand;
+use super::demand_tracker::subtract_demand;
 use super::peer_usage::AccountUsage;
 use super::peer_usage::PeerAccount;
 use super::peer_usage::PeerUsage;
