--- a/src/dispatch/pace_track.rs
+++ b/src/dispatch/gap_tracker.rs
@@ -8,11 +8,11 @@
 
 /// Running means of what was seen of a target.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct PaceTrack {
+pub(super) struct GapTracker {
     pause_ms: Option<f64>,
 }
 
-impl PaceTrack {
+impl GapTracker {
     /// Notes the pause between two events of one stream.
     pub(super) fn record_event_gap(&mut self, pause: Duration) {
         mix(&mut self.pause_ms, pause);
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -5,16 +5,16 @@
 
 mod cold_start;
 mod dispatch_queue;
-mod first_estimate;
+mod gap_tracker;
 mod limit_table;
 mod output_estimate;
-mod pace_track;
 mod peer_loads;
 mod placement_request;
 mod pool_entry;
 mod pool_feedback;
 mod pool_table;
-mod rate_track;
+mod prefill_estimate;
+mod rate_meter;
 mod request_limit;
 mod request_queue;
 mod shard_range;
--- a/src/dispatch/pool_entry.rs
+++ b/src/dispatch/pool_entry.rs
@@ -9,9 +9,9 @@
 use super::QueueTicket;
 use super::RequestPriority;
 use super::ShardRange;
-use super::first_estimate::FirstEstimate;
 use super::output_estimate::OutputEstimate;
-use super::rate_track::RateTrack;
+use super::prefill_estimate::PrefillEstimate;
+use super::rate_meter::RateMeter;
 use super::request_queue::RequestQueue;
 use super::shard_range::TargetPlace;
 use super::target_choice::ChoiceView;
@@ -32,12 +32,12 @@
     pub(super) engine: bool,
     pub(super) targets: Vec<TargetRuntime>,
     pub(super) queue: RequestQueue,
-    pub(super) first: FirstEstimate,
+    pub(super) first: PrefillEstimate,
     pub(super) output: OutputEstimate,
     /// How often this host sends work there.
-    pub(super) begins: RateTrack,
+    pub(super) begins: RateMeter,
     /// How often it sends work there that can't be in time any more.
-    pub(super) late_begins: RateTrack,
+    pub(super) late_begins: RateMeter,
     /// How many requests of this host run there, by urgency.
     pub(super) running: SortedMap<RequestPriority, u32>,
     /// The slots that this host may use, where they are divided.
--- a/src/dispatch/first_estimate.rs
+++ b/src/dispatch/prefill_estimate.rs
@@ -17,12 +17,12 @@
 /// What decides the time to the first event, for the fastest targets of a pool; a
 /// slower one takes it by its slowness.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FirstEstimate {
+pub(super) struct PrefillEstimate {
     base_ms: f64,
     tokens_per_ms: f64,
 }
 
-impl Default for FirstEstimate {
+impl Default for PrefillEstimate {
     fn default() -> Self {
         Self {
             base_ms: USUAL_BASE_MS,
@@ -31,7 +31,7 @@
     }
 }
 
-impl FirstEstimate {
+impl PrefillEstimate {
     /// Returns the time to the first event where `tokens` are read before it, by a
     /// target that is `slowness` times as slow as the fastest.
     pub(super) fn predict(self, tokens: u64, slowness: f64) -> Duration {
--- a/src/dispatch/rate_track.rs
+++ b/src/dispatch/rate_meter.rs
@@ -7,12 +7,12 @@
 
 /// How often something happens.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct RateTrack {
+pub(super) struct RateMeter {
     count: f64,
     counted_at: Duration,
 }
 
-impl RateTrack {
+impl RateMeter {
     /// Counts one event.
     pub(super) fn note(&mut self, now: Duration) {
         self.count = self.per_second(now) * MEMORY_SECONDS + 1.0;
--- a/src/dispatch/target_choice.rs
+++ b/src/dispatch/target_choice.rs
@@ -5,8 +5,8 @@
 use super::HostPosition;
 use super::PlacementRequest;
 use super::SlotGrant;
-use super::first_estimate::FirstEstimate;
 use super::output_estimate::OutputEstimate;
+use super::prefill_estimate::PrefillEstimate;
 use super::target_runtime::TargetRuntime;
 
 /// How much a target in the host's own zone is preferred: enough to break ties.
@@ -43,7 +43,7 @@
     /// The host's own zone.
     pub(super) own_zone: &'a str,
     /// How long first events take.
-    pub(super) first: FirstEstimate,
+    pub(super) first: PrefillEstimate,
     /// How long outputs take.
     pub(super) output: OutputEstimate,
     /// The slots that the host may use, where hosts have slots of their own.
@@ -160,7 +160,7 @@
 pub(super) fn shortest_first(
     targets: &[TargetRuntime],
     request: &PlacementRequest,
-    first: FirstEstimate,
+    first: PrefillEstimate,
 ) -> Duration {
     let fastest = fastest_pause(targets);
     let open = targets.iter().filter(|target| target.is_accepting());
--- a/src/dispatch/target_runtime.rs
+++ b/src/dispatch/target_runtime.rs
@@ -7,8 +7,8 @@
 use super::PoolMember;
 use super::SlotGrant;
 use super::cold_start::ColdStart;
+use super::gap_tracker::GapTracker;
 use super::limit_table::LimitEntry;
-use super::pace_track::PaceTrack;
 use super::peer_loads::LoadSum;
 use super::request_limit::RequestLimit;
 use crate::catalog::ColdLimit;
@@ -37,7 +37,7 @@
     pub(super) peers: LoadSum,
     /// Tokens of this host's prompts there that are still to be read.
     pub(super) pending_prefill_tokens: u64,
-    pub(super) pace: PaceTrack,
+    pub(super) pace: GapTracker,
     /// Whether this host uses it first.
     pub(super) in_shard: bool,
     /// Whether its availability zone is evacuated.
@@ -67,7 +67,7 @@
             own: 0,
             peers: LoadSum::default(),
             pending_prefill_tokens: 0,
-            pace: PaceTrack::default(),
+            pace: GapTracker::default(),
             in_shard: true,
             failures: 0.0,
             silent_since: None,
