--- a/src/dispatch/cold_start.rs
+++ b/src/dispatch/cold_start.rs
@@ -1,4 +1,4 @@
-//! How often a cold target may be sent requests, and by which host when.
+//! Rate limiting of requests to a cold target, across hosts.
 
 use std::time::Duration;
 
@@ -6,89 +6,91 @@
 use super::shared_rate::SharedRate;
 use crate::catalog::ColdLimit;
 
-/// The part of a cold target's rate that all hosts use together: they learn at different
-/// moments that it is cold.
-const USED_PART: f64 = 0.75;
-/// How long a host may use its turn. What it doesn't use is not kept for later, or all hosts
-/// could use what they have kept at once.
-const TURN_LENGTH: Duration = Duration::from_millis(700);
-/// Within which a target's registration shows that it has turned cold: two heartbeats.
+/// The fraction of a cold target's permitted rate that all hosts use together. Hosts learn at
+/// different times that the target is cold, so some send without the limit for a moment.
+const USED_FRACTION: f64 = 0.75;
+/// Length of a host's send window. An unused window expires: saved ones could all be used at
+/// once.
+const WINDOW_LENGTH: Duration = Duration::from_millis(700);
+/// Time within which a target's registration shows that it is cold: two heartbeats.
 const REGISTRATION_DELAY: Duration = Duration::from_millis(2500);
 
 /// A target that is cold, or may be.
 ///
-/// Load it answers: a target that comes back empty has more free slots than all others, so
-/// every host sends to it at once. While it is cold it crashes under that, and comes back
-/// cold. All hosts may use it by turns instead, each in its own part of the rate, so the sum
-/// holds also for hosts that don't reach each other.
+/// A restarted target has more free slots than all others, so without a limit every host sends
+/// to it at once. A cold target crashes under that load and is cold again when it returns.
+/// Instead, each host sends in its own windows at its share of the rate, so the total holds
+/// even when hosts can't reach each other.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct ColdStart {
-    /// When this host learned of it.
+    /// When this host learned that the target is, or may be, cold.
     since: Duration,
-    /// Until when it is cold; `None` where it was lost and has not answered since.
+    /// End of the cold phase; `None` if the target was lost and has not answered since.
     until: Option<Duration>,
-    /// When this host sent there last.
-    used_at: Option<Duration>,
+    /// Last send of this host.
+    last_sent_at: Option<Duration>,
 }
 
 impl ColdStart {
-    /// Starts with a target that says for how long it stays cold.
+    /// Creates the state of a target that reports how long it stays cold.
     pub(super) fn registered(remaining: Duration, now: Duration) -> Self {
         Self {
             since: now,
             until: Some(now + remaining),
-            used_at: None,
+            last_sent_at: None,
         }
     }
 
-    /// Starts with a target that was lost, and may be cold when it answers again.
+    /// Creates the state of a lost target, which may be cold when it answers again.
     pub(super) const fn lost(now: Duration) -> Self {
         Self {
             since: now,
             until: None,
-            used_at: None,
+            last_sent_at: None,
         }
     }
 
-    /// Starts with a target that is used again and may be cold, as its registration will say.
+    /// Creates the state of a target that is back in use. It may be cold; its next registration
+    /// tells.
     pub(super) fn returned(now: Duration) -> Self {
         Self::registered(REGISTRATION_DELAY, now)
     }
 
-    /// Takes in for how long the target says that it stays cold.
+    /// Extends the cold phase to at least `remaining` from now.
     pub(super) fn extend(&mut self, remaining: Duration, now: Duration) {
         let until = now + remaining;
         self.until = Some(self.until.unwrap_or_default().max(until));
     }
 
-    /// Notes an answer of the target.
-    pub(super) fn note_answer(&mut self, now: Duration) {
+    /// Records an answer of the target: after a loss, the cold phase then ends once the
+    /// registration has had time to report it.
+    pub(super) fn record_answer(&mut self, now: Duration) {
         self.until.get_or_insert(now + REGISTRATION_DELAY);
     }
 
-    /// Tells whether the target is warm again.
+    /// Tells whether the cold phase is over.
     pub(super) fn is_over(&self, now: Duration) -> bool {
         self.until.is_some_and(|until| now >= until)
     }
 
-    /// Tells whether this host may send there now.
-    pub(super) fn has_turn(
+    /// Tells whether this host may send to the target now.
+    pub(super) fn may_send(
         &self,
         target: &str,
         limit: ColdLimit,
-        turn: HostPosition,
+        position: HostPosition,
         now: Duration,
     ) -> bool {
         let rate = SharedRate {
-            per_second: limit.requests_per_second * USED_PART,
+            per_second: limit.requests_per_second * USED_FRACTION,
             since: self.since,
-            turn_length: TURN_LENGTH,
+            window_length: WINDOW_LENGTH,
         };
-        rate.is_open(target, turn, self.used_at, now)
+        rate.allows(target, position, self.last_sent_at, now)
     }
 
-    /// Notes that this host sends there.
+    /// Records a send of this host.
     pub(super) const fn record_dispatch(&mut self, now: Duration) {
-        self.used_at = Some(now);
+        self.last_sent_at = Some(now);
     }
 }
--- a/src/dispatch/dispatch_queue.rs
+++ b/src/dispatch/dispatch_queue.rs
@@ -1,4 +1,4 @@
-//! The table as the requests of one host share it.
+//! The pool table as shared by the concurrent requests of one host.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -23,56 +23,56 @@
 use crate::ids::ZoneName;
 use crate::sorted::SortedMap;
 
-/// How many requests of one pool may wait at a host. Its part of the targets
-/// begins some twenty a second; what waits behind this many would wait longer
-/// than any caller does.
+/// The maximum number of requests per pool that wait at a host. A host's share of the
+/// targets starts about twenty requests per second, so a request behind this many would wait
+/// longer than any caller does.
 const MAX_WAITING: usize = 300;
 
-/// How a wait for a target ended.
+/// The outcome of waiting for a target.
 #[derive(Debug)]
 pub(crate) enum WaitOutcome {
-    /// A target has room.
+    /// A slot at a target was assigned.
     Placed(SlotGuard),
-    /// No target of the pool takes new work.
+    /// No target of the pool accepts new work.
     NoTarget,
-    /// More wait than can be served.
+    /// The request was shed: the queue is full, or the expected wait is too long.
     Overloaded,
-    /// The time that the request could wait is over.
+    /// The maximum wait has passed.
     TimedOut,
 }
 
-/// The table as the requests of one host share it.
+/// The pool table as shared by the concurrent requests of one host.
 #[derive(Debug)]
 pub(crate) struct DispatchQueue {
     table: Mutex<PoolTable>,
     waiters: Mutex<SortedMap<QueueTicket, Sender<PlacedTarget>>>,
-    next_number: AtomicU64,
+    next_ticket: AtomicU64,
 }
 
 impl DispatchQueue {
-    /// Makes a queue without targets.
+    /// Creates a queue without targets.
     pub(crate) fn new(own_zone: ZoneName) -> Arc<Self> {
         Arc::new(Self {
             table: Mutex::new(PoolTable::new(own_zone)),
             waiters: Mutex::default(),
-            next_number: AtomicU64::new(0),
+            next_ticket: AtomicU64::new(0),
         })
     }
 
-    /// Locks the table; held for a look or a change, never over a wait.
+    /// Locks the table. The guard must not be held across an await point.
     pub(crate) fn lock_table(&self) -> MutexGuard<'_, PoolTable> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until a target has room, for at most `patience`. Dropping the future
-    /// lets the request wait no more.
+    /// Waits until a target has a free slot, for at most `max_wait`. Dropping the future
+    /// removes the request from the queue.
     pub(crate) async fn wait_for_target(
         self: &Arc<Self>,
         request: PlacementRequest,
-        patience: Duration,
+        max_wait: Duration,
     ) -> WaitOutcome {
         let pool = request.pool.clone();
-        let (number, receiver) = {
+        let (ticket, receiver) = {
             let now = boot_now();
             let mut table = self.lock_table();
             if !table.has_accepting_target(&pool) {
@@ -80,37 +80,37 @@
             }
             if let Some(placed) = table.place(&request, now, rand::random()) {
                 drop(table);
-                return WaitOutcome::Placed(self.guard(pool, placed));
+                return WaitOutcome::Placed(self.make_guard(pool, placed));
             }
-            let hopeless =
-                table.should_shed(&request, now) || table.expected_wait(&request, now) > patience;
-            if hopeless || table.waiting(&pool) >= MAX_WAITING {
+            let should_shed =
+                table.should_shed(&request, now) || table.expected_wait(&request, now) > max_wait;
+            if should_shed || table.waiting(&pool) >= MAX_WAITING {
                 return WaitOutcome::Overloaded;
             }
-            let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+            let ticket = self.next_ticket.fetch_add(1, Ordering::Relaxed);
             let (sender, receiver) = async_channel::bounded(1);
-            self.lock_waiters().insert(number, sender);
-            table.wait(number, request, now);
-            (number, receiver)
+            self.lock_waiters().insert(ticket, sender);
+            table.enqueue(ticket, request, now);
+            (ticket, receiver)
         };
-        let place = QueuedRequest {
+        let queued = QueuedRequest {
             queue: self,
             pool: &pool,
-            number,
+            ticket,
             receiver,
         };
-        let waited = timeout(patience, place.receiver.recv()).await;
-        // It may also have been placed in the last moment.
+        let waited = timeout(max_wait, queued.receiver.recv()).await;
+        // The request may have been placed just as the wait timed out.
         match waited
             .unwrap_or(Err(RecvError))
-            .or(place.receiver.try_recv())
+            .or(queued.receiver.try_recv())
         {
-            Ok(placed) => WaitOutcome::Placed(self.guard(pool.clone(), placed)),
+            Ok(placed) => WaitOutcome::Placed(self.make_guard(pool.clone(), placed)),
             Err(_) => WaitOutcome::TimedOut,
         }
     }
 
-    /// Gives targets to those that wait, as far as there is room.
+    /// Assigns free slots to waiting requests.
     pub(crate) fn assign_waiting(self: &Arc<Self>) {
         let now = boot_now();
         let mut table = self.lock_table();
@@ -118,11 +118,11 @@
         let dropped = table.shed_late(now);
         drop(table);
         for ticket in dropped {
-            // Without its sender the request's wait ends.
+            // Dropping the sender ends the request's wait.
             self.lock_waiters().remove(&ticket);
         }
-        for (number, placed) in assigned {
-            let waiter = self.lock_waiters().remove(&number);
+        for (ticket, placed) in assigned {
+            let waiter = self.lock_waiters().remove(&ticket);
             let unwanted = match waiter {
                 Some(waiter) => waiter
                     .try_send(placed)
@@ -130,21 +130,21 @@
                     .map(|error| error.into_inner()),
                 None => Some(placed),
             };
-            // Its request left meanwhile; the slot goes to the next.
+            // The request is gone; its slot goes to the next one.
             if let Some(placed) = unwanted {
-                self.give_back(placed);
+                self.release(placed);
             }
         }
     }
 
-    fn give_back(self: &Arc<Self>, placed: PlacedTarget) {
+    fn release(self: &Arc<Self>, placed: PlacedTarget) {
         let pool = self.lock_table().pool_of(&placed.name);
         if let Some(pool) = pool {
-            drop(self.guard(pool, placed));
+            drop(self.make_guard(pool, placed));
         }
     }
 
-    fn guard(self: &Arc<Self>, pool: PoolName, placed: PlacedTarget) -> SlotGuard {
+    fn make_guard(self: &Arc<Self>, pool: PoolName, placed: PlacedTarget) -> SlotGuard {
         SlotGuard::new(Arc::clone(self), pool, placed)
     }
 
@@ -153,23 +153,22 @@
     }
 }
 
-/// A request's position in the line; dropping it takes the request out, however its
-/// wait ended.
+/// A request in the queue. Dropping it removes the request, however its wait ended.
 struct QueuedRequest<'a> {
     queue: &'a Arc<DispatchQueue>,
     pool: &'a str,
-    number: QueueTicket,
+    ticket: QueueTicket,
     receiver: Receiver<PlacedTarget>,
 }
 
 impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
-        self.queue.lock_waiters().remove(&self.number);
-        self.queue.lock_table().leave(self.pool, self.number);
-        // A target that was given to a request whose caller left in the same
-        // moment: its slot would otherwise be held for ever.
+        self.queue.lock_waiters().remove(&self.ticket);
+        self.queue.lock_table().dequeue(self.pool, self.ticket);
+        // The slot may have been assigned just as the caller left; without this it would
+        // never be released.
         if let Ok(placed) = self.receiver.try_recv() {
-            self.queue.give_back(placed);
+            self.queue.release(placed);
         }
     }
 }
--- a/src/dispatch/gap_tracker.rs
+++ b/src/dispatch/gap_tracker.rs
@@ -1,33 +1,33 @@
-//! How fast a target works, learned from what it sends.
+//! The token rate of a target, learned from the gaps between its events.
 
 use std::time::Duration;
 
-/// The weight of a new value in the running means: about the last ten count, so
-/// that a target that turns slow is known within a second of its events.
-const NEW_WEIGHT: f64 = 0.1;
+/// The weight of a new gap in the running mean, which covers about the last ten, so that a
+/// slowdown shows within a second of events.
+const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Running means of what was seen of a target.
+/// The running mean of the gaps between a target's events.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct GapTracker {
-    pause_ms: Option<f64>,
+    mean_ms: Option<f64>,
 }
 
 impl GapTracker {
-    /// Notes the pause between two events of one stream.
-    pub(super) fn record_event_gap(&mut self, pause: Duration) {
-        mix(&mut self.pause_ms, pause);
+    /// Records the gap between two events of one stream.
+    pub(super) fn record_gap(&mut self, gap: Duration) {
+        update_mean(&mut self.mean_ms, gap);
     }
 
-    /// Returns the mean pause between events, in milliseconds.
-    pub(super) const fn pause_ms(&self) -> Option<f64> {
-        self.pause_ms
+    /// Returns the mean gap between events, in milliseconds.
+    pub(super) const fn mean_ms(&self) -> Option<f64> {
+        self.mean_ms
     }
 }
 
-fn mix(mean: &mut Option<f64>, value: Duration) {
+fn update_mean(mean: &mut Option<f64>, value: Duration) {
     let value = value.as_secs_f64() * 1000.0;
     *mean = Some(match *mean {
-        Some(before) => before + NEW_WEIGHT * (value - before),
+        Some(before) => before + SAMPLE_WEIGHT * (value - before),
         None => value,
     });
 }
--- a/src/dispatch/limit_table.rs
+++ b/src/dispatch/limit_table.rs
@@ -8,10 +8,10 @@
 use crate::ids::TargetName;
 use crate::sorted::SortedMap;
 
-/// The relative change of a limit from which on it counts as another one.
-const LIMIT_CHANGE: f64 = 0.1;
+/// The smallest relative change of a limit that is applied and gossiped.
+const MIN_RELATIVE_CHANGE: f64 = 0.1;
 
-/// The request limit of a target, for a peer.
+/// The request limit of a target, as sent to peers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TargetLimit {
     /// The target.
@@ -39,25 +39,25 @@
 
 /// Request limits of targets, by their answers to this host and to its peers.
 ///
-/// Load it answers: an overloaded target. Without it each host finds the limit by its own
-/// requests and uses all of it.
+/// An overloaded target states a limit for all hosts together. If hosts did not exchange it,
+/// each would learn of it by its own requests and use all of it.
 #[derive(Debug, Default)]
 pub(super) struct LimitTable {
     entries: SortedMap<TargetName, LimitEntry>,
 }
 
 impl LimitTable {
-    /// Returns the last statement of a target.
+    /// Returns the last limit that a target stated.
     pub(super) fn get(&self, target: &str) -> Option<&LimitEntry> {
         self.entries.get(target)
     }
 
-    /// Notes the limit in the answer to a request that was sent at `sent`; returns whether the
+    /// Records the limit in the answer to a request that was sent at `sent`; returns whether the
     /// limit changes.
     ///
-    /// Only a request that was sent after the last statement can end the limit: the answer to
-    /// an older one may be older than the limit.
-    pub(super) fn note(
+    /// Only the answer to a request sent after the last statement can end the limit: the answer
+    /// to an earlier request may predate the limit.
+    pub(super) fn record(
         &mut self,
         target: &TargetName,
         per_second: Option<f64>,
@@ -68,10 +68,10 @@
         if per_second.is_none() && held.is_none_or(|held| sent <= held.stated_at) {
             return false;
         }
-        self.take(target, per_second, now, now, now)
+        self.store(target, per_second, now, now, now)
     }
 
-    /// Merges the limit that a peer holds; returns whether the limit changes.
+    /// Merges a limit received from a peer; returns whether the limit changes.
     pub(super) fn merge(&mut self, limit: &TargetLimit, now: Duration) -> bool {
         let stated_at = now.saturating_sub(Duration::from_millis(limit.age_ms));
         let since = now.saturating_sub(Duration::from_millis(limit.lasted_ms));
@@ -79,10 +79,10 @@
         if held.is_some_and(|held| stated_at <= held.stated_at) {
             return false;
         }
-        self.take(&limit.target, limit.per_second, since, stated_at, now)
+        self.store(&limit.target, limit.per_second, since, stated_at, now)
     }
 
-    /// Returns the limits that changed since a time, or all that are in force.
+    /// Returns the limits that changed since `since`, or all limits in force if `all` is set.
     pub(super) fn changes(&self, all: bool, since: Duration, now: Duration) -> Vec<TargetLimit> {
         let entries = self.entries.iter();
         let changed = entries.filter(|(_, entry)| match all {
@@ -100,12 +100,12 @@
             .collect()
     }
 
-    /// Forgets targets that are gone.
+    /// Removes targets that no longer exist.
     pub(super) fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.entries.retain(|target, _| is_known(target));
     }
 
-    fn take(
+    fn store(
         &mut self,
         target: &TargetName,
         per_second: Option<f64>,
@@ -117,7 +117,7 @@
         let limited = held.filter(|held| held.per_second.is_some());
         let changes = differs(held.and_then(|held| held.per_second), per_second);
         let entry = LimitEntry {
-            // Small changes are not gossiped, so they must not make hosts differ.
+            // Small changes are not gossiped, so applying them would make hosts disagree.
             per_second: match held {
                 Some(held) if !changes => held.per_second,
                 _ => per_second,
@@ -136,7 +136,7 @@
 
 fn differs(held: Option<f64>, per_second: Option<f64>) -> bool {
     match (held, per_second) {
-        (Some(held), Some(new)) => (new - held).abs() > held * LIMIT_CHANGE,
+        (Some(held), Some(new)) => (new - held).abs() > held * MIN_RELATIVE_CHANGE,
         (held, new) => held.is_some() != new.is_some(),
     }
 }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,7 +1,7 @@
-//! Decisions under load: which target runs a request, what waits and in which order.
+//! Dispatch under load: which target runs a request, which requests wait, and in which order.
 //!
-//! [`PoolTable`] is pure: it is told what happened and when, and has neither
-//! clock nor network. [`DispatchQueue`] shares one among the requests of a host.
+//! [`PoolTable`] is deterministic: events and their times are passed in, and it uses neither a
+//! clock nor the network. [`DispatchQueue`] shares one table among the requests of a host.
 
 mod cold_start;
 mod dispatch_queue;
--- a/src/dispatch/output_estimate.rs
+++ b/src/dispatch/output_estimate.rs
@@ -1,36 +1,36 @@
-//! How long a stream's output takes at each target.
+//! Estimates the duration of a stream's output at each target.
 
 use std::time::Duration;
 
-/// The weight of a new sample: about the last thirty count.
-const NEW_WEIGHT: f64 = 0.03;
-/// Outputs below this say little of the time that a token takes, in tokens.
-const LEAST_OUTPUT: u64 = 50;
+/// The weight of a new sample; the average covers about the last thirty.
+const SAMPLE_WEIGHT: f64 = 0.03;
+/// Shorter outputs are ignored: they say little about the time per token.
+const MIN_OUTPUT_TOKENS: u64 = 50;
 
-/// What an expected output token takes on the fastest targets of a pool, learned from whole
-/// streams; a slower target takes it by its slowness.
+/// The time per expected output token on the fastest targets of a pool, learned from complete
+/// streams. The time on a slower target is scaled by its slowness.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OutputEstimate {
-    token_ms: Option<f64>,
+    ms_per_token: Option<f64>,
 }
 
 impl OutputEstimate {
-    /// Returns how long `tokens` take at a target that is `slowness` times as slow as the
-    /// fastest; nothing as long as none were seen.
+    /// Returns the time to generate `tokens` on a target that is `slowness` times as slow as the
+    /// fastest; zero before the first sample.
     pub(super) fn predict(self, tokens: u64, slowness: f64) -> Duration {
-        let millis = self.token_ms.unwrap_or(0.0) * tokens as f64 * slowness;
+        let millis = self.ms_per_token.unwrap_or(0.0) * tokens as f64 * slowness;
         Duration::from_secs_f64(millis.clamp(0.0, 3_600_000.0) / 1000.0)
     }
 
-    /// Learns from a whole stream that was expected to have so many tokens.
-    pub(super) fn note(&mut self, tokens: u64, slowness: f64, lasted: Duration) {
-        if tokens < LEAST_OUTPUT {
+    /// Updates the estimate with a complete stream that was expected to have `tokens`.
+    pub(super) fn record(&mut self, tokens: u64, slowness: f64, elapsed: Duration) {
+        if tokens < MIN_OUTPUT_TOKENS {
             return;
         }
-        let sample = lasted.as_secs_f64() * 1000.0 / tokens as f64 / slowness.max(1.0);
-        self.token_ms = Some(match self.token_ms {
-            // What was expected is often far off, so that one sample may be too.
-            Some(mean) => mean + NEW_WEIGHT * (sample.min(4.0 * mean) - mean),
+        let sample = elapsed.as_secs_f64() * 1000.0 / tokens as f64 / slowness.max(1.0);
+        self.ms_per_token = Some(match self.ms_per_token {
+            // The expected length is often far off, and the sample with it, so it is capped.
+            Some(mean) => mean + SAMPLE_WEIGHT * (sample.min(4.0 * mean) - mean),
             None => sample,
         });
     }
--- a/src/dispatch/peer_loads.rs
+++ b/src/dispatch/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What other hosts run at each target, as they last told.
+//! The load of other hosts at each target, by their last reports.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 use crate::quota::UsageScope;
 use crate::sorted::SortedMap;
 
-/// How long a silent host's requests still count. Hosts tell their loads many
-/// times a second; one that is silent for this long is most likely dead, and its
-/// targets have noticed the closed connections.
-const LOAD_MEMORY: Duration = Duration::from_millis(1500);
+/// How long the last report of a silent host counts. Hosts report their loads many times per
+/// second; one that is silent for this long is most likely dead, and its targets have noticed
+/// the closed connections.
+const REPORT_TTL: Duration = Duration::from_millis(1500);
 
-/// How many requests a host runs at a target.
+/// The load that a host puts on a target.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetLoad {
     /// The target.
     pub target: TargetName,
-    /// Requests that the host has there.
+    /// Requests of the host that run there.
     pub running: u32,
-    /// Tokens of their prompts that are still to be read.
+    /// Prompt tokens of these requests that are not prefilled yet.
     pub pending_prefill_tokens: u64,
 }
 
-/// The sums over all other hosts at one target.
+/// The load of all other hosts at one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LoadSum {
     pub(super) running: u32,
@@ -35,12 +35,12 @@
 
 #[derive(Debug)]
 struct HostLoads {
-    heard: Duration,
+    reported_at: Duration,
     scope: UsageScope,
     loads: Vec<TargetLoad>,
 }
 
-/// What other hosts run at each target. The sums are kept up as reports come.
+/// The load of other hosts at each target. The sums are updated with each report.
 #[derive(Debug, Default)]
 pub(super) struct PeerLoads {
     hosts: SortedMap<HostName, HostLoads>,
@@ -48,55 +48,56 @@
 }
 
 impl PeerLoads {
-    /// Takes a report at `now`; it replaces the host's one before. Returns the targets whose
-    /// sums changed, sorted. A leader's report covers
-    /// all others, and what a leader told covers those that report here now.
-    pub(super) fn take(
+    /// Replaces a host's report. Returns the targets whose sums changed, sorted.
+    ///
+    /// A leader's report covers all other hosts, so it replaces theirs, and a host's own report
+    /// replaces a leader's.
+    pub(super) fn update(
         &mut self,
         host: HostName,
         loads: Vec<TargetLoad>,
         scope: UsageScope,
         now: Duration,
     ) -> Vec<TargetName> {
-        let mut touched = self.drop_hosts(|held, told| {
-            let covered = scope == UsageScope::Fleet || told.scope == UsageScope::Fleet;
+        let mut changed = self.remove_hosts(|held, report| {
+            let covered = scope == UsageScope::Fleet || report.scope == UsageScope::Fleet;
             covered && *held != host
         });
-        let told = HostLoads {
-            heard: now,
+        let report = HostLoads {
+            reported_at: now,
             scope,
             loads,
         };
-        for load in &told.loads {
+        for load in &report.loads {
             add(&mut self.sums, load);
-            touched.push(load.target.clone());
+            changed.push(load.target.clone());
         }
-        if let Some(before) = self.hosts.insert(host, told) {
+        if let Some(before) = self.hosts.insert(host, report) {
             self.subtract(&before);
-            touched.extend(before.loads.into_iter().map(|load| load.target));
+            changed.extend(before.loads.into_iter().map(|load| load.target));
         }
-        touched.sort();
-        touched.dedup();
-        touched
+        changed.sort();
+        changed.dedup();
+        changed
     }
 
-    /// Forgets silent hosts; returns the targets where they ran something.
-    pub(super) fn forget_silent(&mut self, now: Duration) -> Vec<TargetName> {
-        self.drop_hosts(|_, told| now.saturating_sub(told.heard) > LOAD_MEMORY)
+    /// Removes silent hosts; returns the targets where they had requests.
+    pub(super) fn expire(&mut self, now: Duration) -> Vec<TargetName> {
+        self.remove_hosts(|_, report| now.saturating_sub(report.reported_at) > REPORT_TTL)
     }
 
-    /// Adds what the hosts run that report to this one themselves.
+    /// Adds the loads of the hosts that report directly to this one.
     pub(super) fn add_direct(&self, loads: &mut Vec<TargetLoad>) {
-        let direct = |told: &&HostLoads| told.scope == UsageScope::Host;
-        for told in self.hosts.values().filter(direct) {
-            add_loads(loads, &told.loads);
+        let direct = |report: &&HostLoads| report.scope == UsageScope::Host;
+        for report in self.hosts.values().filter(direct) {
+            add_loads(loads, &report.loads);
         }
     }
 
-    /// Returns what one host runs at a target.
+    /// Returns the load of one host at a target.
     pub(super) fn load_of(&self, host: &str, target: &str) -> LoadSum {
-        let told = self.hosts.get(host);
-        let mut loads = told.into_iter().flat_map(|told| &told.loads);
+        let report = self.hosts.get(host);
+        let mut loads = report.into_iter().flat_map(|report| &report.loads);
         let load = loads.find(|load| load.target == target);
         load.map_or_else(LoadSum::default, |load| LoadSum {
             running: load.running,
@@ -104,33 +105,33 @@
         })
     }
 
-    fn drop_hosts(
+    fn remove_hosts(
         &mut self,
-        is_dropped: impl Fn(&HostName, &HostLoads) -> bool,
+        is_removed: impl Fn(&HostName, &HostLoads) -> bool,
     ) -> Vec<TargetName> {
-        let dropped: Vec<HostName> = self
+        let removed: Vec<HostName> = self
             .hosts
             .iter()
-            .filter(|(host, told)| is_dropped(host, told))
+            .filter(|(host, report)| is_removed(host, report))
             .map(|(host, _)| host.clone())
             .collect();
-        let mut touched = Vec::new();
-        for host in &dropped {
-            if let Some(told) = self.hosts.remove(host) {
-                self.subtract(&told);
-                touched.extend(told.loads.into_iter().map(|load| load.target));
+        let mut changed = Vec::new();
+        for host in &removed {
+            if let Some(report) = self.hosts.remove(host) {
+                self.subtract(&report);
+                changed.extend(report.loads.into_iter().map(|load| load.target));
             }
         }
-        touched
+        changed
     }
 
-    /// Returns the sum at one target.
+    /// Returns the load of all other hosts at one target.
     pub(super) fn sum(&self, target: &str) -> LoadSum {
         self.sums.get(target).copied().unwrap_or_default()
     }
 
-    fn subtract(&mut self, told: &HostLoads) {
-        for load in &told.loads {
+    fn subtract(&mut self, report: &HostLoads) {
+        for load in &report.loads {
             let Some(sum) = self.sums.get_mut(&load.target) else {
                 continue;
             };
--- a/src/dispatch/placement_request.rs
+++ b/src/dispatch/placement_request.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the table, and what it gets.
+//! The input and result of a placement.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,68 +13,68 @@
 /// The number of a waiting request, unique in its process.
 pub type QueueTicket = u64;
 
-/// How urgent a request is: the account's tier goes before the route's.
+/// The priority of a request: the account's tier is compared before the route's.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RequestPriority {
-    /// The tier of the account, or of the route where the account has none.
+    /// The tier of the account, or of the route if the account has none.
     pub account: TierRank,
     /// The tier of the route.
     pub route: TierRank,
 }
 
-/// What a request asks of the table.
+/// A request to be placed at a target of a pool.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// The pool that may run it.
+    /// The pool whose targets may run the request.
     pub pool: PoolName,
-    /// How urgent it is.
+    /// The request's priority.
     pub priority: RequestPriority,
-    /// When its first event must be there to meet its objective.
+    /// When the first event is due by the request's latency objective.
     pub objective_at: Duration,
-    /// Whether its caller was rejected before and has come back.
+    /// Whether the caller was rejected before and retries.
     pub is_retry: bool,
-    /// How many tokens must be read before its first event.
+    /// Prompt tokens that must be prefilled before the first event.
     pub prompt_tokens: u64,
-    /// How many tokens its caller expects, where it says so.
+    /// Output tokens that the caller expects, if stated.
     pub output_tokens: Option<u64>,
-    /// The longest pause between two events that is still in time.
+    /// The longest gap between two events that meets the objective.
     pub event_gap_objective: Option<Duration>,
-    /// When its time is over.
+    /// When the request times out.
     pub deadline: Duration,
-    /// Targets that it was sent to already.
+    /// Targets that were already tried.
     pub tried: Vec<TargetName>,
 }
 
-/// The target that is to run a request.
+/// The target assigned to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlacedTarget {
     /// The target.
     pub name: TargetName,
-    /// Where it listens.
+    /// The target's address.
     pub address: SocketAddr,
-    /// How urgent the request is.
+    /// The request's priority.
     pub priority: RequestPriority,
-    /// How many tokens the table counts as unread there for this request.
+    /// Prompt tokens of this request that the table counts as pending prefill at the target.
     pub prompt_tokens: u64,
-    /// How many tokens were to be read there before its own.
+    /// Tokens that were pending prefill at the target before this request's.
     pub tokens_ahead: u64,
-    /// How many tokens its caller expects, where it says so.
+    /// Output tokens that the caller expects, if stated.
     pub output_tokens: Option<u64>,
 }
 
-/// How a request at a target ended, as far as it tells of the target.
+/// The outcome of an attempt at a target, as evidence of the target's health.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptOutcome {
-    /// With a whole answer that is no failure.
+    /// A complete answer that is no failure.
     Succeeded,
-    /// With a failure of the target: an error, a cut or a broken answer.
+    /// A failure of the target: an error, or a truncated or malformed answer.
     Failed,
-    /// The target refused it without running it.
+    /// The target refused the request without running it.
     Rejected,
-    /// No connection came about.
+    /// No connection could be established.
     Unreachable,
-    /// Nothing was heard of it until it was given up.
+    /// The target sent nothing until the attempt timed out.
     Unresponsive,
-    /// The caller left or the time ran out: it tells nothing of the target.
+    /// The caller left or the request's time ran out; says nothing about the target.
     Cancelled,
 }
--- a/src/dispatch/pool_feedback.rs
+++ b/src/dispatch/pool_feedback.rs
@@ -1,4 +1,4 @@
-//! What the answers of targets show: paces, failures, request limits.
+//! Feedback from the answers of targets: token rates, failures and request limits.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use super::PlacedTarget;
 use super::PoolTable;
 use super::TargetLimit;
-use super::target_choice::fastest_pause;
+use super::target_choice::shortest_mean_gap;
 use crate::ids::TargetName;
 
 impl PoolTable {
-    /// Notes that a target sent something for a request.
+    /// Records that a target sent something for a request.
     pub fn record_activity(&mut self, pool: &str, target: &str, now: Duration) {
-        if let Some(target) = self.find(pool, target) {
+        if let Some(target) = self.target_mut(pool, target) {
             target.record_activity(now);
         }
     }
 
-    /// Notes how many requests per second a target takes, as an answer says to a request that
-    /// was sent at `sent`; returns whether that changes the limit.
+    /// Records the requests per second that a target accepts, as stated in the answer to a
+    /// request that was sent at `sent`; returns whether the limit changes.
     pub fn record_limit(
         &mut self,
         target: &TargetName,
@@ -26,14 +26,14 @@
         sent: Duration,
         now: Duration,
     ) -> bool {
-        let changes = self.limits.note(target, per_second, sent, now);
+        let changes = self.limits.record(target, per_second, sent, now);
         if changes {
             self.apply_limit(target);
         }
         changes
     }
 
-    /// Takes in what a peer knows of limits; returns those that change.
+    /// Merges the limits received from a peer; returns those that changed.
     pub fn merge_limits(&mut self, limits: Vec<TargetLimit>, now: Duration) -> Vec<TargetLimit> {
         let mut changed = Vec::new();
         for limit in limits {
@@ -45,7 +45,7 @@
         changed
     }
 
-    /// Returns the limits that changed since a time, for a peer; all of them if it is new.
+    /// Returns the limits that changed since `since`, for a peer; all of them if it is new.
     pub fn changed_limits(&self, new: bool, since: Duration, now: Duration) -> Vec<TargetLimit> {
         self.limits.changes(new, since, now)
     }
@@ -62,43 +62,45 @@
         }
     }
 
-    /// Notes the first byte of an answer, `waited` after its dispatch.
-    pub fn record_first_event(&mut self, pool: &str, placed: &PlacedTarget, waited: Duration) {
+    /// Records the first byte of an answer, `elapsed` after the dispatch.
+    pub fn record_first_event(&mut self, pool: &str, placed: &PlacedTarget, elapsed: Duration) {
         let Some(pool) = self.pools.get_mut(pool) else {
             return;
         };
-        let fastest = fastest_pause(&pool.targets);
+        let fastest = shortest_mean_gap(&pool.targets);
         let mut targets = pool.targets.iter_mut();
         let found = targets.find(|target| target.record.name == placed.name);
         if let Some(target) = found {
-            target.note_prompt_read(placed.prompt_tokens);
+            target.record_prefill_end(placed.prompt_tokens);
             let tokens = placed.tokens_ahead + placed.prompt_tokens;
-            pool.first.note(tokens, target.slowness(fastest), waited);
+            pool.prefill
+                .record(tokens, target.slowness(fastest), elapsed);
         }
     }
 
-    /// Notes a whole stream, whose events came within `lasted`.
-    pub fn record_stream_duration(&mut self, pool: &str, placed: &PlacedTarget, lasted: Duration) {
+    /// Records a complete stream whose events arrived within `elapsed`.
+    pub fn record_stream_duration(&mut self, pool: &str, placed: &PlacedTarget, elapsed: Duration) {
         let Some(pool) = self.pools.get_mut(pool) else {
             return;
         };
-        let fastest = fastest_pause(&pool.targets);
+        let fastest = shortest_mean_gap(&pool.targets);
         let mut targets = pool.targets.iter();
         let target = targets.find(|target| target.record.name == placed.name);
         if let (Some(target), Some(tokens)) = (target, placed.output_tokens) {
-            pool.output.note(tokens, target.slowness(fastest), lasted);
+            pool.output
+                .record(tokens, target.slowness(fastest), elapsed);
         }
     }
 
-    /// Notes the pause between two events of a stream.
-    pub fn record_event_gap(&mut self, pool: &str, target: &str, pause: Duration, now: Duration) {
-        if let Some(target) = self.find(pool, target) {
-            target.pace.record_event_gap(pause);
+    /// Records the gap between two events of a stream.
+    pub fn record_event_gap(&mut self, pool: &str, target: &str, gap: Duration, now: Duration) {
+        if let Some(target) = self.target_mut(pool, target) {
+            target.gaps.record_gap(gap);
             target.record_activity(now);
         }
     }
 
-    /// Notes the end of a request at a target.
+    /// Records the outcome of a request at a target.
     pub fn record_outcome(
         &mut self,
         pool: &str,
@@ -111,14 +113,14 @@
         {
             *running = running.saturating_sub(1);
         }
-        if let Some(target) = self.find(pool, &placed.name) {
-            target.note_prompt_read(placed.prompt_tokens);
+        if let Some(target) = self.target_mut(pool, &placed.name) {
+            target.record_prefill_end(placed.prompt_tokens);
             target.record_outcome(end, now);
         }
     }
 
-    /// Forgets the limits of targets that are gone, and applies the others.
-    pub(super) fn renew_limits(&mut self) {
+    /// Removes the limits of targets that no longer exist, and applies the others.
+    pub(super) fn refresh_limits(&mut self) {
         let targets = self.pools.values().flat_map(|pool| &pool.targets);
         let mut names: Vec<&str> = targets.map(|target| target.record.name.as_str()).collect();
         names.sort_unstable();
--- a/src/dispatch/pool_table.rs
+++ b/src/dispatch/pool_table.rs
@@ -1,4 +1,4 @@
-//! All targets and waiting requests of one host.
+//! The targets and waiting requests of one host.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use super::pool_entry::GrantedSlots;
 use super::pool_entry::HostView;
 use super::pool_entry::PoolEntry;
-use super::target_choice::shortest_first;
+use super::target_choice::shortest_first_event;
 use super::target_runtime::TargetRuntime;
 use crate::catalog::ColdLimit;
 use crate::ids::HostName;
@@ -29,32 +29,32 @@
 use crate::sorted::SortedMap;
 use crate::view::TargetRecord;
 
-/// The part of a shard's targets that must be usable for its slots to be divided. Where more
-/// are lost, hosts look for room in other shards.
-const LEAST_USABLE: f64 = 0.5;
+/// The fraction of a shard's targets that must be usable for its slots to be divided. If fewer
+/// are, hosts use targets outside their shard.
+const MIN_USABLE_FRACTION: f64 = 0.5;
 
-/// How long granted slots may be used: some reports may be lost.
-const GRANT_TIME: Duration = Duration::from_millis(1000);
+/// How long granted slots may be used without renewal, as some reports may be lost.
+const GRANT_LIFETIME: Duration = Duration::from_millis(1000);
 
-/// How often a host can send work at least, a second, as long as nothing is known.
-const LEAST_BEGIN_RATE: f64 = 4.0;
-/// The same for work that can't be in time any more.
-const LEAST_LATE_RATE: f64 = 1.0;
+/// The least rate assumed at which a host starts requests, per second.
+const MIN_DISPATCH_RATE: f64 = 4.0;
+/// The same for requests that can no longer meet their objective.
+const MIN_LATE_DISPATCH_RATE: f64 = 1.0;
 
-/// A target and whether its pool's targets are engines.
+/// A target with the configuration of its pool.
 #[derive(Clone, Debug)]
 pub struct PoolMember {
     /// The target.
     pub record: TargetRecord,
-    /// Whether it is a model engine.
+    /// Whether the pool's targets are model engines.
     pub engine: bool,
-    /// What it bears while it is cold; `None` where it is never cold.
+    /// The request limit while the target is cold; `None` if it has no cold phase.
     pub cold_limit: Option<ColdLimit>,
     /// Whether its availability zone is evacuated.
     pub evacuated: bool,
 }
 
-/// All targets and waiting requests of one host.
+/// The targets and waiting requests of one host.
 #[derive(Debug)]
 pub struct PoolTable {
     own_zone: ZoneName,
@@ -62,11 +62,11 @@
     pub(super) pools: SortedMap<PoolName, PoolEntry>,
     peer_loads: PeerLoads,
     pub(super) limits: LimitTable,
-    turn: Option<HostPosition>,
+    host_position: Option<HostPosition>,
 }
 
 impl PoolTable {
-    /// Makes a table without targets, for a host in `own_zone`.
+    /// Creates a table without targets, for a host in `own_zone`.
     pub fn new(own_zone: ZoneName) -> Self {
         Self {
             own_zone,
@@ -74,12 +74,12 @@
             pools: SortedMap::new(),
             peer_loads: PeerLoads::default(),
             limits: LimitTable::default(),
-            turn: None,
+            host_position: None,
         }
     }
 
-    /// Replaces the targets. What is known of those that stay is kept; those that
-    /// are gone take no new work at once, and what runs there goes on.
+    /// Replaces the targets. The state of targets that remain is kept. Removed targets get no
+    /// new work; their running requests continue.
     pub fn set_targets(&mut self, members: Vec<PoolMember>, now: Duration) {
         let mut known: Vec<TargetRuntime> = Vec::new();
         for (_, pool) in self.pools.iter_mut() {
@@ -96,7 +96,7 @@
             let target = match held {
                 Some(index) => {
                     let mut target = known.swap_remove(index);
-                    target.renew(member, now);
+                    target.update_registration(member, now);
                     target
                 }
                 None => TargetRuntime::new(member, now),
@@ -105,11 +105,11 @@
         }
         self.pools
             .retain(|_, pool| !pool.targets.is_empty() || pool.queue.len() > 0);
-        self.renew_limits();
+        self.refresh_limits();
         self.mark_shard();
     }
 
-    /// Takes the share of targets that this host's group prefers.
+    /// Sets the share of targets that this host's group prefers.
     pub fn set_group_share(&mut self, share: GroupShare) {
         let shard = ShardRange::new(share);
         if self.shard != shard {
@@ -118,10 +118,10 @@
         }
     }
 
-    /// Takes this host's place among all, by which it may send to rate-limited targets; `None`
-    /// while it is unknown.
-    pub fn set_host_position(&mut self, turn: Option<HostPosition>) {
-        self.turn = turn;
+    /// Sets this host's position among all hosts, which determines its send windows at
+    /// rate-limited targets; `None` while unknown.
+    pub fn set_host_position(&mut self, position: Option<HostPosition>) {
+        self.host_position = position;
     }
 
     fn mark_shard(&mut self) {
@@ -130,19 +130,19 @@
         }
     }
 
-    /// Takes the slots that this host may use for a while; all of a pool that is not named.
+    /// Sets the slots granted to this host. It may use all slots of a pool that is not listed.
     pub fn set_grants(&mut self, mut pools: Vec<PoolGrants>, now: Duration) {
         for (name, pool) in self.pools.iter_mut() {
             let index = pools.iter().position(|granted| granted.pool == *name);
             pool.granted = index.map(|index| GrantedSlots {
-                granted: pools.swap_remove(index),
+                pool_grants: pools.swap_remove(index),
                 late_started: 0,
-                until: now + GRANT_TIME,
+                expires_at: now + GRANT_LIFETIME,
             });
         }
     }
 
-    /// Returns how many slots this host wants at engines, by urgency.
+    /// Returns how many engine slots this host wants, by priority.
     pub fn slot_demands(&self) -> Vec<SlotDemand> {
         let mut demands: Vec<SlotDemand> = Vec::new();
         for (name, pool) in self.pools.iter().filter(|(_, pool)| pool.engine) {
@@ -169,14 +169,14 @@
         demands
     }
 
-    /// Tells whether requests wait for an engine.
+    /// Tells whether any request waits for an engine.
     pub fn has_waiting(&self) -> bool {
         let mut engines = self.pools.values().filter(|pool| pool.engine);
         engines.any(|pool| pool.queue.len() > 0)
     }
 
-    /// Returns the engines whose slots this host's group divides, as far as the grants of
-    /// `receiver` depend on them; `own` is this host, `members` those that hold grants.
+    /// Returns the engines whose slots this host's group divides, as input for the grants of
+    /// `receiver`. `own` is this host; `members` are the hosts that hold grants.
     pub fn grant_targets(
         &self,
         receiver: &str,
@@ -186,26 +186,26 @@
     ) -> Vec<(PoolName, Vec<GrantTarget>)> {
         let engines = self.pools.iter().filter(|(_, pool)| pool.engine);
         let running_of = |host: &str, target: &TargetRuntime| match host == own {
-            true => target.own,
+            true => target.own_running,
             false => self.peer_loads.load_of(host, &target.record.name).running,
         };
         let grant_target = |target: &TargetRuntime| {
             let running = running_of(receiver, target);
             let others = members.iter().filter(|host| *host != receiver);
             let by_members: u32 = others.map(|host| running_of(host, target)).sum();
-            let all = target.own + target.peers.running;
+            let all = target.own_running + target.peer_load.running;
             GrantTarget {
                 name: target.record.name.clone(),
                 slots: target.record.slots,
                 running,
-                outside: all.saturating_sub(by_members + running),
+                ungranted_running: all.saturating_sub(by_members + running),
             }
         };
         let grantable = |pool: &PoolEntry| -> Vec<GrantTarget> {
             let in_shard = || pool.targets.iter().filter(|target| target.in_shard);
             let usable = in_shard().filter(|target| target.is_grantable(now));
             let usable: Vec<GrantTarget> = usable.map(grant_target).collect();
-            match (usable.len() as f64) < in_shard().count() as f64 * LEAST_USABLE {
+            match (usable.len() as f64) < in_shard().count() as f64 * MIN_USABLE_FRACTION {
                 true => Vec::new(),
                 false => usable,
             }
@@ -215,23 +215,23 @@
             .collect()
     }
 
-    /// Tells whether any target of the pool takes new work.
+    /// Tells whether any target of the pool accepts new work.
     pub fn has_accepting_target(&self, pool: &str) -> bool {
         self.pools
             .get(pool)
             .is_some_and(|pool| pool.targets.iter().any(TargetRuntime::is_accepting))
     }
 
-    /// Gives a request a target if one has room and nobody who waits goes first.
+    /// Assigns a target to a request if one has a free slot.
     pub fn place(
         &mut self,
         request: &PlacementRequest,
         now: Duration,
-        spread: f64,
+        random: f64,
     ) -> Option<PlacedTarget> {
         let host = HostView {
             own_zone: &self.own_zone,
-            turn: self.turn,
+            position: self.host_position,
             now,
         };
         let pool = self.pools.get_mut(&request.pool)?;
@@ -239,16 +239,16 @@
         if is_late && !pool.has_room_for_late(now) {
             return None;
         }
-        let placed = pool.place(request, host, spread)?;
+        let placed = pool.place(request, host, random)?;
         pool.note_start(is_late, now);
         Some(placed)
     }
 
-    /// Tells whether a target has room for a request now.
+    /// Tells whether any target has a free slot for the request now.
     pub fn has_room_for(&self, request: &PlacementRequest, now: Duration) -> bool {
         let host = HostView {
             own_zone: &self.own_zone,
-            turn: self.turn,
+            position: self.host_position,
             now,
         };
         let Some(pool) = self.pools.get(&request.pool) else {
@@ -257,45 +257,48 @@
         pool.choose(request, host, 0.5).is_some()
     }
 
-    /// Returns how long a request would wait, by those that stand before it and by how
-    /// often this host could send work there lately.
+    /// Estimates how long a request would wait, from the requests ahead of it and the rate at
+    /// which this host lately started requests at the pool.
     ///
-    /// Load it answers: a burst so large that the last in the line wait until their
-    /// callers have left. They are told at once in place of that.
+    /// In a large burst the last requests in the queue would wait until their callers have
+    /// left. With this estimate they are rejected at once.
     pub fn expected_wait(&self, request: &PlacementRequest, now: Duration) -> Duration {
         let Some(pool) = self.pools.get(&request.pool) else {
             return Duration::ZERO;
         };
-        let first = shortest_first(&pool.targets, request, pool.first);
+        let first = shortest_first_event(&pool.targets, request, pool.prefill);
         let due = request.objective_at.saturating_sub(first);
-        let ahead = pool.queue.ahead(request.priority, due, now);
-        let begins = pool.begins.per_second(now).max(LEAST_BEGIN_RATE);
-        let wait = ahead as f64 / begins;
-        // Late work starts only where nothing else does, whatever the rate of all.
+        let ahead = pool.queue.count_ahead(request.priority, due, now);
+        let dispatch_rate = pool.dispatch_rate.per_second(now).max(MIN_DISPATCH_RATE);
+        let wait = ahead as f64 / dispatch_rate;
+        // Late requests start at a lower rate, as others go first.
         let late_ahead = match due < now {
-            true => pool.queue.late_ahead(request.priority, due),
+            true => pool.queue.count_late_ahead(request.priority, due),
             false => 0,
         };
-        let late_begins = pool.late_begins.per_second(now).max(LEAST_LATE_RATE);
-        Duration::from_secs_f64(wait.max(late_ahead as f64 / late_begins))
+        let late_dispatch_rate = pool
+            .late_dispatch_rate
+            .per_second(now)
+            .max(MIN_LATE_DISPATCH_RATE);
+        Duration::from_secs_f64(wait.max(late_ahead as f64 / late_dispatch_rate))
     }
 
-    /// Lets a request wait; [`PoolTable::assign`] gives it a target.
-    pub fn wait(&mut self, number: QueueTicket, request: PlacementRequest, now: Duration) {
+    /// Queues a request; [`PoolTable::assign`] assigns a target to it.
+    pub fn enqueue(&mut self, ticket: QueueTicket, request: PlacementRequest, now: Duration) {
         let pool = self
             .pools
             .get_or_insert_with(request.pool.clone(), PoolEntry::default);
-        let first = shortest_first(&pool.targets, &request, pool.first);
+        let first = shortest_first_event(&pool.targets, &request, pool.prefill);
         let due = request.objective_at.saturating_sub(first);
-        pool.queue.add(number, request, due, now);
+        pool.queue.push(ticket, request, due, now);
     }
 
-    /// Tells whether a request is to be rejected at once rather than wait: it can't be in time
-    /// any more, and the slots of engines are divided among requests that can be.
+    /// Tells whether a request is to be rejected at once rather than queued: it can no longer
+    /// meet its objective, and the engine slots are divided among requests that can.
     ///
-    /// Load it answers: a burst beyond what the engines can start. Callers that are told at
-    /// once can come back behind it, and are served late then. One that has come back waits:
-    /// it would not come again.
+    /// In a burst beyond the engines' capacity, callers that are rejected at once can retry
+    /// after the burst and be served late. A retry is queued, because its caller would not
+    /// retry again.
     pub fn should_shed(&self, request: &PlacementRequest, now: Duration) -> bool {
         let Some(pool) = self.pools.get(&request.pool) else {
             return false;
@@ -304,15 +307,15 @@
         pool.engine && is_late && !request.is_retry && pool.grants(now).is_some()
     }
 
-    /// Takes those that wait without hope out of the queues; see [`PoolTable::should_shed`].
+    /// Removes the queued requests that are to be rejected; see [`PoolTable::should_shed`].
     pub fn shed_late(&mut self, now: Duration) -> Vec<QueueTicket> {
         let mut dropped = Vec::new();
-        let divided = self.pools.iter_mut();
-        for (_, pool) in divided.filter(|(_, pool)| pool.engine && pool.grants(now).is_some()) {
-            pool.queue.sort_late(now);
+        let pools = self.pools.iter_mut();
+        for (_, pool) in pools.filter(|(_, pool)| pool.engine && pool.grants(now).is_some()) {
+            pool.queue.demote_late(now);
             let late = pool.queue.iter().filter(|(_, _, late)| *late);
-            let hopeless = late.filter(|(_, request, _)| !request.is_retry);
-            let tickets: Vec<QueueTicket> = hopeless.map(|(ticket, _, _)| ticket).collect();
+            let shed = late.filter(|(_, request, _)| !request.is_retry);
+            let tickets: Vec<QueueTicket> = shed.map(|(ticket, _, _)| ticket).collect();
             for ticket in &tickets {
                 pool.queue.remove(*ticket);
             }
@@ -321,39 +324,39 @@
         dropped
     }
 
-    /// Returns how many requests of the pool wait.
+    /// Returns the number of requests that wait for the pool.
     pub fn waiting(&self, pool: &str) -> usize {
         self.pools.get(pool).map_or(0, |pool| pool.queue.len())
     }
 
-    /// Lets a request wait no more; returns whether it still did.
-    pub fn leave(&mut self, pool: &str, number: QueueTicket) -> bool {
+    /// Removes a request from the queue; returns whether it was queued.
+    pub fn dequeue(&mut self, pool: &str, ticket: QueueTicket) -> bool {
         self.pools
             .get_mut(pool)
-            .is_some_and(|pool| pool.queue.remove(number))
+            .is_some_and(|pool| pool.queue.remove(ticket))
     }
 
-    /// Gives targets to those that wait, as far as there is room.
+    /// Assigns free slots to waiting requests.
     pub fn assign(
         &mut self,
         now: Duration,
-        mut spread: impl FnMut() -> f64,
+        mut random: impl FnMut() -> f64,
     ) -> Vec<(QueueTicket, PlacedTarget)> {
         let mut assigned = Vec::new();
         let host = HostView {
             own_zone: &self.own_zone,
-            turn: self.turn,
+            position: self.host_position,
             now,
         };
         for (_, pool) in self.pools.iter_mut() {
-            while let Some(pair) = pool.assign_next(host, &mut spread) {
+            while let Some(pair) = pool.assign_next(host, &mut random) {
                 assigned.push(pair);
             }
         }
         assigned
     }
 
-    /// Takes what a peer runs at each target, itself or with those that report to it.
+    /// Replaces the loads reported by a peer: its own, or those of its group or the fleet.
     pub fn update_peer_loads(
         &mut self,
         host: HostName,
@@ -361,32 +364,32 @@
         scope: UsageScope,
         now: Duration,
     ) {
-        let touched = self.peer_loads.take(host, loads, scope, now);
-        self.spread_peer_loads(&touched);
+        let changed = self.peer_loads.update(host, loads, scope, now);
+        self.apply_peer_loads(&changed);
     }
 
-    /// Forgets what silent peers told: they are most likely dead.
+    /// Removes the loads of silent peers, which are most likely dead.
     pub fn expire_peer_loads(&mut self, now: Duration) {
-        let mut touched = self.peer_loads.forget_silent(now);
-        touched.sort();
-        self.spread_peer_loads(&touched);
+        let mut changed = self.peer_loads.expire(now);
+        changed.sort();
+        self.apply_peer_loads(&changed);
     }
 
-    /// Brings the `touched` targets up to what peers run there.
-    fn spread_peer_loads(&mut self, touched: &[TargetName]) {
-        if touched.is_empty() {
+    /// Updates the peer load of the `changed` targets, which must be sorted.
+    fn apply_peer_loads(&mut self, changed: &[TargetName]) {
+        if changed.is_empty() {
             return;
         }
         for (_, pool) in self.pools.iter_mut() {
             for target in &mut pool.targets {
-                if touched.binary_search(&target.record.name).is_ok() {
-                    target.peers = self.peer_loads.sum(&target.record.name);
+                if changed.binary_search(&target.record.name).is_ok() {
+                    target.peer_load = self.peer_loads.sum(&target.record.name);
                 }
             }
         }
     }
 
-    /// Returns the targets that are held for lost, sorted.
+    /// Returns the targets that are suspected to be lost, sorted.
     pub fn suspected(&self, now: Duration) -> Vec<TargetName> {
         let targets = self.pools.values().flat_map(|pool| &pool.targets);
         let suspected = targets.filter(|target| target.is_suspected(now));
@@ -396,20 +399,20 @@
         names
     }
 
-    /// Returns what this host runs at each target, for its peers.
+    /// Returns this host's load at each target, for its peers.
     pub fn own_loads(&self) -> Vec<TargetLoad> {
         let targets = self.pools.values().flat_map(|pool| &pool.targets);
         targets
-            .filter(|target| target.own > 0)
+            .filter(|target| target.own_running > 0)
             .map(|target| TargetLoad {
                 target: target.record.name.clone(),
-                running: target.own,
+                running: target.own_running,
                 pending_prefill_tokens: target.pending_prefill_tokens,
             })
             .collect()
     }
 
-    /// Returns what this host and those that report to it run at each engine.
+    /// Returns the load of this host and of the hosts that report to it, at each engine.
     pub fn group_loads(&self) -> Vec<TargetLoad> {
         let mut loads = self.own_loads();
         self.peer_loads.add_direct(&mut loads);
@@ -417,14 +420,14 @@
         loads
     }
 
-    /// Returns what all hosts but `receiver` run at each engine of this host's shard.
+    /// Returns the load of all hosts but `receiver` at each engine of this host's shard.
     pub fn loads_excluding(&self, receiver: &str) -> Vec<TargetLoad> {
         let engines = self.pools.values().filter(|pool| pool.engine);
         let targets = engines.flat_map(|pool| &pool.targets);
         let loads = targets.filter(|target| target.in_shard).map(|target| {
             let theirs = self.peer_loads.load_of(receiver, &target.record.name);
-            let running = target.own + target.peers.running;
-            let unread = target.pending_prefill_tokens + target.peers.pending_prefill_tokens;
+            let running = target.own_running + target.peer_load.running;
+            let unread = target.pending_prefill_tokens + target.peer_load.pending_prefill_tokens;
             TargetLoad {
                 target: target.record.name.clone(),
                 running: running.saturating_sub(theirs.running),
@@ -434,7 +437,7 @@
         loads.filter(|load| load.running > 0).collect()
     }
 
-    /// Returns the engines that this host's group prefers, sorted.
+    /// Returns the engines in this host's shard, sorted.
     pub fn shard_targets(&self) -> Vec<TargetName> {
         let engines = self.pools.values().filter(|pool| pool.engine);
         let targets = engines.flat_map(|pool| &pool.targets);
@@ -451,7 +454,7 @@
         targets.find(|target| target.record.name == name)
     }
 
-    /// Returns the pool to which a target belongs.
+    /// Returns the pool of a target.
     pub fn pool_of(&self, target: &str) -> Option<PoolName> {
         let holds = |pool: &PoolEntry| {
             let mut targets = pool.targets.iter();
@@ -461,7 +464,7 @@
         found.map(|(name, _)| name.clone())
     }
 
-    pub(super) fn find(&mut self, pool: &str, target: &str) -> Option<&mut TargetRuntime> {
+    pub(super) fn target_mut(&mut self, pool: &str, target: &str) -> Option<&mut TargetRuntime> {
         let targets = &mut self.pools.get_mut(pool)?.targets;
         targets.iter_mut().find(|held| held.record.name == target)
     }
--- a/src/dispatch/request_queue.rs
+++ b/src/dispatch/request_queue.rs
@@ -6,116 +6,119 @@
 use super::QueueTicket;
 use super::RequestPriority;
 
-/// Where a request stands: those that can still meet their objective go first, by
-/// urgency and then by the time that they have left.
+/// The sort key of a waiting request: requests that can still meet their objective go first,
+/// ordered by priority and then by the time left.
 ///
-/// Load it answers: a burst beyond what the targets can begin in time. In order of
-/// arrival the line fills with work that will be late, and makes everything behind
-/// it late as well; nobody is then served in time until the burst is long over.
+/// In a burst beyond the targets' capacity, a first-in-first-out queue fills with requests that
+/// will be late and delays everything behind them, so that no request meets its objective
+/// until long after the burst.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct QueueOrder {
+struct QueueKey {
     late: bool,
     priority: RequestPriority,
     due: Duration,
-    number: QueueTicket,
+    ticket: QueueTicket,
 }
 
 /// A waiting request.
 #[derive(Debug)]
 struct QueueEntry {
-    place: QueueOrder,
+    key: QueueKey,
     request: PlacementRequest,
 }
 
-/// The requests of one pool that wait for a slot, in their order.
+/// The requests of one pool that wait for a slot, in dispatch order.
 #[derive(Debug, Default)]
 pub(super) struct RequestQueue {
     entries: Vec<QueueEntry>,
 }
 
 impl RequestQueue {
-    /// Returns how many wait.
+    /// Returns the number of waiting requests.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns how many stand before a request of this priority that must be dispatched
+    /// Returns the number of requests ahead of one with this priority that must be dispatched
     /// by `due`.
-    pub(super) fn ahead(&self, priority: RequestPriority, due: Duration, now: Duration) -> usize {
-        let place = QueueOrder {
+    pub(super) fn count_ahead(
+        &self,
+        priority: RequestPriority,
+        due: Duration,
+        now: Duration,
+    ) -> usize {
+        let key = QueueKey {
             late: due < now,
             priority,
             due,
-            number: QueueTicket::MAX,
+            ticket: QueueTicket::MAX,
         };
-        self.entries.partition_point(|held| held.place < place)
+        self.entries.partition_point(|held| held.key < key)
     }
 
-    /// Returns how many late ones stand before a late request of this priority.
-    pub(super) fn late_ahead(&self, priority: RequestPriority, due: Duration) -> usize {
-        let place = QueueOrder {
+    /// Returns the number of late requests ahead of a late request with this priority.
+    pub(super) fn count_late_ahead(&self, priority: RequestPriority, due: Duration) -> usize {
+        let key = QueueKey {
             late: true,
             priority,
             due,
-            number: QueueTicket::MAX,
+            ticket: QueueTicket::MAX,
         };
-        let before = self.entries.iter().filter(|held| held.place < place);
-        before.filter(|held| held.place.late).count()
+        let before = self.entries.iter().filter(|held| held.key < key);
+        before.filter(|held| held.key.late).count()
     }
 
-    /// Adds a request that must be dispatched by `due` to meet its objective.
-    pub(super) fn add(
+    /// Queues a request that must be dispatched by `due` to meet its objective.
+    pub(super) fn push(
         &mut self,
-        number: QueueTicket,
+        ticket: QueueTicket,
         request: PlacementRequest,
         due: Duration,
         now: Duration,
     ) {
-        let place = QueueOrder {
+        let key = QueueKey {
             late: due < now,
             priority: request.priority,
             due,
-            number,
+            ticket,
         };
-        self.insert(QueueEntry { place, request });
+        self.insert(QueueEntry { key, request });
     }
 
-    /// Removes a request; returns whether it was there.
-    pub(super) fn remove(&mut self, number: QueueTicket) -> bool {
+    /// Removes a request; returns whether it was queued.
+    pub(super) fn remove(&mut self, ticket: QueueTicket) -> bool {
         let before = self.entries.len();
-        self.entries.retain(|entry| entry.place.number != number);
+        self.entries.retain(|entry| entry.key.ticket != ticket);
         self.entries.len() < before
     }
 
-    /// Moves those that can't meet their objective any more behind the others.
-    pub(super) fn sort_late(&mut self, now: Duration) {
+    /// Moves requests that can no longer meet their objective behind the others.
+    pub(super) fn demote_late(&mut self, now: Duration) {
         let mut index = 0;
         let mut late = Vec::new();
         while index < self.entries.len() {
-            let place = self.entries[index].place;
-            if !place.late && place.due < now {
+            let key = self.entries[index].key;
+            if !key.late && key.due < now {
                 late.push(self.entries.remove(index));
             } else {
                 index += 1;
             }
         }
         for mut entry in late {
-            entry.place.late = true;
+            entry.key.late = true;
             self.insert(entry);
         }
     }
 
-    /// Returns the waiting requests in their order, and whether each is late.
+    /// Returns the waiting requests in dispatch order, and whether each is late.
     pub(super) fn iter(&self) -> impl Iterator<Item = (QueueTicket, &PlacementRequest, bool)> {
         self.entries
             .iter()
-            .map(|entry| (entry.place.number, &entry.request, entry.place.late))
+            .map(|entry| (entry.key.ticket, &entry.request, entry.key.late))
     }
 
     fn insert(&mut self, entry: QueueEntry) {
-        let index = self
-            .entries
-            .partition_point(|held| held.place < entry.place);
+        let index = self.entries.partition_point(|held| held.key < entry.key);
         self.entries.insert(index, entry);
     }
 }
--- a/src/dispatch/shard_range.rs
+++ b/src/dispatch/shard_range.rs
@@ -1,42 +1,43 @@
-//! Which targets a host prefers in a large fleet.
+//! Sharding of a large pool's targets among groups of hosts.
 
 use crate::members::GroupShare;
 
-/// Up to how many targets every host uses all.
-const SHARED_TARGETS: usize = 20;
+/// The largest pool that is not sharded; every host prefers all of its targets.
+const MAX_UNSHARDED_TARGETS: usize = 20;
 
 /// The subset of a pool's targets that a group of hosts prefers, so that few hosts compete
-/// for one target's slots and each knows what the others run there.
+/// for one target's slots and each knows the others' load there.
 ///
-/// Load it answers: many hosts before many targets. Groups stand in the order of their zones,
-/// as targets do, and each takes an equal run of them: where zones have alike many targets,
-/// those of its own zone, and a part of the others' where a zone has lost its targets.
+/// This limits contention between many hosts and many targets. Groups and targets are both
+/// sorted by zone, and each group gets an equal, contiguous range of targets. If zones have
+/// equally many targets, these are the targets of the group's own zone; if a zone has lost its
+/// targets, its groups get some of the others'.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ShardRange {
     share: GroupShare,
 }
 
-/// A target's place among those of its pool, in the order of zones and names.
+/// A target's position among those of its pool, sorted by zone and name.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TargetPlace {
-    /// How many stand before it.
+pub(super) struct TargetPosition {
+    /// Number of targets before it.
     pub(super) index: usize,
-    /// How many there are.
+    /// Number of targets.
     pub(super) count: usize,
 }
 
 impl ShardRange {
-    /// Makes the range of a group in `own_zone`.
+    /// Creates the range of a group with this share.
     pub const fn new(share: GroupShare) -> Self {
         Self { share }
     }
 
     /// Tells whether the group prefers a target.
-    pub(super) const fn holds(&self, place: TargetPlace) -> bool {
+    pub(super) const fn contains(&self, position: TargetPosition) -> bool {
         let share = &self.share;
-        if place.count <= SHARED_TARGETS || share.groups <= 1 {
+        if position.count <= MAX_UNSHARDED_TARGETS || share.groups <= 1 {
             return true;
         }
-        place.index * share.groups / place.count == share.index
+        position.index * share.groups / position.count == share.index
     }
 }
--- a/src/dispatch/slot_grants.rs
+++ b/src/dispatch/slot_grants.rs
@@ -1,4 +1,4 @@
-//! Which slots of a group's targets each of its hosts may use.
+//! Grants of target slots to the hosts of a group.
 
 use std::time::Duration;
 
@@ -12,19 +12,19 @@
 use crate::ids::TargetName;
 use crate::sorted::SortedMap;
 
-/// How long a grant counts that is not renewed; longer than hosts use one.
-const GRANT_MEMORY: Duration = Duration::from_millis(1500);
+/// How long a grant that is not renewed counts; longer than hosts use one.
+const GRANT_TTL: Duration = Duration::from_millis(1500);
 
-/// How many requests a target may queue: what takes the place of one that has ended is there
-/// before the hosts know of the end.
+/// How many requests a target may queue, so that the next request is already there when one
+/// ends, before the hosts learn of the end.
 const QUEUED_SLOTS: u32 = 1;
 
-/// How many requests a host may run at a target.
+/// The number of requests that a host may run at a target.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotGrant {
     /// The target.
     pub target: TargetName,
-    /// How many requests, running ones included.
+    /// Number of requests, running ones included.
     pub slots: u32,
 }
 
@@ -33,39 +33,39 @@
 pub struct PoolGrants {
     /// The pool.
     pub pool: PoolName,
-    /// How many requests it may run in all.
+    /// Number of requests that the host may run in total.
     pub slots: u32,
-    /// How many requests may start that can't be in time any more.
+    /// Number of requests that may start although they can no longer meet their objective.
     pub late: u32,
-    /// What it may use at each target, sorted; nothing at all others.
+    /// The slots at each target, sorted; none at targets that are not listed.
     pub grants: Vec<SlotGrant>,
 }
 
-/// A target as the leader of a group knows it while it grants slots to one host.
+/// A target as the leader of a group sees it while granting slots to one host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GrantTarget {
     /// The target.
     pub name: TargetName,
-    /// How many requests it runs at once.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
-    /// How many that host runs there.
+    /// Requests of that host that run there.
     pub running: u32,
-    /// How many hosts run there that hold no grant.
-    pub outside: u32,
+    /// Requests of hosts without a grant that run there.
+    pub ungranted_running: u32,
 }
 
 #[derive(Clone, Debug)]
 struct HostGrants {
     grants: SortedMap<TargetName, u32>,
-    at: Duration,
+    granted_at: Duration,
 }
 
 /// The slots that the leader of a group has granted.
 ///
-/// Load it answers: demand near or above what the targets can run. Hosts that choose by what
-/// others ran a moment ago send too much to one target and too little to the next, and what
-/// is too much waits in the target's queue, which knows no urgency. A grant names targets, so
-/// that no target ever holds more than its slots, and all that waits does so at the hosts.
+/// Near or above capacity, hosts that choose targets by the slightly outdated loads of others
+/// overload one target and leave slots free at another, and the excess waits in the target's
+/// queue, which has no priorities. Grants are per target, so that no target holds more than
+/// its slots and requests wait at the hosts.
 #[derive(Debug, Default)]
 pub struct SlotGrants {
     shares: SlotShares,
@@ -73,11 +73,11 @@
 }
 
 impl SlotGrants {
-    /// Takes what a host wants.
+    /// Updates the demand of a host.
     pub fn update_demands(&mut self, host: &str, demands: Vec<SlotDemand>, now: Duration) {
         self.shares.take(host, demands, now);
         self.granted
-            .retain(|_, held| now.saturating_sub(held.at) < GRANT_MEMORY);
+            .retain(|_, held| now.saturating_sub(held.granted_at) < GRANT_TTL);
     }
 
     /// Returns the hosts that hold grants.
@@ -85,8 +85,8 @@
         self.granted.iter().map(|(host, _)| host.clone()).collect()
     }
 
-    /// Grants a host its share of each pool's slots, in place of what it held. A pool whose
-    /// slots suffice for all hosts is left out: each host may use all of it.
+    /// Grants a host its share of each pool's slots, replacing its former grants. A pool with
+    /// enough slots for all hosts is left out: each host may use all of it.
     pub fn grant(
         &mut self,
         host: &str,
@@ -115,33 +115,35 @@
         if !granted.is_empty() {
             let grants = HostGrants {
                 grants: held,
-                at: now,
+                granted_at: now,
             };
             self.granted.insert(host.to_owned(), grants);
         }
         granted
     }
 
-    /// Returns `share` slots at the targets that have most left, behind what the host runs.
+    /// Distributes `share` slots: first to the requests that the host runs, then to the targets
+    /// with the most slots left.
     fn divide(&self, targets: &[GrantTarget], share: u32) -> Vec<SlotGrant> {
         let mut granted: Vec<u32> = targets.iter().map(|target| target.running).collect();
         let mut left: Vec<u32> = targets
             .iter()
             .map(|target| {
-                let taken = self.granted_at(&target.name) + target.outside + target.running;
+                let taken =
+                    self.granted_slots_at(&target.name) + target.ungranted_running + target.running;
                 (target.slots + QUEUED_SLOTS).saturating_sub(taken)
             })
             .collect();
         let running: u32 = granted.iter().sum();
         for _ in running..share {
-            let Some(most) = (0..left.len()).max_by_key(|index| left[*index]) else {
+            let Some(index_of_most) = (0..left.len()).max_by_key(|index| left[*index]) else {
                 break;
             };
-            if left[most] == 0 {
+            if left[index_of_most] == 0 {
                 break;
             }
-            left[most] -= 1;
-            granted[most] += 1;
+            left[index_of_most] -= 1;
+            granted[index_of_most] += 1;
         }
         let mut grants: Vec<SlotGrant> = targets
             .iter()
@@ -156,7 +158,7 @@
         grants
     }
 
-    fn granted_at(&self, target: &str) -> u32 {
+    fn granted_slots_at(&self, target: &str) -> u32 {
         let hosts = self.granted.values();
         hosts.filter_map(|held| held.grants.get(target)).sum()
     }
--- a/src/dispatch/slot_guard.rs
+++ b/src/dispatch/slot_guard.rs
@@ -1,4 +1,4 @@
-//! A slot at a target that a request holds.
+//! A slot at a target, held by a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use crate::clock::boot_now;
 use crate::ids::PoolName;
 
-/// A slot at a target that a request holds; dropping it frees the slot.
+/// A slot at a target, held by a request. Dropping it frees the slot.
 #[derive(Debug)]
 pub(crate) struct SlotGuard {
     queue: Arc<DispatchQueue>,
     pool: PoolName,
     placed: PlacedTarget,
-    began: Duration,
-    first_event: Option<Duration>,
-    last_event: Option<Duration>,
+    started_at: Duration,
+    first_event_at: Option<Duration>,
+    last_event_at: Option<Duration>,
     end: AttemptOutcome,
 }
 
@@ -27,10 +27,11 @@
             queue,
             pool,
             placed,
-            began: boot_now(),
-            first_event: None,
-            last_event: None,
-            // What is dropped on the way, as its caller left, tells nothing.
+            started_at: boot_now(),
+            first_event_at: None,
+            last_event_at: None,
+            // A guard that is dropped early, as when the caller leaves, says nothing about
+            // the target.
             end: AttemptOutcome::Cancelled,
         }
     }
@@ -40,34 +41,34 @@
         &self.placed
     }
 
-    /// Notes that an event of the answer came.
+    /// Records an event of the answer.
     pub(crate) fn record_event(&mut self) {
         let now = boot_now();
         let mut table = self.queue.lock_table();
-        match self.last_event {
+        match self.last_event_at {
             None => {
                 table.record_activity(&self.pool, &self.placed.name, now);
-                let waited = now.saturating_sub(self.began);
-                table.record_first_event(&self.pool, &self.placed, waited);
+                let elapsed = now.saturating_sub(self.started_at);
+                table.record_first_event(&self.pool, &self.placed, elapsed);
                 self.placed.prompt_tokens = 0;
             }
             Some(last) => {
-                let pause = now.saturating_sub(last);
-                table.record_event_gap(&self.pool, &self.placed.name, pause, now);
+                let gap = now.saturating_sub(last);
+                table.record_event_gap(&self.pool, &self.placed.name, gap, now);
             }
         }
-        self.first_event.get_or_insert(now);
-        self.last_event = Some(now);
+        self.first_event_at.get_or_insert(now);
+        self.last_event_at = Some(now);
     }
 
-    /// Notes how many requests per second the target takes, as its answer says; returns
-    /// whether that changes its limit.
+    /// Records the requests per second that the target accepts, as stated in its answer;
+    /// returns whether the limit changes.
     pub(crate) fn record_limit(&self, per_second: Option<f64>) -> bool {
         let mut table = self.queue.lock_table();
-        table.record_limit(&self.placed.name, per_second, self.began, boot_now())
+        table.record_limit(&self.placed.name, per_second, self.started_at, boot_now())
     }
 
-    /// Frees the slot and notes how the request ended there.
+    /// Frees the slot and records the outcome.
     pub(crate) fn finish(mut self, end: AttemptOutcome) {
         self.end = end;
     }
@@ -77,9 +78,9 @@
     fn drop(&mut self) {
         let now = boot_now();
         let mut table = self.queue.lock_table();
-        if let (AttemptOutcome::Succeeded, Some(first)) = (self.end, self.first_event) {
-            let lasted = now.saturating_sub(first);
-            table.record_stream_duration(&self.pool, &self.placed, lasted);
+        if let (AttemptOutcome::Succeeded, Some(first)) = (self.end, self.first_event_at) {
+            let elapsed = now.saturating_sub(first);
+            table.record_stream_duration(&self.pool, &self.placed, elapsed);
         }
         table.record_outcome(&self.pool, &self.placed, self.end, now);
         drop(table);
--- a/src/dispatch/slot_shares.rs
+++ b/src/dispatch/slot_shares.rs
@@ -1,4 +1,4 @@
-//! How the hosts of a group divide the slots of their shard when all are wanted.
+//! Division of a shard's slots among the hosts of a group when demand exceeds them.
 
 use std::time::Duration;
 
@@ -10,92 +10,95 @@
 use crate::ids::PoolName;
 use crate::sorted::SortedMap;
 
-/// From which part of the slots on that are wanted they are divided.
-const DIVIDED_FROM: f64 = 1.0;
-/// How many slots are given out, in parts of those that there are: some of those given are
-/// free for a moment, and a target queues what comes too much.
-const GIVEN_PART: f64 = 1.05;
-/// The part of the slots that late work leaves free, for what comes before the next report.
-const LATE_RESERVE: f64 = 0.06;
-/// How long the demand of a host counts that tells no other.
-const DEMAND_MEMORY: Duration = Duration::from_millis(1500);
+/// The ratio of wanted to existing slots from which on the slots are divided.
+const DIVISION_THRESHOLD: f64 = 1.0;
+/// The ratio of granted to existing slots. Some granted slots are briefly free, and a target
+/// queues the excess.
+const OVERCOMMIT_FACTOR: f64 = 1.05;
+/// The fraction of the slots that late requests leave free, for requests that arrive before the
+/// next report.
+const LATE_RESERVE_FRACTION: f64 = 0.06;
+/// How long a host's demand counts without a new report.
+const DEMAND_TTL: Duration = Duration::from_millis(1500);
 
-/// How many slots requests of one urgency want, running ones included.
+/// The number of slots wanted by requests of one priority, running ones included.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotDemand {
     /// The pool.
     pub pool: PoolName,
-    /// Their urgency; `None` for those that can't be in time any more, behind all others.
+    /// The priority; `None` for requests that can no longer meet their objective, which go last.
     pub priority: Option<RequestPriority>,
-    /// How many they want.
+    /// Number of slots wanted.
     pub slots: u32,
 }
 
-/// How many slots of a pool a host may use.
+/// A host's share of a pool's slots.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct SlotShare {
-    /// How many in all, running ones included.
+    /// Number of slots, used ones included.
     pub slots: u32,
-    /// How many more requests may start that can't be in time any more.
+    /// Number of requests that may still start although they can no longer meet their objective.
     pub late: u32,
 }
 
 #[derive(Clone, Debug)]
 struct HostDemand {
     demands: Vec<SlotDemand>,
-    at: Duration,
+    reported_at: Duration,
 }
 
-/// How the hosts of a group divide the slots of their shard, as its leader works it out.
+/// Computes, at the leader of a group, how its hosts divide the slots of their shard.
 ///
-/// Load it answers: a burst beyond what the targets can start. Each host sees the same few
-/// slots become free, and all of them send; what is sent too much waits in the targets'
-/// queues, which know no priorities, and all of it is late. With slots of its own a host
-/// keeps its requests in its own queue until it has one for them. The most urgent requests
-/// get theirs first, at whichever host they wait.
+/// In a burst beyond the targets' capacity, each host sees the same few slots become free and
+/// all hosts send; the excess waits in the targets' queues, which have no priorities, and
+/// becomes late. With its own slots, a host keeps requests in its own queue until a slot is
+/// free. Requests of the highest priority get slots first, whichever host they wait at.
 #[derive(Debug, Default)]
 pub struct SlotShares {
     hosts: SortedMap<HostName, HostDemand>,
 }
 
 impl SlotShares {
-    /// Takes what a host wants.
+    /// Updates the demand of a host.
     pub fn take(&mut self, host: &str, demands: Vec<SlotDemand>, now: Duration) {
-        let demand = HostDemand { demands, at: now };
+        let demand = HostDemand {
+            demands,
+            reported_at: now,
+        };
         self.hosts.insert(host.to_owned(), demand);
         self.hosts
-            .retain(|_, demand| now.saturating_sub(demand.at) < DEMAND_MEMORY);
+            .retain(|_, demand| now.saturating_sub(demand.reported_at) < DEMAND_TTL);
     }
 
-    /// Returns how many of a pool's `slots` a host may use; `None` while there are enough for
-    /// all.
+    /// Returns a host's share of a pool's `slots`; `None` while there are enough for all
+    /// hosts.
     pub fn share_of(&self, host: &str, pool: &str, slots: u32) -> Option<SlotShare> {
         let demands = || self.hosts.values().flat_map(|demand| demand.in_pool(pool));
         let wanted: u32 = demands().map(|demand| demand.slots).sum();
-        if slots == 0 || f64::from(wanted) < f64::from(slots) * DIVIDED_FROM {
+        if slots == 0 || f64::from(wanted) < f64::from(slots) * DIVISION_THRESHOLD {
             return None;
         }
-        let mut left = f64::from(slots) * GIVEN_PART;
+        let mut left = f64::from(slots) * OVERCOMMIT_FACTOR;
         let mut share = 0.0;
         let mut late = 0.0;
-        let reserve = f64::from(slots) * LATE_RESERVE;
-        for priority in ranks_of(demands()) {
+        let reserve = f64::from(slots) * LATE_RESERVE_FRACTION;
+        for priority in priorities_of(demands()) {
             let hosts = self.hosts.values();
             let all: f64 = hosts.map(|demand| demand.of(pool, priority)).sum();
-            let given = match priority {
+            let allotted = match priority {
                 Some(_) => all.min(left),
                 None => all.min((left - reserve).max(0.0)),
             };
-            // Nobody may want slots of an urgency any more that was reported before.
-            let part = if all > 0.0 { given / all } else { 0.0 };
-            let granted = self.share_of_rank(host, pool, priority, part);
+            // The demand of a reported priority may be zero.
+            let fraction = if all > 0.0 { allotted / all } else { 0.0 };
+            let granted = self.share_of_priority(host, pool, priority, fraction);
             share += granted;
             if priority.is_none() {
                 late = granted;
             }
-            left -= given;
+            left -= allotted;
         }
-        // What nobody wants yet is for what comes before the next report.
+        // Slots that nobody wants yet are for requests that arrive before the next report.
         let spare = (left / self.hosts.len() as f64).ceil();
         Some(SlotShare {
             slots: share as u32 + spare as u32,
@@ -103,19 +106,19 @@
         })
     }
 
-    /// Returns the `part` of what a host wants for one urgency. Each host's slots end where
-    /// the next one's start, so that rounding loses none.
-    fn share_of_rank(
+    /// Returns `fraction` of a host's demand for one priority. The hosts' slots form contiguous
+    /// ranges with rounded bounds, so that rounding loses no slot.
+    fn share_of_priority(
         &self,
         host: &str,
         pool: &str,
         priority: Option<RequestPriority>,
-        part: f64,
+        fraction: f64,
     ) -> f64 {
         let mut end = 0.0;
         for (name, demand) in self.hosts.iter() {
             let start: f64 = end;
-            end += demand.of(pool, priority) * part;
+            end += demand.of(pool, priority) * fraction;
             if name == host {
                 return end.round() - start.round();
             }
@@ -124,8 +127,10 @@
     }
 }
 
-/// Returns all urgencies that want slots, the most urgent first.
-fn ranks_of<'d>(demands: impl Iterator<Item = &'d SlotDemand>) -> Vec<Option<RequestPriority>> {
+/// Returns all priorities that want slots, the highest first.
+fn priorities_of<'d>(
+    demands: impl Iterator<Item = &'d SlotDemand>,
+) -> Vec<Option<RequestPriority>> {
     let mut ranks: Vec<Option<RequestPriority>> = demands.map(|demand| demand.priority).collect();
     ranks.sort_by_key(|priority| (priority.is_none(), *priority));
     ranks.dedup();
--- a/src/dispatch/target_runtime.rs
+++ b/src/dispatch/target_runtime.rs
@@ -1,4 +1,4 @@
-//! What one host knows of one target.
+//! The state of one target as seen by one host.
 
 use std::time::Duration;
 
@@ -15,46 +15,46 @@
 use crate::view::TargetPhase;
 use crate::view::TargetRecord;
 
-/// How long a target with work of this host may say nothing before it gets no
-/// more. A running engine sends an event each 25 to 100 ms, a plain service
-/// answers in tens of ms; a crashed host is silent for ever, and without this
-/// each request sent there is lost until its registration lapses after seconds.
-const SILENCE_BOUND: Duration = Duration::from_millis(700);
-/// How long a target that could not be reached is left alone at first, and at most.
-const FIRST_REST: Duration = Duration::from_millis(250);
-const LONGEST_REST: Duration = Duration::from_secs(2);
-/// The weight of a new outcome in the share of failures: the last five or so
-/// count, so that a target that fails all is known after as many requests.
+/// How long a target that runs requests of this host may be silent before it gets no more.
+/// A running engine sends an event every 25 to 100 ms, and a plain service answers within tens
+/// of ms. A crashed target stays silent, and without this limit each request sent to it would
+/// be lost until its registration expires after seconds.
+const SILENCE_LIMIT: Duration = Duration::from_millis(700);
+/// The initial and maximum back-off after a target could not be reached.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// The weight of a new outcome in the failure rate, which covers about the last five, so that
+/// a target that fails every request is detected after as many requests.
 const OUTCOME_WEIGHT: f64 = 0.2;
 
-/// What one host knows of one target.
+/// The state of one target as seen by one host.
 #[derive(Debug)]
 pub(super) struct TargetRuntime {
     pub(super) record: TargetRecord,
-    /// Requests of this host there.
-    pub(super) own: u32,
-    /// What other hosts have there, as they last told.
-    pub(super) peers: LoadSum,
-    /// Tokens of this host's prompts there that are still to be read.
+    /// Requests of this host that run there.
+    pub(super) own_running: u32,
+    /// The load of other hosts, by their last reports.
+    pub(super) peer_load: LoadSum,
+    /// Prompt tokens of this host's requests that are not prefilled yet.
     pub(super) pending_prefill_tokens: u64,
-    pub(super) pace: GapTracker,
-    /// Whether this host uses it first.
+    pub(super) gaps: GapTracker,
+    /// Whether the target is in this host's shard.
     pub(super) in_shard: bool,
-    /// Whether its availability zone is evacuated.
+    /// Whether the target's availability zone is evacuated.
     evacuated: bool,
     cold_limit: Option<ColdLimit>,
     cold_start: Option<ColdStart>,
     limit: Option<RequestLimit>,
-    /// Share of failures among the last outcomes.
-    failures: f64,
-    /// Since when nothing was heard although work of this host is there.
+    /// Moving average of failures among the outcomes, 0 to 1.
+    error_rate: f64,
+    /// Start of the current silence, while the target runs requests of this host.
     silent_since: Option<Duration>,
-    rest_until: Duration,
-    next_rest: Duration,
+    backoff_until: Duration,
+    next_backoff: Duration,
 }
 
 impl TargetRuntime {
-    /// Starts with a target of which nothing but its registration is known.
+    /// Creates the state of a target that is known only by its registration.
     pub(super) fn new(member: PoolMember, now: Duration) -> Self {
         let record = member.record;
         let is_cold = !record.cold_remaining.is_zero();
@@ -64,35 +64,35 @@
             cold_start: is_cold.then(|| ColdStart::registered(record.cold_remaining, now)),
             limit: None,
             record,
-            own: 0,
-            peers: LoadSum::default(),
+            own_running: 0,
+            peer_load: LoadSum::default(),
             pending_prefill_tokens: 0,
-            pace: GapTracker::default(),
+            gaps: GapTracker::default(),
             in_shard: true,
-            failures: 0.0,
+            error_rate: 0.0,
             silent_since: None,
-            rest_until: Duration::ZERO,
-            next_rest: FIRST_REST,
+            backoff_until: Duration::ZERO,
+            next_backoff: INITIAL_BACKOFF,
         }
     }
 
-    /// Takes a new registration in. A new life of the target knows nothing of
-    /// the one before, so what was seen of that is forgotten.
-    pub(super) fn renew(&mut self, member: PoolMember, now: Duration) {
+    /// Applies a new registration. After a restart of the target, the state learned of the
+    /// former process is discarded.
+    pub(super) fn update_registration(&mut self, member: PoolMember, now: Duration) {
         let record = &member.record;
         if self.record.started_at_ms != record.started_at_ms
             || self.record.address != record.address
         {
-            let own = self.own;
+            let own_running = self.own_running;
             *self = Self::new(member, now);
-            self.own = own;
+            self.own_running = own_running;
             return;
         }
         if self.evacuated && !member.evacuated {
             self.cold_start = Some(ColdStart::returned(now));
         }
-        let is_news = self.record.revision != record.revision;
-        if is_news && !record.cold_remaining.is_zero() {
+        let has_changed = self.record.revision != record.revision;
+        if has_changed && !record.cold_remaining.is_zero() {
             let cold_start = self.cold_start.filter(|held| !held.is_over(now));
             let mut cold_start = cold_start.unwrap_or(ColdStart::lost(now));
             cold_start.extend(record.cold_remaining, now);
@@ -103,13 +103,13 @@
         self.record = member.record;
     }
 
-    /// Tells whether the target may get new work at all.
+    /// Tells whether the target accepts new work.
     pub(super) fn is_accepting(&self) -> bool {
         self.record.phase == TargetPhase::Ready && !self.evacuated
     }
 
-    /// Tells whether all hosts use it by turns: it is cold, or may be, or it names how many
-    /// requests it takes.
+    /// Tells whether hosts send to the target in send windows: it is cold, or may be, or it
+    /// states a request limit.
     pub(super) fn is_rate_limited(&self, now: Duration) -> bool {
         self.is_cold(now) || self.limit.is_some()
     }
@@ -119,92 +119,93 @@
         cold_start.is_some_and(|cold_start| !cold_start.is_over(now))
     }
 
-    /// Takes the limit that the target names.
+    /// Applies the request limit that the target states.
     pub(super) fn set_limit(&mut self, entry: Option<LimitEntry>) {
-        let named = entry.and_then(|entry| Some((entry.per_second?, entry.since)));
-        self.limit = named.map(|(per_second, since)| match self.limit {
-            Some(limit) => limit.renew(per_second, since),
+        let stated = entry.and_then(|entry| Some((entry.per_second?, entry.since)));
+        self.limit = stated.map(|(per_second, since)| match self.limit {
+            Some(limit) => limit.with_rate(per_second, since),
             None => RequestLimit::new(per_second, since),
         });
     }
 
-    /// Tells whether the leader of a group may grant its slots.
+    /// Tells whether the leader of a group may grant the target's slots.
     pub(super) fn is_grantable(&self, now: Duration) -> bool {
         let usable = self.is_accepting() && self.is_healthy(now);
         self.in_shard && usable && !self.is_rate_limited(now)
     }
 
-    /// Tells whether this host may send to it now, as far as hosts use it by turns. A host
-    /// that doesn't know its turn sends to no such target.
-    pub(super) fn has_turn(&self, turn: Option<HostPosition>, now: Duration) -> bool {
-        self.has_cold_turn(turn, now) && self.has_limit_turn(turn, now)
+    /// Tells whether a send window allows this host to send to the target now. A host that
+    /// does not know its position must not send to a rate-limited target.
+    pub(super) fn may_send(&self, position: Option<HostPosition>, now: Duration) -> bool {
+        self.cold_start_allows(position, now) && self.limit_allows(position, now)
     }
 
-    fn has_cold_turn(&self, turn: Option<HostPosition>, now: Duration) -> bool {
+    fn cold_start_allows(&self, position: Option<HostPosition>, now: Duration) -> bool {
         let (true, Some(cold_start), Some(limit)) =
             (self.is_cold(now), self.cold_start, self.cold_limit)
         else {
             return true;
         };
-        turn.is_some_and(|turn| cold_start.has_turn(&self.record.name, limit, turn, now))
+        position
+            .is_some_and(|position| cold_start.may_send(&self.record.name, limit, position, now))
     }
 
-    fn has_limit_turn(&self, turn: Option<HostPosition>, now: Duration) -> bool {
+    fn limit_allows(&self, position: Option<HostPosition>, now: Duration) -> bool {
         let Some(limit) = self.limit else {
             return true;
         };
-        turn.is_some_and(|turn| limit.has_turn(&self.record.name, turn, now))
+        position.is_some_and(|position| limit.may_send(&self.record.name, position, now))
     }
 
-    /// Tells whether the target seems fit for new work.
+    /// Tells whether the target seems healthy: it is neither silent nor backed off from.
     pub(super) fn is_healthy(&self, now: Duration) -> bool {
-        now >= self.rest_until && !self.is_silent(now)
+        now >= self.backoff_until && !self.is_silent(now)
     }
 
-    /// Tells whether the target is held for lost: it could not be reached, or says
-    /// nothing. A target that is only full is not.
+    /// Tells whether the target is suspected to be lost: it could not be reached, or is
+    /// silent. A target that is only full is not suspected.
     pub(super) fn is_suspected(&self, now: Duration) -> bool {
-        let unreached = now < self.rest_until && self.next_rest > FIRST_REST;
+        let unreached = now < self.backoff_until && self.next_backoff > INITIAL_BACKOFF;
         unreached || self.is_silent(now)
     }
 
-    /// Returns how many requests it can start at once.
+    /// Returns the number of free slots.
     pub(super) fn free_slots(&self) -> u32 {
-        let taken = self.own + self.peers.running;
+        let taken = self.own_running + self.peer_load.running;
         self.record.slots.saturating_sub(taken)
     }
 
-    /// Returns how many requests this host may start there by what it was granted. A target
-    /// that all hosts use by turns is not granted to anybody.
-    pub(super) fn granted_room(&self, grants: &[SlotGrant], now: Duration) -> u32 {
+    /// Returns how many requests this host may start there under its grants. Rate-limited
+    /// targets are not subject to grants.
+    pub(super) fn granted_free_slots(&self, grants: &[SlotGrant], now: Duration) -> u32 {
         if self.is_rate_limited(now) {
             return self.free_slots();
         }
         let name = &self.record.name;
         let index = grants.binary_search_by(|grant| grant.target.cmp(name));
         let granted = index.map_or(0, |index| grants[index].slots);
-        granted.saturating_sub(self.own)
+        granted.saturating_sub(self.own_running)
     }
 
-    /// Returns how many tokens are read there before those of a new prompt.
+    /// Returns the number of tokens to be prefilled before a new prompt.
     pub(super) fn tokens_ahead(&self) -> u64 {
-        self.pending_prefill_tokens + self.peers.pending_prefill_tokens
+        self.pending_prefill_tokens + self.peer_load.pending_prefill_tokens
     }
 
-    /// Returns how many times as slow it is as a target with this pause.
-    pub(super) fn slowness(&self, fastest_pause: Option<f64>) -> f64 {
-        match (fastest_pause, self.pace.pause_ms()) {
+    /// Returns how many times as slow the target is as one with this mean gap; at least 1.
+    pub(super) fn slowness(&self, shortest_mean_gap: Option<f64>) -> f64 {
+        match (shortest_mean_gap, self.gaps.mean_ms()) {
             (Some(fastest), Some(own)) => (own / fastest).max(1.0),
             _ => 1.0,
         }
     }
 
-    /// Returns the share of outcomes that were no failures, 0 to 1.
+    /// Returns the moving average of outcomes that were no failures, 0 to 1.
     pub(super) fn success_rate(&self) -> f64 {
-        1.0 - self.failures
+        1.0 - self.error_rate
     }
 
-    /// Notes that work is sent there.
+    /// Records that a request is sent to the target.
     pub(super) fn record_dispatch(&mut self, prompt_tokens: u64, now: Duration) {
         if let Some(cold_start) = &mut self.cold_start {
             cold_start.record_dispatch(now);
@@ -212,53 +213,53 @@
         if let Some(limit) = &mut self.limit {
             limit.record_dispatch(now);
         }
-        self.own += 1;
+        self.own_running += 1;
         self.pending_prefill_tokens += prompt_tokens;
         self.silent_since.get_or_insert(now);
     }
 
-    /// Notes that the target sent something.
+    /// Records that the target sent something.
     pub(super) fn record_activity(&mut self, now: Duration) {
         self.silent_since = Some(now);
         if let Some(cold_start) = &mut self.cold_start {
-            cold_start.note_answer(now);
+            cold_start.record_answer(now);
         }
     }
 
-    /// Notes that a prompt was read: its first event came, or it ended before.
-    pub(super) fn note_prompt_read(&mut self, prompt_tokens: u64) {
+    /// Records that a prompt is prefilled: its first event arrived, or the request ended.
+    pub(super) fn record_prefill_end(&mut self, prompt_tokens: u64) {
         self.pending_prefill_tokens = self.pending_prefill_tokens.saturating_sub(prompt_tokens);
     }
 
-    /// Notes that work there ended.
+    /// Records the outcome of a request at the target.
     pub(super) fn record_outcome(&mut self, end: AttemptOutcome, now: Duration) {
-        self.own = self.own.saturating_sub(1);
-        if self.own == 0 {
+        self.own_running = self.own_running.saturating_sub(1);
+        if self.own_running == 0 {
             self.silent_since = None;
         }
         match end {
             AttemptOutcome::Succeeded => {
-                self.failures -= OUTCOME_WEIGHT * self.failures;
-                self.next_rest = FIRST_REST;
-                self.rest_until = Duration::ZERO;
+                self.error_rate -= OUTCOME_WEIGHT * self.error_rate;
+                self.next_backoff = INITIAL_BACKOFF;
+                self.backoff_until = Duration::ZERO;
             }
-            AttemptOutcome::Failed => self.failures += OUTCOME_WEIGHT * (1.0 - self.failures),
-            AttemptOutcome::Rejected => self.rest(now, FIRST_REST),
+            AttemptOutcome::Failed => self.error_rate += OUTCOME_WEIGHT * (1.0 - self.error_rate),
+            AttemptOutcome::Rejected => self.back_off(now, INITIAL_BACKOFF),
             AttemptOutcome::Unreachable | AttemptOutcome::Unresponsive => {
-                self.rest(now, self.next_rest);
+                self.back_off(now, self.next_backoff);
                 self.cold_start = Some(ColdStart::lost(now));
-                self.next_rest = (self.next_rest * 2).min(LONGEST_REST);
+                self.next_backoff = (self.next_backoff * 2).min(MAX_BACKOFF);
             }
             AttemptOutcome::Cancelled => {}
         }
     }
 
-    fn rest(&mut self, now: Duration, rest: Duration) {
-        self.rest_until = self.rest_until.max(now + rest);
+    fn back_off(&mut self, now: Duration, delay: Duration) {
+        self.backoff_until = self.backoff_until.max(now + delay);
     }
 
     fn is_silent(&self, now: Duration) -> bool {
         self.silent_since
-            .is_some_and(|since| now.saturating_sub(since) > SILENCE_BOUND)
+            .is_some_and(|since| now.saturating_sub(since) > SILENCE_LIMIT)
     }
 }
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -88,9 +88,9 @@
     let now = start();
     let mut board = board_of(vec![engine("t1", 2)]);
     let running = fill(&mut board, now);
-    board.wait(1, wish_of(2, 0, now), now);
-    board.wait(2, wish_of(0, 0, now), now);
-    board.wait(3, wish_of(0, 0, now - millis(500)), now);
+    board.enqueue(1, wish_of(2, 0, now), now);
+    board.enqueue(2, wish_of(0, 0, now), now);
+    board.enqueue(3, wish_of(0, 0, now - millis(500)), now);
 
     board.record_outcome(POOL, &running[0], AttemptOutcome::Succeeded, now);
     let first = board.assign(now, || 0.5);
@@ -114,9 +114,9 @@
     let now = start();
     let mut board = board_of(vec![engine("t1", 1)]);
     let running = fill(&mut board, now);
-    board.wait(1, wish_of(0, 0, now), now);
+    board.enqueue(1, wish_of(0, 0, now), now);
     let later = now + millis(600);
-    board.wait(2, wish_of(2, 0, later), later);
+    board.enqueue(2, wish_of(2, 0, later), later);
 
     board.record_outcome(POOL, &running[0], AttemptOutcome::Succeeded, later);
     let assigned = board.assign(later, || 0.5);
@@ -135,7 +135,7 @@
     let mut board = board_of(members);
     let running = fill(&mut board, now);
     for number in 0..20 {
-        board.wait(number, wish_of(0, 0, now - millis(900)), now);
+        board.enqueue(number, wish_of(0, 0, now - millis(900)), now);
     }
 
     for placed in &running[..8] {
@@ -264,7 +264,7 @@
     let mut board = board_of(vec![engine("t1", 12)]);
     fill(&mut board, now);
     for number in 0..60 {
-        board.wait(number, wish_of(0, 0, now), now);
+        board.enqueue(number, wish_of(0, 0, now), now);
     }
 
     let low = board.expected_wait(&wish_of(2, 0, now), now);
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -145,7 +145,7 @@
                 Some(placed) => self.send(host, placed, tier, now),
                 None => {
                     self.next_ticket += 1;
-                    self.tables[host].wait(self.next_ticket, request, now);
+                    self.tables[host].enqueue(self.next_ticket, request, now);
                     self.waiting.push((self.next_ticket, host, tier, now));
                 }
             }
@@ -203,7 +203,7 @@
         self.waiting.retain(|(ticket, host, _, arrived)| {
             let stays = now < *arrived + PATIENCE;
             if !stays {
-                tables[*host].leave(POOL, *ticket);
+                tables[*host].dequeue(POOL, *ticket);
             }
             stays
         });
@@ -352,8 +352,8 @@
         deadline: now + Duration::from_secs(12),
         tried: Vec::new(),
     };
-    table.wait(1, request(false), now);
-    table.wait(2, request(true), now);
+    table.enqueue(1, request(false), now);
+    table.enqueue(2, request(true), now);
     let late = now + OBJECTIVE;
 
     let undivided = table.shed_late(late);
@@ -372,12 +372,12 @@
     assert_eq!(table.waiting(POOL), 1);
 }
 
-fn grant_target(name: &str, running: u32, outside: u32) -> GrantTarget {
+fn grant_target(name: &str, running: u32, ungranted_running: u32) -> GrantTarget {
     GrantTarget {
         name: name.into(),
         slots: 8,
         running,
-        outside,
+        ungranted_running,
     }
 }
 
