--- a/src/dispatch/pool_entry.rs
+++ b/src/dispatch/pool_entry.rs
@@ -105,7 +105,7 @@
         random: f64,
     ) -> Option<usize> {
         let grants = self.grants(host.now);
-        let view = ChoiceContext {
+        let context = ChoiceContext {
             engine: self.engine,
             own_zone: host.own_zone,
             prefill: self.prefill,
@@ -120,7 +120,7 @@
             position: host.position,
             now: host.now,
         };
-        choose_target(&self.targets, request, view, random)
+        choose_target(&self.targets, request, context, random)
     }
 
     pub(super) fn place(
