--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -12,12 +12,12 @@
 use super::PolicyAction;
 use super::PolicySettings;
 use super::TargetFacts;
-use super::WasteCount;
+use super::WastedTokens;
 use super::WorkId;
 use super::WorkItem;
 use super::WorkOutcome;
 use super::fair_queue::FairQueue;
-use super::peer_room::PeerRoom;
+use super::peer_capacity::PeerCapacity;
 use super::pool_state::PoolState;
 use super::slot_ledger::SlotLedger;
 use super::target_view::TargetView;
@@ -39,8 +39,8 @@
     pub(super) running: SortedMap<WorkId, RunningWork>,
     pub(super) engines: PoolState,
     pub(super) services: PoolState,
-    pub(super) room: PeerRoom,
-    pub(super) waste: WasteCount,
+    pub(super) room: PeerCapacity,
+    pub(super) waste: WastedTokens,
     /// Where each prefix was sent last.
     pub(super) sent_prefixes: SortedMap<u64, TargetName>,
     sequence: u64,
@@ -73,8 +73,8 @@
             running: SortedMap::new(),
             engines: PoolState::new(),
             services: PoolState::new(),
-            room: PeerRoom::default(),
-            waste: WasteCount::default(),
+            room: PeerCapacity::default(),
+            waste: WastedTokens::default(),
             sent_prefixes: SortedMap::new(),
             sequence: 0,
         }
@@ -299,7 +299,7 @@
     }
 
     /// Returns the prompt tokens that were read for nothing.
-    pub const fn waste(&self) -> WasteCount {
+    pub const fn waste(&self) -> WastedTokens {
         self.waste
     }
 
--- a/src/policy/peer_room.rs
+++ b/src/policy/peer_capacity.rs
@@ -17,12 +17,12 @@
 
 /// How much room each peer had by its last digest.
 #[derive(Debug, Default)]
-pub(super) struct PeerRoom {
-    peers: SortedMap<HostName, RoomView>,
+pub(super) struct PeerCapacity {
+    peers: SortedMap<HostName, CapacityView>,
 }
 
 #[derive(Debug)]
-struct RoomView {
+struct CapacityView {
     taken: Duration,
     free: SortedMap<TargetName, u32>,
     waits: Vec<TierWait>,
@@ -34,13 +34,13 @@
     sent: u32,
 }
 
-impl PeerRoom {
+impl PeerCapacity {
     pub(super) fn take(&mut self, now: Duration, host: &HostName, digest: &HostDigest) {
         let free = digest.targets.iter().map(|demand| {
             let free = demand.held.saturating_sub(demand.running);
             (demand.target.clone(), free)
         });
-        let view = RoomView {
+        let view = CapacityView {
             taken: now,
             free: free.collect(),
             waits: digest.waits.clone(),
@@ -98,7 +98,7 @@
     }
 }
 
-impl RoomView {
+impl CapacityView {
     fn wait(&self, tier: TierRank) -> f64 {
         let waits = self.waits.iter().filter(|wait| wait.tier <= tier);
         let longest = waits.map(|wait| wait.wait_ms).max().unwrap_or(0);
--- a/src/policy/waste_count.rs
+++ b/src/policy/wasted_tokens.rs
@@ -12,7 +12,7 @@
 
 /// Prompt tokens that were read for nothing, by cause.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct WasteCount {
+pub struct WastedTokens {
     /// The caller left or its deadline came.
     pub cancelled: u64,
     /// The target was lost or fell silent.
@@ -22,7 +22,7 @@
     pub repeated: u64,
 }
 
-impl WasteCount {
+impl WastedTokens {
     /// Counts the end of work whose prompt was sent.
     pub(super) fn ended(&mut self, end: WorkOutcome, prompt_tokens: TokenCount) {
         match end {
