--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -26,14 +26,14 @@
 use super::target_view::TargetView;
 
 /// How many targets are home to a prefix.
-pub(super) const HOMES: usize = 3;
+pub(super) const HOMES_PER_PREFIX: usize = 3;
 /// Lower work is let in when it would be in time after so many times its
 /// expected wait. A refusal at once serves the caller better than one later.
 const WAIT_MARGIN: f64 = 1.0;
 /// Work is not moved for a wait below this, in seconds.
-const BALANCE_LEAST: f64 = 1.0;
+const MIN_BALANCED_WAIT_SECONDS: f64 = 1.0;
 /// Work is moved to a peer whose wait is below this part of the wait here.
-const BALANCE_PART: f64 = 0.5;
+const MAX_PEER_WAIT_RATIO: f64 = 0.5;
 
 impl DispatchPolicy {
     /// Decides about work that arrives here or was handed over.
@@ -43,7 +43,7 @@
         item: WorkItem,
         may_hand_over: bool,
     ) -> Vec<PolicyAction> {
-        let Some(cost) = self.best_whole(&item) else {
+        let Some(cost) = self.best_service_seconds(&item) else {
             return vec![self.refuse(&item, ErrorKind::NoTarget)];
         };
         if self.is_impossible(now, &item) {
@@ -55,18 +55,18 @@
         }
         if may_hand_over
             && let Some(action) = self
-                .spread_brief(now, &item, cost)
-                .or_else(|| self.send_home(now, &item, cost))
-                .or_else(|| self.balance(now, &item, cost))
+                .forward_brief(now, &item, cost)
+                .or_else(|| self.forward_to_home(now, &item, cost))
+                .or_else(|| self.forward_for_balance(now, &item, cost))
         {
             return vec![action];
         }
         let wait = self.expected_wait(&item, cost);
-        if !self.in_time(now, wait, &item) {
-            return vec![self.turn_away(now, &item, may_hand_over)];
+        if !self.meets_deadline(now, wait, &item) {
+            return vec![self.forward_or_refuse(now, &item, may_hand_over)];
         }
         let (work, tier) = (item.work, item.tier);
-        self.wait(now, item, cost, None);
+        self.enqueue(now, item, cost, None);
         let mut actions = self.decide(now);
         if self.queue.works().len() > self.limits.max_waiting as usize {
             actions.extend(self.displace(now, work, tier, may_hand_over));
@@ -84,25 +84,25 @@
         let left = item.deadline.saturating_sub(now).as_secs_f64();
         let allowed = item.allowed.iter();
         let mut views = allowed.filter_map(|name| self.targets.get(name));
-        !views.any(|view| view.is_live() && view.pace.whole_when_idle(prompt, output) <= left)
+        !views.any(|view| view.is_live() && view.pace.idle_total_seconds(prompt, output) <= left)
     }
 
     /// Puts work back that did not reach its target.
-    pub(super) fn wait_again(&mut self, now: Duration, item: WorkItem, target: TargetName) {
-        let cost = self.best_whole(&item).unwrap_or(0.0);
-        self.wait(now, item, cost, Some(target));
+    pub(super) fn requeue(&mut self, now: Duration, item: WorkItem, target: TargetName) {
+        let cost = self.best_service_seconds(&item).unwrap_or(0.0);
+        self.enqueue(now, item, cost, Some(target));
     }
 
     /// Tells whether work would be in time after a wait, in seconds.
-    pub(super) fn in_time(&self, now: Duration, wait: f64, item: &WorkItem) -> bool {
-        let whole = self.best_whole(item).unwrap_or(f64::INFINITY);
-        let whole = whole * length_margin(item);
+    pub(super) fn meets_deadline(&self, now: Duration, wait: f64, item: &WorkItem) -> bool {
+        let total_seconds = self.best_service_seconds(item).unwrap_or(f64::INFINITY);
+        let total_seconds = total_seconds * length_margin(item);
         let wait = if item.tier == 0 {
             wait
         } else {
             wait * WAIT_MARGIN
         };
-        now.as_secs_f64() + wait + whole <= item.deadline.as_secs_f64()
+        now.as_secs_f64() + wait + total_seconds <= item.deadline.as_secs_f64()
     }
 
     /// Refuses work at once, with advice when to come back.
@@ -117,7 +117,7 @@
 
     /// Hands work to a peer, or refuses it because this host leaves.
     pub(super) fn hand_over_or_leave(&mut self, now: Duration, item: &WorkItem) -> PolicyAction {
-        match self.room.choose(now, item) {
+        match self.peers.choose(now, item) {
             Some(host) => PolicyAction::HandOver {
                 work: item.work,
                 host,
@@ -137,16 +137,21 @@
     ) -> Option<PolicyAction> {
         let Some(lowest) = self.queue.lowest_below(tier) else {
             let refused = self.queue.remove(work)?;
-            return Some(self.turn_away(now, &refused.item, may_hand_over));
+            return Some(self.forward_or_refuse(now, &refused.item, may_hand_over));
         };
         let displaced = self.queue.remove(lowest)?;
-        self.pool_mut(displaced.kind).shed.refused(now, tier);
+        self.pool_mut(displaced.kind).shed.record_refusal(now, tier);
         Some(self.refuse(&displaced.item, ErrorKind::Overloaded))
     }
 
     /// Work that would come too late here goes to a peer with room; where no
     /// peer has any it is refused, and lower work with it for a while.
-    fn turn_away(&mut self, now: Duration, item: &WorkItem, may_hand_over: bool) -> PolicyAction {
+    fn forward_or_refuse(
+        &mut self,
+        now: Duration,
+        item: &WorkItem,
+        may_hand_over: bool,
+    ) -> PolicyAction {
         if may_hand_over && let Some(host) = self.peer_in_time(now, item) {
             return PolicyAction::HandOver {
                 work: item.work,
@@ -154,22 +159,27 @@
             };
         }
         let kind = self.kind_of(item);
-        self.pool_mut(kind).shed.refused(now, item.tier);
+        self.pool_mut(kind).shed.record_refusal(now, item.tier);
         self.refuse(item, ErrorKind::Overloaded)
     }
 
     /// Returns a peer where the work would be in time.
     fn peer_in_time(&mut self, now: Duration, item: &WorkItem) -> Option<HostName> {
-        let cost = self.best_whole(item)?;
+        let cost = self.best_service_seconds(item)?;
         let left = item.deadline.saturating_sub(now).as_secs_f64() - cost;
         let tier = item.tier;
-        let free = self.room.choose(now, item);
-        free.or_else(|| self.room.choose_shorter(now, tier, cost, left))
+        let free = self.peers.choose(now, item);
+        free.or_else(|| self.peers.choose_shorter_wait(now, tier, cost, left))
     }
 
     /// Long work whose home has no free slot here goes to a peer that has one:
     /// its prompt is then read from the home's cache.
-    fn send_home(&mut self, now: Duration, item: &WorkItem, cost: f64) -> Option<PolicyAction> {
+    fn forward_to_home(
+        &mut self,
+        now: Duration,
+        item: &WorkItem,
+        cost: f64,
+    ) -> Option<PolicyAction> {
         if item.tier == 0 || band(cost) == WorkBand::Brief {
             return None;
         }
@@ -178,7 +188,7 @@
         if !view.is_engine() || view.free() > 0 {
             return None;
         }
-        let host = self.room.choose_on(now, &[home])?;
+        let host = self.peers.choose_with_free_slot(now, &[home])?;
         Some(PolicyAction::HandOver {
             work: item.work,
             host,
@@ -188,7 +198,7 @@
     /// Urgent brief work goes to a peer with a free express slot when this host
     /// has none: beside long prompts its first token takes many times longer
     /// than the way to the peer.
-    fn spread_brief(&mut self, now: Duration, item: &WorkItem, cost: f64) -> Option<PolicyAction> {
+    fn forward_brief(&mut self, now: Duration, item: &WorkItem, cost: f64) -> Option<PolicyAction> {
         if item.tier > 0 || band(cost) != WorkBand::Brief {
             return None;
         }
@@ -201,7 +211,7 @@
             return None;
         }
         let names: Vec<TargetName> = express.iter().map(|view| view.facts.name.clone()).collect();
-        let host = self.room.choose_on(now, &names)?;
+        let host = self.peers.choose_with_free_slot(now, &names)?;
         Some(PolicyAction::HandOver {
             work: item.work,
             host,
@@ -209,16 +219,23 @@
     }
 
     /// Work that would wait long here goes to a peer where it waits far less.
-    fn balance(&mut self, now: Duration, item: &WorkItem, cost: f64) -> Option<PolicyAction> {
+    fn forward_for_balance(
+        &mut self,
+        now: Duration,
+        item: &WorkItem,
+        cost: f64,
+    ) -> Option<PolicyAction> {
         if self.kind_of(item) != TargetKind::Engine {
             return None;
         }
         let wait = self.tier_wait(item.tier);
-        if wait < BALANCE_LEAST {
+        if wait < MIN_BALANCED_WAIT_SECONDS {
             return None;
         }
-        let limit = wait * BALANCE_PART;
-        let host = self.room.choose_shorter(now, item.tier, cost, limit)?;
+        let limit = wait * MAX_PEER_WAIT_RATIO;
+        let host = self
+            .peers
+            .choose_shorter_wait(now, item.tier, cost, limit)?;
         Some(PolicyAction::HandOver {
             work: item.work,
             host,
@@ -233,7 +250,7 @@
             .map(|work| work.cost)
             .sum();
         let engines = self.targets.values().filter(|view| view.is_engine());
-        let slots = effective_slots(engines) * self.engines.part_of(tier);
+        let slots = effective_slots(engines) * self.engines.fraction_left_to(tier);
         ahead / slots.max(1.0)
     }
 
@@ -251,12 +268,12 @@
     /// Urgent work that found no slot goes to a peer that has one.
     fn hand_over_waiting(&mut self, now: Duration, work: u64) -> Option<PolicyAction> {
         let waits = self.queue.works().iter().find(|w| w.item.work == work)?;
-        let host = self.room.choose(now, &waits.item)?;
+        let host = self.peers.choose(now, &waits.item)?;
         self.queue.remove(work);
         Some(PolicyAction::HandOver { work, host })
     }
 
-    fn wait(&mut self, now: Duration, item: WorkItem, cost: f64, avoid: Option<TargetName>) {
+    fn enqueue(&mut self, now: Duration, item: WorkItem, cost: f64, avoid: Option<TargetName>) {
         let homes = self.homes(&item);
         let kind = self.kind_of(&item);
         self.queue.push(WaitingWork {
@@ -282,18 +299,18 @@
         // Longer work does not get the express engines.
         let brief = band(cost) == WorkBand::Brief;
         let usable = allowed.filter(|view| brief || !view.express);
-        let slots = effective_slots(usable) * self.pool(kind).part_of(item.tier);
+        let slots = effective_slots(usable) * self.pool(kind).fraction_left_to(item.tier);
         let ahead = self.queue.ahead_of(item, kind, cost);
         let free = self.pool(kind).free;
         if ahead == 0.0 && free > 0 {
             return 0.0;
         }
         let running = self.running.values();
-        let alike: Vec<f64> = running
+        let remaining: Vec<f64> = running
             .filter(|work| item.allowed.binary_search(&work.target).is_ok())
             .map(|work| work.cost / 2.0)
             .collect();
-        let residual = alike.iter().sum::<f64>() / alike.len().max(1) as f64;
+        let residual = remaining.iter().sum::<f64>() / remaining.len().max(1) as f64;
         (ahead + residual) / slots.max(1.0)
     }
 
@@ -308,7 +325,7 @@
             .map(|view| (home_rank(item.prefix, &view.facts.name), view))
             .collect();
         ranked.sort_by_key(|(rank, _)| *rank);
-        let closest = ranked.iter().take(HOMES);
+        let closest = ranked.iter().take(HOMES_PER_PREFIX);
         closest.map(|(_, view)| view.facts.name.clone()).collect()
     }
 }
@@ -316,9 +333,9 @@
 /// Returns what the slots of some targets are worth in slots of the fastest one.
 fn effective_slots<'a>(views: impl Iterator<Item = &'a TargetView>) -> f64 {
     let live: Vec<&TargetView> = views.filter(|view| view.is_live()).collect();
-    let tokens = live.iter().map(|view| view.pace.token());
+    let tokens = live.iter().map(|view| view.pace.token_seconds());
     let best = tokens.fold(f64::INFINITY, f64::min);
     live.iter()
-        .map(|view| f64::from(view.share) * best / view.pace.token())
+        .map(|view| f64::from(view.share) * best / view.pace.token_seconds())
         .sum()
 }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -11,47 +11,47 @@
 use std::time::Duration;
 
 /// How often the factor moves: a few dozen tokens of samples lie in between.
-const STEP: Duration = Duration::from_millis(250);
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 /// A pace of so many times the best is ordinary: a full batch costs 1.5 times
 /// an idle step, and long prompts of others add as much again.
 const TOLERANCE: f64 = 3.0;
 /// The weight of the new factor in each step.
 const SMOOTHING: f64 = 0.3;
 /// What the factor regains in a step; a full recovery takes about 2 s.
-const REGAIN: f64 = 0.1;
+const RECOVERY_STEP: f64 = 0.1;
 /// The factor never falls below this: some work must run for the pace to be seen.
-const LEAST_FACTOR: f64 = 0.25;
+const MIN_FACTOR: f64 = 0.25;
 
 /// How much of its share of a target a host uses.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConcurrencyLimit {
     factor: f64,
-    moved: Duration,
+    stepped_at: Duration,
 }
 
 impl ConcurrencyLimit {
     pub(super) const fn new() -> Self {
         Self {
             factor: 1.0,
-            moved: Duration::ZERO,
+            stepped_at: Duration::ZERO,
         }
     }
 
     /// Moves the factor by the gradient between the best pace and the present one.
-    pub(super) fn step(&mut self, now: Duration, best: f64, token: f64) {
-        if now < self.moved + STEP {
+    pub(super) fn step(&mut self, now: Duration, best: f64, pace: f64) {
+        if now < self.stepped_at + STEP_INTERVAL {
             return;
         }
-        self.moved = now;
-        let gradient = (TOLERANCE * best / token).clamp(0.5, 1.0);
-        let wished = self.factor * gradient + REGAIN;
-        let factor = self.factor + SMOOTHING * (wished - self.factor);
+        self.stepped_at = now;
+        let gradient = (TOLERANCE * best / pace).clamp(0.5, 1.0);
+        let desired = self.factor * gradient + RECOVERY_STEP;
+        let factor = self.factor + SMOOTHING * (desired - self.factor);
         self.factor = if gradient < 1.0 {
             factor.min(self.factor)
         } else {
-            self.factor + REGAIN
+            self.factor + RECOVERY_STEP
         }
-        .clamp(LEAST_FACTOR, 1.0);
+        .clamp(MIN_FACTOR, 1.0);
     }
 
     /// Returns how many slots of a share may be filled; at least one of any.
--- a/src/policy/decide.rs
+++ b/src/policy/decide.rs
@@ -17,7 +17,7 @@
 use super::DispatchPolicy;
 use super::PolicyAction;
 use super::WorkItem;
-use super::admission::HOMES;
+use super::admission::HOMES_PER_PREFIX;
 use super::dispatch_policy::RunningWork;
 use super::fair_queue::WaitingWork;
 use super::pool_state::PoolState;
@@ -30,25 +30,25 @@
 const SHORT_SECONDS: f64 = 15.0;
 /// Work does not take a target that needs so many times the best one's time;
 /// the lots differ by less than 4.
-const STRETCH: f64 = 4.0;
+const MAX_SLOWDOWN: f64 = 4.0;
 /// Work waits for its homes for this part of its expected time.
-const PATIENCE_PART: f64 = 0.05;
+const HOME_WAIT_FRACTION: f64 = 0.05;
 /// Work waits for its homes no longer than this, in seconds.
-const PATIENCE_MOST: f64 = 3.0;
+const MAX_HOME_WAIT_SECONDS: f64 = 3.0;
 /// Lower work must be in time even when its answer is so many times longer than
 /// expected: what is cut off at its deadline has taken a slot for nothing.
 const LENGTH_MARGIN: f64 = 1.25;
 /// Work that is not at home on a free target lets work that is go first for this
 /// part of the time that it can wait. Until then no slot stands free for it: a
 /// target that is nobody's home takes any work.
-const HOME_SLACK_PART: f64 = 0.5;
+const HOME_SLACK_FRACTION: f64 = 0.5;
 /// A slow target that runs nothing of this host is tried again after this.
-const PROBE_GAP: Duration = Duration::from_secs(2);
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 /// Long work tries a slow target when nothing was learned of it for this long.
-const LONG_PROBE_AGE: Duration = Duration::from_secs(10);
+const LONG_PROBE_INTERVAL: Duration = Duration::from_secs(10);
 /// With more free targets than this, two are drawn and the better one is taken:
 /// hosts that decide at once by the same figures must not all take one target.
-const MANY_TARGETS: usize = 16;
+const MAX_COMPARED_TARGETS: usize = 16;
 
 impl DispatchPolicy {
     /// Dispatches what has a slot.
@@ -59,7 +59,7 @@
         }
         self.count_pools();
         for tier in self.queue.tiers() {
-            while self.may_place(tier) {
+            while self.has_free_slot(tier) {
                 let Some(action) = self.dispatch_one(now, tier) else {
                     break;
                 };
@@ -71,22 +71,22 @@
 
     /// Tells whether any work of a tier could get a slot; a full fleet is not
     /// searched for each of the waiting requests.
-    fn may_place(&self, tier: TierRank) -> bool {
+    fn has_free_slot(&self, tier: TierRank) -> bool {
         let mut pools = [&self.engines, &self.services].into_iter();
-        pools.any(|pool| pool.free > pool.keep_free(tier, WorkBand::Brief))
+        pools.any(|pool| pool.free > pool.reserved_slots(tier, WorkBand::Brief))
     }
 
     /// Refuses waiting work that no target can finish in time any more.
-    pub(super) fn give_up_hopeless(&mut self, now: Duration) -> Vec<PolicyAction> {
-        let hopeless: Vec<u64> = self
+    pub(super) fn refuse_unattainable(&mut self, now: Duration) -> Vec<PolicyAction> {
+        let unattainable: Vec<u64> = self
             .queue
             .works()
             .iter()
-            .filter(|work| !self.in_time(now, 0.0, &work.item))
+            .filter(|work| !self.meets_deadline(now, 0.0, &work.item))
             .map(|work| work.item.work)
             .collect();
         let mut actions = Vec::new();
-        for work in hopeless {
+        for work in unattainable {
             if let Some(work) = self.queue.remove(work) {
                 let kind = if now >= work.item.deadline {
                     ErrorKind::DeadlinePassed
@@ -94,7 +94,7 @@
                     ErrorKind::Overloaded
                 };
                 let pool = self.pool_mut(work.kind);
-                pool.shed.refused(now, work.item.tier);
+                pool.shed.record_refusal(now, work.item.tier);
                 actions.push(self.refuse(&work.item, kind));
             }
         }
@@ -108,12 +108,12 @@
         // target: with a long queue there is nearly always some.
         let fits = |homes: usize| {
             order.iter().find_map(|index| {
-                let target = self.place(now, &works[*index], homes)?;
+                let target = self.find_target(now, &works[*index], homes)?;
                 Some((*index, target))
             })
         };
-        let rings = [1, HOMES, usize::MAX];
-        let (index, target) = rings.into_iter().find_map(fits)?;
+        let home_counts = [1, HOMES_PER_PREFIX, usize::MAX];
+        let (index, target) = home_counts.into_iter().find_map(fits)?;
         let work = self.queue.works()[index].item.work;
         let work = self.queue.remove(work)?;
         Some(self.dispatch(now, work, target))
@@ -121,11 +121,11 @@
 
     fn dispatch(&mut self, now: Duration, work: WaitingWork, target: TargetName) -> PolicyAction {
         self.queue.charge(&work.item, work.cost);
-        let cached = self.note_prefix(&work.item, &target);
+        let cached = self.record_prefix(&work.item, &target);
         if let Some(view) = self.targets.get_mut(&target) {
-            view.send(now, &work.item);
+            view.record_dispatch(now, &work.item);
             if view.pace.is_slow() {
-                view.probed = Some(now);
+                view.probed_at = Some(now);
             }
         }
         let id = work.item.work;
@@ -133,9 +133,9 @@
             item: work.item,
             target: target.clone(),
             cost: work.cost,
-            sent: now,
+            sent_at: now,
             cached,
-            seen: now,
+            progressed_at: now,
             tokens: 0,
         };
         self.running.insert(id, running);
@@ -147,35 +147,41 @@
     ///
     /// Only so many of the work's closest `homes` count, unless it has waited
     /// too long.
-    fn place(&self, now: Duration, work: &WaitingWork, homes: usize) -> Option<TargetName> {
+    fn find_target(&self, now: Duration, work: &WaitingWork, homes: usize) -> Option<TargetName> {
         let item = &work.item;
         let band = band(work.cost);
         let pool = self.pool(work.kind);
-        if pool.free <= pool.keep_free(item.tier, band) {
+        if pool.free <= pool.reserved_slots(item.tier, band) {
             return None;
         }
         let mut free = self.free_targets(now, work, band);
         if free.is_empty() {
             return None;
         }
-        let patience = (PATIENCE_PART * work.cost).min(PATIENCE_MOST);
-        let patient = now < work.since + Duration::from_secs_f64(patience);
+        let home_wait = (HOME_WAIT_FRACTION * work.cost).min(MAX_HOME_WAIT_SECONDS);
+        let awaits_home = now < work.since + Duration::from_secs_f64(home_wait);
         let slack = item.deadline.saturating_sub(work.since).as_secs_f64() - work.cost;
-        let insists = HOME_SLACK_PART * slack.max(0.0);
-        let aged = now >= work.since + Duration::from_secs_f64(insists);
-        let homely = item.tier > 0 && band != WorkBand::Brief;
-        let homes = if patient { homes.min(HOMES) } else { homes };
-        if homely && !aged && homes <= HOMES {
+        let home_only_seconds = HOME_SLACK_FRACTION * slack.max(0.0);
+        let aged = now >= work.since + Duration::from_secs_f64(home_only_seconds);
+        let prefers_home = item.tier > 0 && band != WorkBand::Brief;
+        let homes = if awaits_home {
+            homes.min(HOMES_PER_PREFIX)
+        } else {
+            homes
+        };
+        if prefers_home && !aged && homes <= HOMES_PER_PREFIX {
             let closest = &work.homes[..homes.min(work.homes.len())];
             free.retain(|view| closest.contains(&view.facts.name));
         }
-        if free.len() > MANY_TARGETS {
+        if free.len() > MAX_COMPARED_TARGETS {
             free = draw_two(item, &free);
         }
         let best = free.into_iter().min_by(|a, b| {
             let express = b.express.cmp(&a.express);
-            let home = home_place(work, band, a).cmp(&home_place(work, band, b));
-            let seconds = a.whole(now, item).total_cmp(&b.whole(now, item));
+            let home = home_position(work, band, a).cmp(&home_position(work, band, b));
+            let seconds = a
+                .total_seconds(now, item)
+                .total_cmp(&b.total_seconds(now, item));
             express.then(home).then(seconds)
         })?;
         Some(best.facts.name.clone())
@@ -188,8 +194,8 @@
         let live = self.live_targets(item);
         let is_usual = |view: &&TargetView| {
             let avoided = work.avoid.as_ref() == Some(&view.facts.name);
-            let kept = view.express && band != WorkBand::Brief;
-            !avoided && !kept && !view.pace.is_slow()
+            let reserved = view.express && band != WorkBand::Brief;
+            !avoided && !reserved && !view.pace.is_slow()
         };
         // Guards against waiting beside an idle target until the deadline: where
         // a slow, kept or avoided target is all that is left, it is taken. What
@@ -197,7 +203,7 @@
         if !live.iter().any(is_usual) {
             return live.into_iter().filter(|view| view.free() > 0).collect();
         }
-        let best = self.best_whole(item).unwrap_or(f64::INFINITY);
+        let best = self.best_service_seconds(item).unwrap_or(f64::INFINITY);
         live.into_iter()
             .filter(|view| view.free() > 0)
             .filter(|view| work.avoid.as_ref() != Some(&view.facts.name))
@@ -206,8 +212,8 @@
                 if view.pace.is_slow() {
                     return item.tier > 0 && may_probe(now, view, band);
                 }
-                let whole = view.whole(now, item);
-                whole * length_margin(item) <= left && whole <= STRETCH * best
+                let total_seconds = view.total_seconds(now, item);
+                total_seconds * length_margin(item) <= left && total_seconds <= MAX_SLOWDOWN * best
             })
             .collect()
     }
@@ -222,10 +228,10 @@
     }
 
     /// Returns the least expected seconds over the allowed targets, full or not.
-    pub(super) fn best_whole(&self, item: &WorkItem) -> Option<f64> {
+    pub(super) fn best_service_seconds(&self, item: &WorkItem) -> Option<f64> {
         self.live_targets(item)
             .into_iter()
-            .map(|view| view.alone(item))
+            .map(|view| view.service_seconds(item))
             .min_by(f64::total_cmp)
     }
 
@@ -275,7 +281,7 @@
 
 /// Returns how far from home a target is for long work; other work goes where
 /// it ends soonest.
-fn home_place(work: &WaitingWork, band: WorkBand, view: &TargetView) -> usize {
+fn home_position(work: &WaitingWork, band: WorkBand, view: &TargetView) -> usize {
     if work.item.tier == 0 || band == WorkBand::Brief {
         return 0;
     }
@@ -290,9 +296,9 @@
 ///
 /// Long work is a probe only when nothing shorter has come for a while.
 fn may_probe(now: Duration, view: &TargetView, band: WorkBand) -> bool {
-    let rested = view.probed.is_none_or(|at| now >= at + PROBE_GAP);
-    let suits = band != WorkBand::Long || view.pace.is_stale(now, LONG_PROBE_AGE);
-    view.running == 0 && rested && suits
+    let interval_over = view.probed_at.is_none_or(|at| now >= at + PROBE_INTERVAL);
+    let suitable = band != WorkBand::Long || view.pace.is_stale(now, LONG_PROBE_INTERVAL);
+    view.running == 0 && interval_over && suitable
 }
 
 /// Draws two of many targets by a hash of the work's id.
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -24,10 +24,10 @@
 
 /// The least time between two samples of one work's pace: the slowest network
 /// and the largest read put tokens of some milliseconds together.
-const SAMPLE_STRETCH: Duration = Duration::from_millis(20);
+const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How many prefixes a host remembers to count repeated prompts.
-const PREFIXES_KEPT: usize = 512;
+const MAX_TRACKED_PREFIXES: usize = 512;
 
 /// The policy of one host: it holds the waiting work and decides.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     pub(super) running: SortedMap<WorkId, RunningWork>,
     pub(super) engines: PoolState,
     pub(super) services: PoolState,
-    pub(super) room: PeerCapacity,
+    pub(super) peers: PeerCapacity,
     pub(super) waste: WastedTokens,
     /// Where each prefix was sent last.
     pub(super) sent_prefixes: SortedMap<u64, TargetName>,
@@ -53,11 +53,11 @@
     pub(super) target: TargetName,
     /// The expected seconds, for the wait of others.
     pub(super) cost: f64,
-    pub(super) sent: Duration,
+    pub(super) sent_at: Duration,
     /// Whether its prefix was most likely in the target's cache.
     pub(super) cached: bool,
     /// The last progress: when, and how many tokens.
-    pub(super) seen: Duration,
+    pub(super) progressed_at: Duration,
     pub(super) tokens: u32,
 }
 
@@ -73,7 +73,7 @@
             running: SortedMap::new(),
             engines: PoolState::new(),
             services: PoolState::new(),
-            room: PeerCapacity::default(),
+            peers: PeerCapacity::default(),
             waste: WastedTokens::default(),
             sent_prefixes: SortedMap::new(),
             sequence: 0,
@@ -117,7 +117,7 @@
     pub fn set_hosts(&mut self, _now: Duration, mut hosts: Vec<HostName>) {
         hosts.sort();
         hosts.dedup();
-        self.room.keep(&hosts);
+        self.peers.retain(&hosts);
         self.ledger.set_hosts(hosts);
         self.refresh_shares();
     }
@@ -135,7 +135,7 @@
     /// Notes that the target took the work up.
     pub fn started(&mut self, now: Duration, work: WorkId) {
         if let Some(running) = self.running.get_mut(&work) {
-            running.seen = now;
+            running.progressed_at = now;
         }
     }
 
@@ -147,15 +147,15 @@
         if tokens_so_far <= running.tokens {
             return;
         }
-        let stretch = now.saturating_sub(running.seen);
-        let silent = stretch.as_secs_f64();
-        let before = running.tokens;
+        let interval = now.saturating_sub(running.progressed_at);
+        let elapsed = interval.as_secs_f64();
+        let previous = running.tokens;
         // Guards against tokens that arrive together: their gaps of microseconds
         // would pass for the engine's best pace, and it would look slow for ever.
-        if before > 0 && stretch < SAMPLE_STRETCH {
+        if previous > 0 && interval < MIN_SAMPLE_INTERVAL {
             return;
         }
-        running.seen = now;
+        running.progressed_at = now;
         running.tokens = tokens_so_far;
         let Some(view) = self.targets.get_mut(&running.target) else {
             return;
@@ -163,14 +163,15 @@
         if !view.is_engine() {
             return;
         }
-        if before > 0 {
-            let seconds = silent / f64::from(tokens_so_far - before);
+        if previous > 0 {
+            let seconds = elapsed / f64::from(tokens_so_far - previous);
             view.pace.sample_token(now, seconds);
             return;
         }
-        view.has_read(running.item.prompt_tokens);
+        view.record_prefill_end(running.item.prompt_tokens);
         if !running.cached {
-            view.pace.sample_read(silent, running.item.prompt_tokens);
+            view.pace
+                .sample_prefill(elapsed, running.item.prompt_tokens);
         }
     }
 
@@ -182,16 +183,16 @@
         if let Some(view) = self.targets.get_mut(&ended.target) {
             view.running = view.running.saturating_sub(1);
             if ended.tokens == 0 || !view.is_engine() {
-                view.has_read(ended.item.prompt_tokens);
+                view.record_prefill_end(ended.item.prompt_tokens);
             }
             if !view.is_engine() && end == WorkOutcome::Finished {
-                let seconds = now.saturating_sub(ended.sent).as_secs_f64();
+                let seconds = now.saturating_sub(ended.sent_at).as_secs_f64();
                 view.pace.sample_token(now, seconds);
             }
         }
-        self.waste.ended(end, ended.item.prompt_tokens);
+        self.waste.record_end(end, ended.item.prompt_tokens);
         if end == WorkOutcome::NotSent {
-            self.wait_again(now, ended.item, ended.target);
+            self.requeue(now, ended.item, ended.target);
         }
         self.decide(now)
     }
@@ -205,18 +206,18 @@
     /// Takes a target's own report, which may be old.
     pub fn report(&mut self, _now: Duration, target: &TargetName, report: LoadReport) {
         if let Some(view) = self.targets.get_mut(target) {
-            view.take_report(report);
+            view.apply_report(report);
         }
     }
 
     /// Takes a peer's digest, which may be old or lost.
     pub fn apply_peer_digest(&mut self, now: Duration, host: &HostName, digest: HostDigest) {
-        if !self.ledger.take(host, &digest) {
+        if !self.ledger.apply_digest(host, &digest) {
             return;
         }
-        self.engines.shed.take(now, host, digest.engine_level);
-        self.services.shed.take(now, host, digest.service_level);
-        self.room.take(now, host, &digest);
+        self.engines.shed.update(now, host, digest.engine_level);
+        self.services.shed.update(now, host, digest.service_level);
+        self.peers.update(now, host, &digest);
         for demand in &digest.targets {
             if let Some(view) = self.targets.get_mut(&demand.target) {
                 view.pace.adopt(now, demand.pace_us, demand.best_us);
@@ -229,7 +230,7 @@
     /// because the division of the slots waits for it.
     pub fn wants_digest(&self) -> bool {
         // Without targets there are no slots, and nothing would ever settle.
-        self.ledger.changed() && !self.targets.is_empty()
+        self.ledger.has_changed() && !self.targets.is_empty()
     }
 
     /// Returns the lowest tiers that this host's own load lets in to engines and
@@ -249,8 +250,8 @@
             let Some(view) = self.targets.get(&name) else {
                 continue;
             };
-            let mut demand = self.ledger.settle(&name, view.running, wanted);
-            (demand.pace_us, demand.best_us) = view.pace.shared();
+            let mut demand = self.ledger.lend(&name, view.running, wanted);
+            (demand.pace_us, demand.best_us) = view.pace.gossiped();
             targets.push(demand);
         }
         self.refresh_shares();
@@ -269,7 +270,7 @@
     pub fn tick(&mut self, now: Duration) -> Vec<PolicyAction> {
         self.observe(now);
         self.choose_express();
-        let mut actions = self.give_up_hopeless(now);
+        let mut actions = self.refuse_unattainable(now);
         actions.extend(self.decide(now));
         actions
     }
@@ -305,18 +306,18 @@
 
     /// Remembers where a prefix went, and counts the prompt as repeated when
     /// another target had it. Tells whether the same target had it.
-    pub(super) fn note_prefix(&mut self, item: &WorkItem, target: &TargetName) -> bool {
-        let before = self.sent_prefixes.insert(item.prefix, target.clone());
-        if self.sent_prefixes.len() > PREFIXES_KEPT {
+    pub(super) fn record_prefix(&mut self, item: &WorkItem, target: &TargetName) -> bool {
+        let previous = self.sent_prefixes.insert(item.prefix, target.clone());
+        if self.sent_prefixes.len() > MAX_TRACKED_PREFIXES {
             // Prefixes are hashes, so the lowest is any one of them.
             let lowest = self.sent_prefixes.iter().next().map(|(prefix, _)| *prefix);
             if let Some(lowest) = lowest {
                 self.sent_prefixes.remove(&lowest);
             }
         }
-        let cached = before.as_ref() == Some(target);
-        if before.is_some() && !cached {
-            self.waste.repeated(item.prompt_tokens);
+        let cached = previous.as_ref() == Some(target);
+        if previous.is_some() && !cached {
+            self.waste.record_repeat(item.prompt_tokens);
         }
         cached
     }
--- a/src/policy/fair_queue.rs
+++ b/src/policy/fair_queue.rs
@@ -22,7 +22,7 @@
 
 /// After this wait an account's work goes first come first served: a few times
 /// the mean wait in a load of 1.5, and a fraction of any long work's deadline.
-const AGE_BOUND: Duration = Duration::from_secs(10);
+const AGING_THRESHOLD: Duration = Duration::from_secs(10);
 
 /// Work that waits.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
 pub(super) struct FairQueue {
     works: Vec<WaitingWork>,
     /// What each account of a tier has had, in seconds by weight.
-    had: SortedMap<(TierRank, AccountName), f64>,
+    served_cost: SortedMap<(TierRank, AccountName), f64>,
 }
 
 impl FairQueue {
@@ -69,7 +69,7 @@
     /// Charges an account for work that was dispatched.
     pub(super) fn charge(&mut self, item: &WorkItem, cost: f64) {
         let key = (item.tier, item.account.clone());
-        *self.had.get_or_insert_with(key, || 0.0) += cost / f64::from(item.weight.max(1));
+        *self.served_cost.get_or_insert_with(key, || 0.0) += cost / f64::from(item.weight.max(1));
     }
 
     /// Returns the tiers that wait, the highest first.
@@ -82,14 +82,14 @@
 
     /// Returns the places of a tier's work, in the order in which it is due.
     pub(super) fn order(&self, now: Duration, tier: TierRank) -> Vec<usize> {
-        let places = 0..self.works.len();
-        let mut order: Vec<(f64, bool, f64, Duration, usize)> = places
+        let indices = 0..self.works.len();
+        let mut order: Vec<(f64, bool, f64, Duration, usize)> = indices
             .filter(|index| self.works[*index].item.tier == tier)
             .map(|index| {
                 let work = &self.works[index];
-                let aged = now >= work.since + AGE_BOUND;
+                let aged = now >= work.since + AGING_THRESHOLD;
                 let cost = if aged { 0.0 } else { work.cost };
-                (self.had(&work.item), !aged, cost, work.since, index)
+                (self.served_cost(&work.item), !aged, cost, work.since, index)
             })
             .collect();
         order.sort_by(|a, b| {
@@ -140,9 +140,9 @@
             .map(|work| work.item.work)
     }
 
-    fn had(&self, item: &WorkItem) -> f64 {
+    fn served_cost(&self, item: &WorkItem) -> f64 {
         let key = (item.tier, item.account.clone());
-        self.had.get(&key).copied().unwrap_or(0.0)
+        self.served_cost.get(&key).copied().unwrap_or(0.0)
     }
 
     /// An account that comes back starts one request ahead of the least served
@@ -155,11 +155,11 @@
         }
         let waiting = self.works.iter().filter(|work| work.item.tier == tier);
         let least = waiting
-            .map(|work| self.had(&work.item))
+            .map(|work| self.served_cost(&work.item))
             .min_by(f64::total_cmp);
-        let had = self.had(item);
+        let served_cost = self.served_cost(item);
         let credit = cost / f64::from(item.weight.max(1));
-        let level = least.map_or(had, |least| had.max(least - credit));
-        self.had.insert((tier, item.account.clone()), level);
+        let level = least.map_or(served_cost, |least| served_cost.max(least - credit));
+        self.served_cost.insert((tier, item.account.clone()), level);
     }
 }
--- a/src/policy/observe.rs
+++ b/src/policy/observe.rs
@@ -20,9 +20,9 @@
 /// Engines within this factor of the fastest are as fast, and the first by name
 /// is taken: hosts that learned a little differently must choose the same one,
 /// or one host's long prompts hold up the others' brief work. Lots differ more.
-const SAME_SPEED: f64 = 1.25;
+const SAME_SPEED_FACTOR: f64 = 1.25;
 /// With fewer engines than this none is set aside.
-const EXPRESS_LEAST: usize = 4;
+const MIN_ENGINES_FOR_EXPRESS: usize = 4;
 
 impl DispatchPolicy {
     /// Takes up what changes with time: reserves, limits, and silence.
@@ -56,40 +56,40 @@
             let Some(view) = self.targets.get_mut(&work.target) else {
                 continue;
             };
-            let silent = now.saturating_sub(work.seen).as_secs_f64();
+            let silent = now.saturating_sub(work.progressed_at).as_secs_f64();
             let expected = if work.tokens > 0 {
-                view.pace.token()
+                view.pace.token_seconds()
             } else {
-                let unread = view.unread.min(u64::from(u32::MAX)) as u32;
-                view.pace.first_token(unread)
+                let pending = view.pending_prefill_tokens.min(u64::from(u32::MAX)) as u32;
+                view.pace.first_token_seconds(pending)
             };
             view.pace.sample_silence(now, silent, expected);
         }
         for (_, view) in self.targets.iter_mut() {
-            let (best, token) = (view.pace.best(), view.pace.token());
+            let (best, token) = (view.pace.best_token_seconds(), view.pace.token_seconds());
             view.limit.step(now, best, token);
         }
     }
 
     /// Sets the fastest engines aside for brief work.
     pub(super) fn choose_express(&mut self) {
-        let able: Vec<(&TargetName, f64)> = self
+        let candidates: Vec<(&TargetName, f64)> = self
             .targets
             .iter()
             .filter(|(_, view)| view.is_engine() && view.is_live() && !view.pace.is_slow())
-            .map(|(name, view)| (name, view.pace.best()))
+            .map(|(name, view)| (name, view.pace.best_token_seconds()))
             .collect();
-        let fastest = able.iter().map(|(_, best)| *best);
+        let fastest = candidates.iter().map(|(_, best)| *best);
         let fastest = fastest.fold(f64::INFINITY, f64::min);
-        let mut ranked: Vec<(bool, &TargetName)> = able
+        let mut ranked: Vec<(bool, &TargetName)> = candidates
             .iter()
-            .map(|(name, best)| (*best > fastest * SAME_SPEED, *name))
+            .map(|(name, best)| (*best > fastest * SAME_SPEED_FACTOR, *name))
             .collect();
         ranked.sort();
-        let count = if able.len() < EXPRESS_LEAST {
+        let count = if candidates.len() < MIN_ENGINES_FOR_EXPRESS {
             0
         } else {
-            able.len().div_ceil(EXPRESS_DIVISOR)
+            candidates.len().div_ceil(EXPRESS_DIVISOR)
         };
         let express = ranked.iter().take(count);
         let express: Vec<TargetName> = express.map(|(_, name)| (*name).clone()).collect();
@@ -103,11 +103,11 @@
         let Some(view) = self.targets.get(target) else {
             return 0;
         };
-        let alike = self
+        let similar = self
             .targets
             .values()
             .filter(|other| other.is_live() && other.is_engine() == view.is_engine());
-        let count = alike.count().max(1) as u32;
+        let count = similar.count().max(1) as u32;
         let works = self.queue.works().iter();
         let (mut at_home, mut anywhere) = (0, 0);
         for work in works {
--- a/src/policy/peer_capacity.rs
+++ b/src/policy/peer_capacity.rs
@@ -13,7 +13,7 @@
 
 /// A digest older than this says nothing about a peer's room: two periods and
 /// the time on the way.
-const ROOM_AGE: Duration = Duration::from_millis(2500);
+const CAPACITY_MAX_AGE: Duration = Duration::from_millis(2500);
 
 /// How much room each peer had by its last digest.
 #[derive(Debug, Default)]
@@ -23,7 +23,7 @@
 
 #[derive(Debug)]
 struct CapacityView {
-    taken: Duration,
+    received_at: Duration,
     free: SortedMap<TargetName, u32>,
     waits: Vec<TierWait>,
     /// Slots that the peer holds, over all targets.
@@ -31,33 +31,33 @@
     /// The expected seconds of the work sent there since the digest.
     sent_seconds: f64,
     /// Work sent there since the digest.
-    sent: u32,
+    sent_count: u32,
 }
 
 impl PeerCapacity {
-    pub(super) fn take(&mut self, now: Duration, host: &HostName, digest: &HostDigest) {
+    pub(super) fn update(&mut self, now: Duration, host: &HostName, digest: &HostDigest) {
         let free = digest.targets.iter().map(|demand| {
             let free = demand.held.saturating_sub(demand.running);
             (demand.target.clone(), free)
         });
         let view = CapacityView {
-            taken: now,
+            received_at: now,
             free: free.collect(),
             waits: digest.waits.clone(),
             held: digest.targets.iter().map(|demand| demand.held).sum(),
             sent_seconds: 0.0,
-            sent: 0,
+            sent_count: 0,
         };
         self.peers.insert(host.clone(), view);
     }
 
-    pub(super) fn keep(&mut self, hosts: &[HostName]) {
+    pub(super) fn retain(&mut self, hosts: &[HostName]) {
         self.peers.retain(|host, _| hosts.contains(host));
     }
 
     /// Returns the peer where work of `cost` seconds waits least, and counts it
     /// as sent there; nothing where no peer's wait is below `wait` seconds.
-    pub(super) fn choose_shorter(
+    pub(super) fn choose_shorter_wait(
         &mut self,
         now: Duration,
         tier: TierRank,
@@ -67,7 +67,7 @@
         let (host, view) = self
             .peers
             .iter_mut()
-            .filter(|(_, view)| now < view.taken + ROOM_AGE && view.held > 0)
+            .filter(|(_, view)| now < view.received_at + CAPACITY_MAX_AGE && view.held > 0)
             .map(|(host, view)| (view.wait(tier), host, view))
             .filter(|(peer, _, _)| *peer < wait)
             .min_by(|a, b| a.0.total_cmp(&b.0))
@@ -78,23 +78,27 @@
 
     /// Returns the peer with the most free slots on some targets, and counts an
     /// item as sent there; nothing where no peer is known to have any.
-    pub(super) fn choose_on(&mut self, now: Duration, targets: &[TargetName]) -> Option<HostName> {
+    pub(super) fn choose_with_free_slot(
+        &mut self,
+        now: Duration,
+        targets: &[TargetName],
+    ) -> Option<HostName> {
         let (host, view) = self
             .peers
             .iter_mut()
-            .filter(|(_, view)| now < view.taken + ROOM_AGE)
-            .map(|(host, view)| (view.room_on(targets), host, view))
-            .filter(|(room, _, _)| *room > 0)
-            .max_by_key(|(room, host, _)| (*room, std::cmp::Reverse((*host).clone())))
+            .filter(|(_, view)| now < view.received_at + CAPACITY_MAX_AGE)
+            .map(|(host, view)| (view.free_slots_on(targets), host, view))
+            .filter(|(free, _, _)| *free > 0)
+            .max_by_key(|(free, host, _)| (*free, std::cmp::Reverse((*host).clone())))
             .map(|(_, host, view)| (host, view))?;
-        view.sent += 1;
+        view.sent_count += 1;
         Some(host.clone())
     }
 
     /// Returns the peer with the most room for an item, and counts the item as
     /// sent there; nothing where no peer is known to have room.
     pub(super) fn choose(&mut self, now: Duration, item: &WorkItem) -> Option<HostName> {
-        self.choose_on(now, &item.allowed)
+        self.choose_with_free_slot(now, &item.allowed)
     }
 }
 
@@ -106,8 +110,8 @@
         f64::from(longest) / 1000.0 + sent
     }
 
-    fn room_on(&self, targets: &[TargetName]) -> u32 {
+    fn free_slots_on(&self, targets: &[TargetName]) -> u32 {
         let free = targets.iter().filter_map(|name| self.free.get(name));
-        free.sum::<u32>().saturating_sub(self.sent)
+        free.sum::<u32>().saturating_sub(self.sent_count)
     }
 }
--- a/src/policy/pool_state.rs
+++ b/src/policy/pool_state.rs
@@ -9,15 +9,15 @@
 /// How many deviations above its mean the top tier's reserve is.
 const TOP_DEVIATIONS: f64 = 1.0;
 /// The top tier's reserve on an idle host.
-const TOP_LEAST: f64 = 1.0;
+const MIN_TOP_RESERVE: f64 = 1.0;
 /// The same for short work of the lower tiers, which may wait a little.
 const SHORT_DEVIATIONS: f64 = 0.0;
 /// The short reserve on an idle host.
-const SHORT_LEAST: f64 = 0.0;
+const MIN_SHORT_RESERVE: f64 = 0.0;
 
 /// A tier is never thought to get less than this part of the slots: the wait
 /// must stay a number, and the means overshoot in a burst.
-const LEAST_PART: f64 = 0.05;
+const MIN_SLOT_FRACTION: f64 = 0.05;
 
 /// One kind of targets taken together.
 #[derive(Debug)]
@@ -49,8 +49,8 @@
 impl PoolState {
     pub(super) const fn new() -> Self {
         Self {
-            top: SlotReserve::new(TOP_DEVIATIONS, TOP_LEAST),
-            short: SlotReserve::new(SHORT_DEVIATIONS, SHORT_LEAST),
+            top: SlotReserve::new(TOP_DEVIATIONS, MIN_TOP_RESERVE),
+            short: SlotReserve::new(SHORT_DEVIATIONS, MIN_SHORT_RESERVE),
             load: TierLoad::new(),
             shed: ShedLevel::new(),
             slots: 0,
@@ -61,22 +61,22 @@
     }
 
     /// Returns the part of the slots that is left to a tier in the long run.
-    pub(super) fn part_of(&self, tier: TierRank) -> f64 {
+    pub(super) fn fraction_left_to(&self, tier: TierRank) -> f64 {
         let taken = self.load.above(tier) / f64::from(self.slots.max(1));
-        (1.0 - taken).clamp(LEAST_PART, 1.0)
+        (1.0 - taken).clamp(MIN_SLOT_FRACTION, 1.0)
     }
 
     /// Returns how many slots work of this tier and length must leave free.
-    pub(super) fn keep_free(&self, tier: TierRank, band: WorkBand) -> u32 {
+    pub(super) fn reserved_slots(&self, tier: TierRank, band: WorkBand) -> u32 {
         if tier == 0 {
             return 0;
         }
-        let top = self.top.keep_free(self.running_top);
-        let kept = match band {
+        let top = self.top.reserved_slots(self.running_top);
+        let reserved = match band {
             WorkBand::Brief | WorkBand::Short => top,
-            WorkBand::Long => top + self.short.keep_free(self.running_short),
+            WorkBand::Long => top + self.short.reserved_slots(self.running_short),
         };
         // Where there are few slots, a reserve must not shut lower work out.
-        kept.min(self.slots / 2)
+        reserved.min(self.slots / 2)
     }
 }
--- a/src/policy/shed_level.rs
+++ b/src/policy/shed_level.rs
@@ -16,7 +16,7 @@
 
 /// How long the level stays after a refusal: two digests, so that a peer hears
 /// of it and a lost digest does not open the gate in between.
-const HOLD: Duration = Duration::from_secs(2);
+const HOLD_TIME: Duration = Duration::from_secs(2);
 
 /// Which tiers are still let in.
 #[derive(Debug)]
@@ -43,17 +43,17 @@
     }
 
     /// Notes that work of a tier had to be refused for want of room.
-    pub(super) fn refused(&mut self, now: Duration, tier: TierRank) {
+    pub(super) fn record_refusal(&mut self, now: Duration, tier: TierRank) {
         let level = self.own(now).min(tier);
         self.own = LevelMark {
             level,
-            until: now + HOLD,
+            until: now + HOLD_TIME,
         };
     }
 
     /// Takes a peer's level.
-    pub(super) fn take(&mut self, now: Duration, host: &HostName, level: TierRank) {
-        let until = now + HOLD;
+    pub(super) fn update(&mut self, now: Duration, host: &HostName, level: TierRank) {
+        let until = now + HOLD_TIME;
         self.peers.insert(host.clone(), LevelMark { level, until });
     }
 
--- a/src/policy/slot_ledger.rs
+++ b/src/policy/slot_ledger.rs
@@ -38,13 +38,13 @@
     incarnation: IncarnationId,
     generation: u32,
     hosts: Vec<HostName>,
-    lives: SortedMap<HostName, PeerLife>,
+    incarnations: SortedMap<HostName, PeerIncarnation>,
     accounts: SortedMap<TargetName, SlotAccount>,
     changed: bool,
 }
 
 #[derive(Debug, Default)]
-struct PeerLife {
+struct PeerIncarnation {
     incarnation: IncarnationId,
     generation: u32,
     sequence: u64,
@@ -58,19 +58,19 @@
     epoch: u64,
     base: u32,
     /// What may be held until all peers show the epoch.
-    cautious: u32,
+    provisional: u32,
     settled: bool,
     /// Whether this host may still run more than its base share, from slots of
     /// an earlier epoch. If it settled or showed its epoch then, the others
     /// would fill their base shares beside it and overfill the target.
-    overfull: bool,
+    may_exceed_base: bool,
     lent: SortedMap<HostName, u32>,
-    peers: SortedMap<HostName, PeerPart>,
+    peers: SortedMap<HostName, PeerSlots>,
 }
 
 /// A peer's part in a target, by its last digest.
 #[derive(Debug, Default)]
-struct PeerPart {
+struct PeerSlots {
     epoch: u64,
     held: u32,
     wanted: u32,
@@ -86,7 +86,7 @@
             host,
             incarnation,
             generation: 0,
-            lives: SortedMap::new(),
+            incarnations: SortedMap::new(),
             accounts: SortedMap::new(),
             changed: true,
         }
@@ -105,7 +105,7 @@
         let mut accounts = SortedMap::new();
         for (name, slots) in targets {
             let known = self.accounts.remove(name);
-            let mut account = known.unwrap_or_else(|| self.fresh_account(name, *slots));
+            let mut account = known.unwrap_or_else(|| self.new_account(name, *slots));
             account.slots = *slots;
             accounts.insert(name.clone(), account);
         }
@@ -123,7 +123,7 @@
         if first {
             for (name, account) in self.accounts.iter_mut() {
                 let base = base_share(name, account.slots, &self.hosts, &self.host);
-                account.cautious = base - lendable(base);
+                account.provisional = base - lendable(base);
                 account.settled = false;
             }
         }
@@ -136,7 +136,7 @@
     }
 
     /// Tells whether the peers should hear of a change before the next second.
-    pub(super) const fn changed(&self) -> bool {
+    pub(super) const fn has_changed(&self) -> bool {
         self.changed
     }
 
@@ -146,22 +146,22 @@
     }
 
     /// Takes a peer's digest; returns false for one that is older than the last.
-    pub(super) fn take(&mut self, from: &HostName, digest: &HostDigest) -> bool {
+    pub(super) fn apply_digest(&mut self, from: &HostName, digest: &HostDigest) -> bool {
         if !self.hosts.contains(from) || *from == self.host {
             return false;
         }
-        let life = self
-            .lives
-            .get_or_insert_with(from.clone(), PeerLife::default);
-        let same = life.incarnation == digest.incarnation;
-        if same && digest.sequence <= life.sequence {
+        let peer_incarnation = self
+            .incarnations
+            .get_or_insert_with(from.clone(), PeerIncarnation::default);
+        let same = peer_incarnation.incarnation == digest.incarnation;
+        if same && digest.sequence <= peer_incarnation.sequence {
             return false;
         }
-        let replaced = !same && life.incarnation != 0;
-        let moved = !same || life.generation != digest.generation;
-        life.incarnation = digest.incarnation;
-        life.generation = digest.generation;
-        life.sequence = digest.sequence;
+        let replaced = !same && peer_incarnation.incarnation != 0;
+        let moved = !same || peer_incarnation.generation != digest.generation;
+        peer_incarnation.incarnation = digest.incarnation;
+        peer_incarnation.generation = digest.generation;
+        peer_incarnation.sequence = digest.sequence;
         if replaced {
             self.begin_generation();
         } else if moved {
@@ -169,12 +169,12 @@
         }
         let own = self.hosts.iter().position(|host| *host == self.host);
         for demand in &digest.targets {
-            self.take_demand(from, own, demand);
+            self.apply_demand(from, own, demand);
         }
         true
     }
 
-    fn take_demand(&mut self, from: &HostName, own: Option<usize>, demand: &TargetDemand) {
+    fn apply_demand(&mut self, from: &HostName, own: Option<usize>, demand: &TargetDemand) {
         let Some(account) = self.accounts.get_mut(&demand.target) else {
             return;
         };
@@ -183,31 +183,26 @@
             .iter()
             .find(|lent| Some(usize::from(lent.host_index)) == own)
             .map_or(0, |lent| lent.slots);
-        let part = PeerPart {
+        let peer = PeerSlots {
             epoch: demand.epoch,
             held: demand.held,
             wanted: demand.wanted,
             received: lent,
             lent_before: account.lent.get(from).copied().unwrap_or(0),
         };
-        account.peers.insert(from.clone(), part);
+        account.peers.insert(from.clone(), peer);
         account.try_settle(&self.hosts, &self.host);
     }
 
     /// Gives free slots to peers that want them more, and returns the entry
     /// of the target for the digest.
-    pub(super) fn settle(
-        &mut self,
-        target: &TargetName,
-        running: u32,
-        wanted: u32,
-    ) -> TargetDemand {
+    pub(super) fn lend(&mut self, target: &TargetName, running: u32, wanted: u32) -> TargetDemand {
         self.changed = false;
         let hosts = &self.hosts;
         let Some(account) = self.accounts.get_mut(target) else {
             return TargetDemand::default();
         };
-        account.overfull &= running > account.base;
+        account.may_exceed_base &= running > account.base;
         account.try_settle(hosts, &self.host);
         account.lend(running, wanted);
         let host_index = |host: &HostName| hosts.binary_search(host).ok();
@@ -220,7 +215,11 @@
         });
         TargetDemand {
             target: target.clone(),
-            epoch: if account.overfull { 0 } else { account.epoch },
+            epoch: if account.may_exceed_base {
+                0
+            } else {
+                account.epoch
+            },
             held: account.held(),
             wanted,
             running,
@@ -246,27 +245,27 @@
 
     fn begin_epochs(&mut self) {
         self.changed = true;
-        let lives = self.life_hash();
+        let seed = self.incarnation_hash();
         for (name, account) in self.accounts.iter_mut() {
             let held = account.held();
             account.base = base_share(name, account.slots, &self.hosts, &self.host);
-            account.cautious = held.min(account.base);
+            account.provisional = held.min(account.base);
             account.settled = self.hosts.len() == 1;
-            account.overfull = true;
+            account.may_exceed_base = true;
             account.lent = SortedMap::new();
-            account.epoch = lives.map_or(0, |lives| epoch_hash(lives, name, account.slots));
+            account.epoch = seed.map_or(0, |seed| epoch_hash(seed, name, account.slots));
         }
     }
 
     /// Returns a hash of all hosts and their lives, once all are known.
-    fn life_hash(&self) -> Option<u64> {
+    fn incarnation_hash(&self) -> Option<u64> {
         let mut hash = Xxh3::new();
         for host in &self.hosts {
             let (incarnation, generation) = if *host == self.host {
                 (self.incarnation, self.generation)
             } else {
-                let life = self.lives.get(host)?;
-                (life.incarnation, life.generation)
+                let peer_incarnation = self.incarnations.get(host)?;
+                (peer_incarnation.incarnation, peer_incarnation.generation)
             };
             hash.update(host.as_bytes());
             hash.update(&incarnation.to_le_bytes());
@@ -275,15 +274,15 @@
         Some(hash.digest())
     }
 
-    fn fresh_account(&self, name: &str, slots: u32) -> SlotAccount {
+    fn new_account(&self, name: &str, slots: u32) -> SlotAccount {
         let base = base_share(name, slots, &self.hosts, &self.host);
         SlotAccount {
             slots,
             epoch: 0,
             base,
-            cautious: base - lendable(base),
+            provisional: base - lendable(base),
             settled: self.hosts.len() == 1,
-            overfull: true,
+            may_exceed_base: true,
             lent: SortedMap::new(),
             peers: SortedMap::new(),
         }
@@ -293,23 +292,23 @@
 impl SlotAccount {
     fn held(&self) -> u32 {
         if !self.settled {
-            return self.cautious;
+            return self.provisional;
         }
-        let current = self.peers.values().filter(|part| part.epoch == self.epoch);
-        let received: u32 = current.map(|part| part.received).sum();
+        let current = self.peers.values().filter(|peer| peer.epoch == self.epoch);
+        let received: u32 = current.map(|peer| peer.received).sum();
         let lent: u32 = self.lent.values().sum();
         (self.base + received).saturating_sub(lent)
     }
 
     /// Settles once every other host has shown the epoch.
     fn try_settle(&mut self, hosts: &[HostName], own: &HostName) {
-        if self.settled || self.overfull || self.epoch == 0 {
+        if self.settled || self.may_exceed_base || self.epoch == 0 {
             return;
         }
         let mut others = hosts.iter().filter(|host| *host != own);
         self.settled = others.all(|host| {
-            let part = self.peers.get(host);
-            part.is_some_and(|part| part.epoch == self.epoch)
+            let peer = self.peers.get(host);
+            peer.is_some_and(|peer| peer.epoch == self.epoch)
         });
     }
 
@@ -321,14 +320,14 @@
         let floor = self.base - lendable(self.base);
         let mut free = held.saturating_sub(running.max(floor).max(wanted));
         while free > 0 {
-            let neediest = self.peers.iter().max_by_key(|(host, part)| {
+            let neediest = self.peers.iter().max_by_key(|(host, peer)| {
                 // The name breaks ties, so that a replay is the same each time.
-                (self.lack(host, part), std::cmp::Reverse((*host).clone()))
+                (self.deficit(host, peer), std::cmp::Reverse((*host).clone()))
             });
-            let Some((host, part)) = neediest else {
+            let Some((host, peer)) = neediest else {
                 return;
             };
-            if self.lack(host, part) == 0 {
+            if self.deficit(host, peer) == 0 {
                 return;
             }
             let host = host.clone();
@@ -338,13 +337,13 @@
     }
 
     /// Returns how many slots the peer still lacks, as far as is known here.
-    fn lack(&self, host: &HostName, part: &PeerPart) -> u32 {
-        if part.epoch != self.epoch {
+    fn deficit(&self, host: &HostName, peer: &PeerSlots) -> u32 {
+        if peer.epoch != self.epoch {
             return 0;
         }
         let lent = self.lent.get(host).copied().unwrap_or(0);
-        let on_the_way = lent.saturating_sub(part.lent_before);
-        part.wanted.saturating_sub(part.held + on_the_way)
+        let in_transit = lent.saturating_sub(peer.lent_before);
+        peer.wanted.saturating_sub(peer.held + in_transit)
     }
 }
 
@@ -354,8 +353,8 @@
     base / 2
 }
 
-fn epoch_hash(lives: u64, target: &str, slots: u32) -> u64 {
-    let mut hash = Xxh3::with_seed(lives);
+fn epoch_hash(seed: u64, target: &str, slots: u32) -> u64 {
+    let mut hash = Xxh3::with_seed(seed);
     hash.update(target.as_bytes());
     hash.update(&slots.to_le_bytes());
     // Zero stands for no epoch.
--- a/src/policy/slot_reserve.rs
+++ b/src/policy/slot_reserve.rs
@@ -11,52 +11,56 @@
 use std::time::Duration;
 
 /// How often the mean takes a sample.
-const STEP: Duration = Duration::from_millis(100);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// The weight of a rising sample: a burst is met within half a second.
-const RISE: f64 = 0.2;
+const RISE_GAIN: f64 = 0.2;
 /// The weight of a falling sample: the reserve outlasts the gaps between bursts
 /// of some seconds.
-const FALL: f64 = 0.01;
+const FALL_GAIN: f64 = 0.01;
 
 /// How much work of a kind runs at once, smoothed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlotReserve {
     mean: f64,
-    sampled: Duration,
+    sampled_at: Duration,
     /// How many deviations above the mean are kept.
     deviations: f64,
     /// What is kept in any case.
-    least: f64,
+    minimum: f64,
 }
 
 impl SlotReserve {
-    pub(super) const fn new(deviations: f64, least: f64) -> Self {
+    pub(super) const fn new(deviations: f64, minimum: f64) -> Self {
         Self {
             mean: 0.0,
-            sampled: Duration::ZERO,
+            sampled_at: Duration::ZERO,
             deviations,
-            least,
+            minimum,
         }
     }
 
     /// Takes how much such work runs and waits now.
     pub(super) fn sample(&mut self, now: Duration, present: u32) {
-        if now < self.sampled + STEP {
+        if now < self.sampled_at + SAMPLE_INTERVAL {
             return;
         }
-        self.sampled = now;
+        self.sampled_at = now;
         let present = f64::from(present);
-        let gain = if present > self.mean { RISE } else { FALL };
+        let gain = if present > self.mean {
+            RISE_GAIN
+        } else {
+            FALL_GAIN
+        };
         self.mean += gain * (present - self.mean);
     }
 
     /// Returns how many slots such work should find, those it fills included.
     pub(super) fn size(&self) -> f64 {
-        self.mean + self.deviations * self.mean.sqrt() + self.least
+        self.mean + self.deviations * self.mean.sqrt() + self.minimum
     }
 
     /// Returns how many slots others must leave free while `running` are filled.
-    pub(super) fn keep_free(&self, running: u32) -> u32 {
+    pub(super) fn reserved_slots(&self, running: u32) -> u32 {
         (self.size() - f64::from(running)).max(0.0).round() as u32
     }
 }
--- a/src/policy/target_view.rs
+++ b/src/policy/target_view.rs
@@ -13,7 +13,7 @@
 use super::pace_estimate::PaceEstimate;
 
 /// How long dispatch times are kept to correct a late report.
-const REPORT_AGE: Duration = Duration::from_secs(10);
+const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
 
 /// A target as this host sees it.
 #[derive(Debug)]
@@ -26,16 +26,16 @@
     /// The slots that this host may fill.
     pub(super) share: u32,
     /// Prompt tokens sent whose first answer token has not come.
-    pub(super) unread: u64,
+    pub(super) pending_prefill_tokens: u64,
     /// Whether long work is kept away from here.
     pub(super) express: bool,
     /// When a slow target was last tried.
-    pub(super) probed: Option<Duration>,
+    pub(super) probed_at: Option<Duration>,
     /// Requests that waited inside the target by its last report.
     queued: u32,
-    reported: Duration,
+    reported_at: Duration,
     /// When this host last sent work here, the newest last.
-    sent: Vec<Duration>,
+    dispatch_times: Vec<Duration>,
 }
 
 impl TargetView {
@@ -47,12 +47,12 @@
             limit: ConcurrencyLimit::new(),
             running: 0,
             share: 0,
-            unread: 0,
+            pending_prefill_tokens: 0,
             express: false,
-            probed: None,
+            probed_at: None,
             queued: 0,
-            reported: Duration::ZERO,
-            sent: Vec::new(),
+            reported_at: Duration::ZERO,
+            dispatch_times: Vec::new(),
         }
     }
 
@@ -75,56 +75,67 @@
     /// Takes the target's own report.
     ///
     /// It says nothing about what was sent after it was taken; that is added.
-    pub(super) fn take_report(&mut self, report: LoadReport) {
-        if report.taken < self.reported {
+    pub(super) fn apply_report(&mut self, report: LoadReport) {
+        if report.taken < self.reported_at {
             return;
         }
-        self.reported = report.taken;
+        self.reported_at = report.taken;
         self.queued = report.waiting;
-        self.sent.retain(|at| *at + REPORT_AGE > report.taken);
+        self.dispatch_times
+            .retain(|at| *at + REPORT_MAX_AGE > report.taken);
     }
 
-    pub(super) fn send(&mut self, now: Duration, item: &WorkItem) {
+    pub(super) fn record_dispatch(&mut self, now: Duration, item: &WorkItem) {
         self.running += 1;
-        self.unread += u64::from(item.prompt_tokens);
-        self.sent.push(now);
-        let surplus = self.sent.len().saturating_sub(self.facts.slots as usize);
-        self.sent.drain(..surplus);
+        self.pending_prefill_tokens += u64::from(item.prompt_tokens);
+        self.dispatch_times.push(now);
+        let surplus = self
+            .dispatch_times
+            .len()
+            .saturating_sub(self.facts.slots as usize);
+        self.dispatch_times.drain(..surplus);
     }
 
-    pub(super) fn has_read(&mut self, prompt_tokens: TokenCount) {
-        self.unread = self.unread.saturating_sub(u64::from(prompt_tokens));
+    pub(super) fn record_prefill_end(&mut self, prompt_tokens: TokenCount) {
+        self.pending_prefill_tokens = self
+            .pending_prefill_tokens
+            .saturating_sub(u64::from(prompt_tokens));
     }
 
     /// Returns the expected seconds to the first token of work sent now.
-    pub(super) fn first_token(&self, now: Duration, item: &WorkItem) -> f64 {
-        let unread = self.unread.min(u64::from(TokenCount::MAX)) as TokenCount;
-        let prompts = item.prompt_tokens.saturating_add(unread);
-        self.pace.first_token(prompts) + self.queue_wait(now)
+    pub(super) fn first_token_seconds(&self, now: Duration, item: &WorkItem) -> f64 {
+        let pending = self.pending_prefill_tokens.min(u64::from(TokenCount::MAX)) as TokenCount;
+        let prompts = item.prompt_tokens.saturating_add(pending);
+        self.pace.first_token_seconds(prompts) + self.queue_wait(now)
     }
 
     /// Returns the expected seconds to the end of work sent now.
-    pub(super) fn whole(&self, now: Duration, item: &WorkItem) -> f64 {
-        let written = self.pace.whole(0, item.output_tokens);
+    pub(super) fn total_seconds(&self, now: Duration, item: &WorkItem) -> f64 {
+        let generation_seconds = self.pace.total_seconds(0, item.output_tokens);
         match self.facts.kind {
-            TargetKind::Engine => written + self.first_token(now, item),
-            TargetKind::Service => written + self.queue_wait(now),
+            TargetKind::Engine => generation_seconds + self.first_token_seconds(now, item),
+            TargetKind::Service => generation_seconds + self.queue_wait(now),
         }
     }
 
     /// Returns the expected seconds of the work alone, whatever is before it.
-    pub(super) fn alone(&self, item: &WorkItem) -> f64 {
-        self.pace.whole(item.prompt_tokens, item.output_tokens)
+    pub(super) fn service_seconds(&self, item: &WorkItem) -> f64 {
+        self.pace
+            .total_seconds(item.prompt_tokens, item.output_tokens)
     }
 
     /// Returns the expected wait inside the target: what its report shows,
     /// and what was sent after the report was taken, beyond its slots.
     fn queue_wait(&self, now: Duration) -> f64 {
-        if self.queued == 0 || now > self.reported + REPORT_AGE {
+        if self.queued == 0 || now > self.reported_at + REPORT_MAX_AGE {
             return 0.0;
         }
-        let after = self.sent.iter().filter(|at| **at > self.reported).count();
+        let after = self
+            .dispatch_times
+            .iter()
+            .filter(|at| **at > self.reported_at)
+            .count();
         let queued = f64::from(self.queued) + after as f64;
-        queued * self.pace.token()
+        queued * self.pace.token_seconds()
     }
 }
--- a/src/policy/tier_load.rs
+++ b/src/policy/tier_load.rs
@@ -10,7 +10,7 @@
 use crate::sorted::SortedMap;
 
 /// How often the means take a sample.
-const STEP: Duration = Duration::from_millis(100);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// The weight of a sample; the means look back some fifty seconds, so that a
 /// burst does not shut out long work that can wait until it is over.
 const GAIN: f64 = 0.002;
@@ -18,24 +18,24 @@
 /// How many slots each tier has filled lately.
 #[derive(Debug)]
 pub(super) struct TierLoad {
-    sampled: Duration,
+    sampled_at: Duration,
     means: SortedMap<TierRank, f64>,
 }
 
 impl TierLoad {
     pub(super) const fn new() -> Self {
         Self {
-            sampled: Duration::ZERO,
+            sampled_at: Duration::ZERO,
             means: SortedMap::new(),
         }
     }
 
     /// Takes how many slots each tier fills now.
     pub(super) fn sample(&mut self, now: Duration, filled: &SortedMap<TierRank, u32>) {
-        if now < self.sampled + STEP {
+        if now < self.sampled_at + SAMPLE_INTERVAL {
             return;
         }
-        self.sampled = now;
+        self.sampled_at = now;
         for (tier, _) in filled.iter() {
             self.means.get_or_insert_with(*tier, || 0.0);
         }
--- a/src/policy/wasted_tokens.rs
+++ b/src/policy/wasted_tokens.rs
@@ -24,7 +24,7 @@
 
 impl WastedTokens {
     /// Counts the end of work whose prompt was sent.
-    pub(super) fn ended(&mut self, end: WorkOutcome, prompt_tokens: TokenCount) {
+    pub(super) fn record_end(&mut self, end: WorkOutcome, prompt_tokens: TokenCount) {
         match end {
             WorkOutcome::Cancelled => self.cancelled += u64::from(prompt_tokens),
             WorkOutcome::Failed => self.failed += u64::from(prompt_tokens),
@@ -33,7 +33,7 @@
     }
 
     /// Counts a prompt that goes to another target than its prefix did before.
-    pub(super) fn repeated(&mut self, prompt_tokens: TokenCount) {
+    pub(super) fn record_repeat(&mut self, prompt_tokens: TokenCount) {
         self.repeated += u64::from(prompt_tokens);
     }
 }
