--- a/src/limits/account_bucket.rs
+++ b/src/limits/account_bucket.rs
@@ -1,17 +1,17 @@
-//! One account's rate on one host.
+//! The rate limit of one account on one host.
 //!
-//! Load it answers: one account that sends far more than it may. Without it,
-//! that account's requests fill every queue before the fair order can choose.
+//! Without it, the requests of an account that far exceeds its rate would fill every queue
+//! before fair queueing takes effect.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// A rate limit by the generic cell rate algorithm, in one atomic word.
+/// A rate limiter using the generic cell rate algorithm, in one atomic word.
 ///
-/// The word holds the time at which the bucket is full again. A request moves
-/// it by one interval; one that would move it further ahead than the burst
-/// allows is refused with the time to wait.
+/// The word holds the time at which the bucket is full again. Each request advances it by one
+/// interval. A request that would advance it further than the burst allows is refused with the
+/// time to wait.
 #[derive(Debug)]
 pub struct AccountBucket {
     interval: Duration,
@@ -20,10 +20,10 @@
 }
 
 impl AccountBucket {
-    /// Makes a full bucket for `rate` requests a second with bursts of `burst`.
+    /// Creates a full bucket for `rate` requests per second with bursts of `burst` requests.
     ///
-    /// Both are this host's share; a share below one request a second is kept
-    /// as a longer interval, so no account is shut out by rounding.
+    /// Both are this host's share. A share below one request per second becomes an interval
+    /// longer than a second, so that rounding excludes no account.
     pub fn new(rate: f64, burst: f64) -> Self {
         let interval = Duration::from_secs_f64(1.0 / rate.max(f64::MIN_POSITIVE).max(1e-6));
         Self {
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// The time after which the next request is let in.
+    /// The time after which the next request is admitted.
     pub fn take(&self, now: Duration) -> Result<(), Duration> {
         let now = now.as_nanos() as u64;
         let interval = self.interval.as_nanos() as u64;
--- a/src/limits/account_limiter.rs
+++ b/src/limits/account_limiter.rs
@@ -1,4 +1,4 @@
-//! The rates of all accounts on one host, replaced whole with each configuration.
+//! The rate limits of all accounts on one host, replaced as a whole with each configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 type BucketMap = SortedMap<AccountName, LimitedAccount>;
 
-/// The rates of all accounts on one host.
+/// The rate limits of all accounts on one host.
 #[derive(Debug, Default)]
 pub(crate) struct AccountLimiter {
     buckets: ArcSwap<BucketMap>,
@@ -28,10 +28,10 @@
 }
 
 impl AccountLimiter {
-    /// Puts a document's limits in force.
+    /// Applies the limits of a document.
     ///
-    /// A bucket whose limit is unchanged is kept, so that an edit elsewhere in
-    /// the document gives no account a fresh burst.
+    /// The bucket of an unchanged limit is kept, so that an edit elsewhere in the document does
+    /// not give the account a new burst.
     pub(crate) fn apply(&self, document: &FleetDocument) {
         let hosts = document.roster.seats.len().max(1);
         let former = self.buckets.load();
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// The time after which the account's next request is let in.
+    /// The time after which the account's next request is admitted.
     pub(crate) fn take(&self, account: &AccountName, now: Duration) -> Result<(), Duration> {
         match self.buckets.load().get(account) {
             Some(limited) => limited.bucket.take(now),
@@ -77,7 +77,7 @@
 
 fn share_of_host(rate: u32, burst: u32, hosts: usize) -> AccountBucket {
     let hosts = hosts as f64;
-    // One request must always fit, or a small account would never be served.
+    // A burst of at least one request, or a small account would never be served.
     let burst = (f64::from(burst) / hosts).max(1.0);
     AccountBucket::new(f64::from(rate) / hosts, burst)
 }
--- a/src/limits/byte_budget.rs
+++ b/src/limits/byte_budget.rs
@@ -1,20 +1,20 @@
-//! A bound on the bytes that all waiting requests hold together.
+//! A limit on the memory that all waiting requests use together.
 //!
-//! Load it answers: a burst of long prompts. Without it a few hundred waiting
-//! bodies of a mebibyte each take the host's memory, and with it every answer.
+//! Without it, a few hundred waiting bodies of one mebibyte each, in a burst of long prompts,
+//! would exhaust the host's memory, and every request would fail.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
 
-/// A bound on bytes held at the same time.
+/// A limit on the bytes held at the same time.
 #[derive(Debug)]
 pub struct ByteBudget {
     limit: usize,
     taken: AtomicUsize,
 }
 
-/// Bytes of a budget, given back when dropped.
+/// Bytes reserved from a budget, released when dropped.
 #[derive(Debug)]
 pub struct BytePermit {
     budget: Arc<ByteBudget>,
@@ -22,7 +22,7 @@
 }
 
 impl ByteBudget {
-    /// Makes a budget of so many bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Arc<Self> {
         Arc::new(Self {
             limit,
@@ -30,18 +30,18 @@
         })
     }
 
-    /// Takes bytes, unless that would go over the limit.
+    /// Reserves bytes, unless that would exceed the limit.
     pub fn take(self: &Arc<Self>, bytes: usize) -> Option<BytePermit> {
         let taken = self.taken.fetch_add(bytes, Ordering::AcqRel);
-        // The share gives the bytes back in both cases.
-        let share = BytePermit {
+        // Dropping the permit releases the bytes, also if the limit is exceeded.
+        let permit = BytePermit {
             budget: self.clone(),
             bytes,
         };
-        (taken.saturating_add(bytes) <= self.limit).then_some(share)
+        (taken.saturating_add(bytes) <= self.limit).then_some(permit)
     }
 
-    /// Returns how many bytes are taken.
+    /// Returns the number of reserved bytes.
     pub fn taken(&self) -> usize {
         self.taken.load(Ordering::Acquire)
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,8 +1,8 @@
-//! What is let in, what goes to a peer, and what is turned away at once.
+//! Admission control: which work is queued, forwarded to a peer, or refused at once.
 //!
-//! Load: a burst at several times the capacity, and saturation. Work that is
-//! let in though it can't be in time waits, takes a slot, and is late: its
-//! prompt was read for nothing and it made others late as well.
+//! In a burst at several times the capacity, or under saturation, work that is admitted
+//! although it can't meet its deadline waits, takes a slot and is late: its prefill is wasted,
+//! and it makes other work late as well.
 
 use std::time::Duration;
 
@@ -25,18 +25,18 @@
 use super::retry_advice::retry_advice;
 use super::target_view::TargetView;
 
-/// How many targets are home to a prefix.
+/// The number of home targets of a prefix.
 pub(super) const HOMES_PER_PREFIX: usize = 3;
-/// Lower work is let in when it would be in time after so many times its
-/// expected wait. A refusal at once serves the caller better than one later.
+/// Work below the top tier is admitted if it would meet its deadline after its expected wait
+/// times this factor. An immediate refusal serves the caller better than a late one.
 const WAIT_MARGIN: f64 = 1.0;
-/// Work is not moved for a wait below this, in seconds.
+/// Work is not forwarded to a peer for load balancing if its wait here is shorter.
 const MIN_BALANCED_WAIT_SECONDS: f64 = 1.0;
-/// Work is moved to a peer whose wait is below this part of the wait here.
+/// Work is forwarded to a peer whose wait is below this fraction of the wait here.
 const MAX_PEER_WAIT_RATIO: f64 = 0.5;
 
 impl DispatchPolicy {
-    /// Decides about work that arrives here or was handed over.
+    /// Decides about work that arrives here or was handed over by a peer.
     pub(super) fn admit(
         &mut self,
         now: Duration,
@@ -68,7 +68,7 @@
         let (work, tier) = (item.work, item.tier);
         self.enqueue(now, item, cost, None);
         let mut actions = self.decide(now);
-        if self.queue.works().len() > self.limits.max_waiting as usize {
+        if self.queue.works().len() > self.settings.max_waiting as usize {
             actions.extend(self.displace(now, work, tier, may_hand_over));
         }
         if tier == 0 && may_hand_over {
@@ -77,8 +77,8 @@
         actions
     }
 
-    /// Tells whether work could not be in time even on an idle fleet; its refusal
-    /// says nothing of the load.
+    /// Tells whether work could not meet its deadline even on an idle fleet. Its refusal says
+    /// nothing about the load.
     fn is_impossible(&self, now: Duration, item: &WorkItem) -> bool {
         let (prompt, output) = (item.prompt_tokens, item.output_tokens);
         let left = item.deadline.saturating_sub(now).as_secs_f64();
@@ -87,13 +87,13 @@
         !views.any(|view| view.is_live() && view.pace.idle_total_seconds(prompt, output) <= left)
     }
 
-    /// Puts work back that did not reach its target.
+    /// Queues work again that did not reach its target.
     pub(super) fn requeue(&mut self, now: Duration, item: WorkItem, target: TargetName) {
         let cost = self.best_service_seconds(&item).unwrap_or(0.0);
         self.enqueue(now, item, cost, Some(target));
     }
 
-    /// Tells whether work would be in time after a wait, in seconds.
+    /// Tells whether work would meet its deadline after a wait, in seconds.
     pub(super) fn meets_deadline(&self, now: Duration, wait: f64, item: &WorkItem) -> bool {
         let total_seconds = self.best_service_seconds(item).unwrap_or(f64::INFINITY);
         let total_seconds = total_seconds * length_margin(item);
@@ -105,7 +105,7 @@
         now.as_secs_f64() + wait + total_seconds <= item.deadline.as_secs_f64()
     }
 
-    /// Refuses work at once, with advice when to come back.
+    /// Refuses work at once and advises when to retry.
     pub(super) fn refuse(&self, item: &WorkItem, kind: ErrorKind) -> PolicyAction {
         let cost = 0.0;
         PolicyAction::Refuse {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Hands work to a peer, or refuses it because this host leaves.
+    /// Hands work over to a peer, or refuses it because this host is leaving.
     pub(super) fn hand_over_or_leave(&mut self, now: Duration, item: &WorkItem) -> PolicyAction {
         match self.peers.choose(now, item) {
             Some(host) => PolicyAction::HandOver {
@@ -126,8 +126,8 @@
         }
     }
 
-    /// The queue is full: the lowest waiting work is refused for the sake of new
-    /// work of a higher tier; where there is none the new work is turned away.
+    /// Makes room in a full queue: refuses the lowest waiting work in favour of new work of a
+    /// higher tier. If there is none, the new work is forwarded or refused.
     fn displace(
         &mut self,
         now: Duration,
@@ -144,8 +144,8 @@
         Some(self.refuse(&displaced.item, ErrorKind::Overloaded))
     }
 
-    /// Work that would come too late here goes to a peer with room; where no
-    /// peer has any it is refused, and lower work with it for a while.
+    /// Forwards work that would be late here to a peer with free capacity. If no peer has any,
+    /// the work is refused, and lower tiers are shed for a while.
     fn forward_or_refuse(
         &mut self,
         now: Duration,
@@ -163,7 +163,7 @@
         self.refuse(item, ErrorKind::Overloaded)
     }
 
-    /// Returns a peer where the work would be in time.
+    /// Returns a peer where the work would meet its deadline.
     fn peer_in_time(&mut self, now: Duration, item: &WorkItem) -> Option<HostName> {
         let cost = self.best_service_seconds(item)?;
         let left = item.deadline.saturating_sub(now).as_secs_f64() - cost;
@@ -172,8 +172,8 @@
         free.or_else(|| self.peers.choose_shorter_wait(now, tier, cost, left))
     }
 
-    /// Long work whose home has no free slot here goes to a peer that has one:
-    /// its prompt is then read from the home's cache.
+    /// Forwards work whose home target has no free slot here to a peer that has one there, so
+    /// that its prefix is served from the home's cache.
     fn forward_to_home(
         &mut self,
         now: Duration,
@@ -195,9 +195,9 @@
         })
     }
 
-    /// Urgent brief work goes to a peer with a free express slot when this host
-    /// has none: beside long prompts its first token takes many times longer
-    /// than the way to the peer.
+    /// Forwards brief work of the top tier to a peer with a free express slot if this host has
+    /// none: beside long prompts its first token takes many times longer than the hop to the
+    /// peer.
     fn forward_brief(&mut self, now: Duration, item: &WorkItem, cost: f64) -> Option<PolicyAction> {
         if item.tier > 0 || band(cost) != WorkBand::Brief {
             return None;
@@ -218,7 +218,7 @@
         })
     }
 
-    /// Work that would wait long here goes to a peer where it waits far less.
+    /// Forwards work that would wait long here to a peer where it waits far less.
     fn forward_for_balance(
         &mut self,
         now: Duration,
@@ -242,7 +242,7 @@
         })
     }
 
-    /// Returns the seconds that new engine work of a tier waits here.
+    /// Returns the seconds that new engine work of a tier would wait here.
     fn tier_wait(&self, tier: TierRank) -> f64 {
         let works = self.queue.works().iter();
         let ahead: f64 = works
@@ -254,7 +254,7 @@
         ahead / slots.max(1.0)
     }
 
-    /// Returns the waits of the digest, one for each tier that waits.
+    /// Returns the waits for the digest, one for each tier with waiting work.
     pub(super) fn tier_waits(&self) -> Vec<TierWait> {
         let tiers = self.queue.tiers().into_iter();
         tiers
@@ -265,7 +265,7 @@
             .collect()
     }
 
-    /// Urgent work that found no slot goes to a peer that has one.
+    /// Hands top-tier work that found no slot over to a peer that has one.
     fn hand_over_waiting(&mut self, now: Duration, work: u64) -> Option<PolicyAction> {
         let waits = self.queue.works().iter().find(|w| w.item.work == work)?;
         let host = self.peers.choose(now, &waits.item)?;
@@ -288,15 +288,15 @@
 
     /// Returns the seconds that work must wait for a slot.
     ///
-    /// With s slots that the work may fill, all filled, one falls free each
-    /// s-th part of what a running request still needs.
+    /// If the work may use s slots and all are filled, one becomes free every 1/s of the
+    /// remaining time of a running request.
     fn expected_wait(&self, item: &WorkItem, cost: f64) -> f64 {
         let allowed = item
             .allowed
             .iter()
             .filter_map(|name| self.targets.get(name));
         let kind = self.kind_of(item);
-        // Longer work does not get the express engines.
+        // Only brief work may use the express engines.
         let brief = band(cost) == WorkBand::Brief;
         let usable = allowed.filter(|view| brief || !view.express);
         let slots = effective_slots(usable) * self.pool(kind).fraction_left_to(item.tier);
@@ -314,7 +314,7 @@
         (ahead + residual) / slots.max(1.0)
     }
 
-    /// Returns the targets closest to home for the item's prefix, the closest first.
+    /// Returns the home targets of the item's prefix, in order of preference.
     fn homes(&self, item: &WorkItem) -> Vec<TargetName> {
         let views = item
             .allowed
@@ -330,7 +330,7 @@
     }
 }
 
-/// Returns what the slots of some targets are worth in slots of the fastest one.
+/// Returns the capacity of the targets, in slots of the fastest one.
 fn effective_slots<'a>(views: impl Iterator<Item = &'a TargetView>) -> f64 {
     let live: Vec<&TargetView> = views.filter(|view| view.is_live()).collect();
     let tokens = live.iter().map(|view| view.pace.token_seconds());
--- a/src/policy/decide.rs
+++ b/src/policy/decide.rs
@@ -1,9 +1,8 @@
-//! Which waiting work takes which free slot.
+//! Assignment of free slots to waiting work.
 //!
-//! Load: engines of unlike pace, one that slows down, and long prompts that
-//! hold up the short ones batched with them. Placement by free slots alone
-//! gives a digest to the fastest engine's last slot and a check to an engine
-//! that reads a long prompt.
+//! Engines differ in speed, may slow down, and a long prompt delays the short ones batched with
+//! it. Placement by free slots alone would give long work the fastest engine's last slot, and
+//! put urgent short work on an engine that prefills a long prompt.
 
 use std::time::Duration;
 
@@ -28,30 +27,30 @@
 const BRIEF_SECONDS: f64 = 2.5;
 /// Work expected to end within this many seconds is short.
 const SHORT_SECONDS: f64 = 15.0;
-/// Work does not take a target that needs so many times the best one's time;
-/// the lots differ by less than 4.
+/// Work does not take a target that needs more than this multiple of the best one's time.
+/// Hardware generations differ by less than 4.
 const MAX_SLOWDOWN: f64 = 4.0;
-/// Work waits for its homes for this part of its expected time.
+/// Work waits for its home targets for this fraction of its expected time.
 const HOME_WAIT_FRACTION: f64 = 0.05;
-/// Work waits for its homes no longer than this, in seconds.
+/// The longest time that work waits for its home targets.
 const MAX_HOME_WAIT_SECONDS: f64 = 3.0;
-/// Lower work must be in time even when its answer is so many times longer than
-/// expected: what is cut off at its deadline has taken a slot for nothing.
+/// Work below the top tier must meet its deadline even if it takes this many times longer than
+/// expected: work that is cancelled at its deadline has wasted a slot.
 const LENGTH_MARGIN: f64 = 1.25;
-/// Work that is not at home on a free target lets work that is go first for this
-/// part of the time that it can wait. Until then no slot stands free for it: a
-/// target that is nobody's home takes any work.
+/// For this fraction of the time that it can wait, work without a free slot at its home targets
+/// yields to work that has one. No slot is left idle: a target that is not a home of any waiting
+/// work takes any work.
 const HOME_SLACK_FRACTION: f64 = 0.5;
-/// A slow target that runs nothing of this host is tried again after this.
+/// The interval between probes of a slow target that runs no work of this host.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
-/// Long work tries a slow target when nothing was learned of it for this long.
+/// Long work probes a slow target that gave no sample for this long.
 const LONG_PROBE_INTERVAL: Duration = Duration::from_secs(10);
-/// With more free targets than this, two are drawn and the better one is taken:
-/// hosts that decide at once by the same figures must not all take one target.
+/// With more free targets than this, two are drawn at random and the better one is taken:
+/// hosts that decide at the same time from the same data must not all take one target.
 const MAX_COMPARED_TARGETS: usize = 16;
 
 impl DispatchPolicy {
-    /// Dispatches what has a slot.
+    /// Dispatches waiting work as far as there are slots.
     pub(super) fn decide(&mut self, now: Duration) -> Vec<PolicyAction> {
         let mut actions = Vec::new();
         if self.queue.works().is_empty() {
@@ -69,14 +68,14 @@
         actions
     }
 
-    /// Tells whether any work of a tier could get a slot; a full fleet is not
-    /// searched for each of the waiting requests.
+    /// Tells whether any work of a tier could get a slot. This avoids searching a full fleet
+    /// for each waiting request.
     fn has_free_slot(&self, tier: TierRank) -> bool {
         let mut pools = [&self.engines, &self.services].into_iter();
         pools.any(|pool| pool.free > pool.reserved_slots(tier, WorkBand::Brief))
     }
 
-    /// Refuses waiting work that no target can finish in time any more.
+    /// Refuses waiting work that can no longer meet its deadline at any target.
     pub(super) fn refuse_unattainable(&mut self, now: Duration) -> Vec<PolicyAction> {
         let unattainable: Vec<u64> = self
             .queue
@@ -104,8 +103,8 @@
     fn dispatch_one(&mut self, now: Duration, tier: TierRank) -> Option<PolicyAction> {
         let order = self.queue.order(now, tier);
         let works = self.queue.works();
-        // Work that fits a free home goes before work that would take any
-        // target: with a long queue there is nearly always some.
+        // Work with a free slot at a home target goes before work that would take any target;
+        // in a long queue there is nearly always some.
         let fits = |homes: usize| {
             order.iter().find_map(|index| {
                 let target = self.find_target(now, &works[*index], homes)?;
@@ -145,8 +144,7 @@
 
     /// Returns the target that the work should take now, if any.
     ///
-    /// Only so many of the work's closest `homes` count, unless it has waited
-    /// too long.
+    /// Only the work's first `homes` home targets count, unless it has waited too long.
     fn find_target(&self, now: Duration, work: &WaitingWork, homes: usize) -> Option<TargetName> {
         let item = &work.item;
         let band = band(work.cost);
@@ -187,7 +185,7 @@
         Some(best.facts.name.clone())
     }
 
-    /// Returns the targets with a free slot where the work would be in time.
+    /// Returns the targets with a free slot where the work would meet its deadline.
     fn free_targets(&self, now: Duration, work: &WaitingWork, band: WorkBand) -> Vec<&TargetView> {
         let item = &work.item;
         let left = item.deadline.saturating_sub(now).as_secs_f64();
@@ -197,9 +195,9 @@
             let reserved = view.express && band != WorkBand::Brief;
             !avoided && !reserved && !view.pace.is_slow()
         };
-        // Guards against waiting beside an idle target until the deadline: where
-        // a slow, kept or avoided target is all that is left, it is taken. What
-        // is hopeless was refused before, by the pace that the target may regain.
+        // If only slow, reserved or avoided targets are left, one is taken, so that work does
+        // not wait beside an idle target until its deadline. Work that can't meet its deadline
+        // even at the speed that the target may regain has been refused before.
         if !live.iter().any(is_usual) {
             return live.into_iter().filter(|view| view.free() > 0).collect();
         }
@@ -218,7 +216,7 @@
             .collect()
     }
 
-    /// Returns the allowed targets that take new work.
+    /// Returns the allowed targets that accept new work.
     fn live_targets(&self, item: &WorkItem) -> Vec<&TargetView> {
         item.allowed
             .iter()
@@ -227,7 +225,7 @@
             .collect()
     }
 
-    /// Returns the least expected seconds over the allowed targets, full or not.
+    /// Returns the least expected service time over the allowed targets, free or not.
     pub(super) fn best_service_seconds(&self, item: &WorkItem) -> Option<f64> {
         self.live_targets(item)
             .into_iter()
@@ -235,7 +233,7 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Returns the pool of a kind of targets.
+    /// Returns the state of a kind of targets.
     pub(super) const fn pool(&self, kind: TargetKind) -> &PoolState {
         match kind {
             TargetKind::Engine => &self.engines,
@@ -243,7 +241,7 @@
         }
     }
 
-    /// Returns the pool of a kind of targets, for change.
+    /// Returns the mutable state of a kind of targets.
     pub(super) const fn pool_mut(&mut self, kind: TargetKind) -> &mut PoolState {
         match kind {
             TargetKind::Engine => &mut self.engines,
@@ -251,7 +249,7 @@
         }
     }
 
-    /// Returns the kind of the targets that an item may go to.
+    /// Returns the kind of the targets allowed for an item.
     pub(super) fn kind_of(&self, item: &WorkItem) -> TargetKind {
         let allowed = item.allowed.iter();
         let mut views = allowed.filter_map(|name| self.targets.get(name));
@@ -263,12 +261,12 @@
     }
 }
 
-/// Returns the factor on the expected time of work that must still be in time.
+/// Returns the factor on the expected time with which work must still meet its deadline.
 pub(super) const fn length_margin(item: &WorkItem) -> f64 {
     if item.tier == 0 { 1.0 } else { LENGTH_MARGIN }
 }
 
-/// Returns how long work is, by its expected seconds.
+/// Classifies the length of work by its expected seconds.
 pub(super) fn band(seconds: f64) -> WorkBand {
     if seconds <= BRIEF_SECONDS {
         WorkBand::Brief
@@ -279,8 +277,8 @@
     }
 }
 
-/// Returns how far from home a target is for long work; other work goes where
-/// it ends soonest.
+/// Returns a target's position among the work's home targets. Top-tier and brief work has no
+/// preference and takes the target where it ends soonest.
 fn home_position(work: &WaitingWork, band: WorkBand, view: &TargetView) -> usize {
     if work.item.tier == 0 || band == WorkBand::Brief {
         return 0;
@@ -291,17 +289,17 @@
         .unwrap_or(work.homes.len())
 }
 
-/// A slow target gets one piece of lower work now and then, so that its
-/// recovery is seen; work that runs there shows it without a probe.
+/// Tells whether a slow target may be probed with work below the top tier to detect its
+/// recovery. No probe is needed while work runs there.
 ///
-/// Long work is a probe only when nothing shorter has come for a while.
+/// Long work serves as a probe only if no shorter work has for a while.
 fn may_probe(now: Duration, view: &TargetView, band: WorkBand) -> bool {
     let interval_over = view.probed_at.is_none_or(|at| now >= at + PROBE_INTERVAL);
     let suitable = band != WorkBand::Long || view.pace.is_stale(now, LONG_PROBE_INTERVAL);
     view.running == 0 && interval_over && suitable
 }
 
-/// Draws two of many targets by a hash of the work's id.
+/// Draws two of many targets pseudo-randomly, by a hash of the work's id.
 fn draw_two<'a>(item: &WorkItem, free: &[&'a TargetView]) -> Vec<&'a TargetView> {
     let hash = xxh3_64(&item.work.to_le_bytes()) as usize;
     let first = hash % free.len();
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -1,4 +1,4 @@
-//! The policy of one host: it holds the waiting work and decides.
+//! The dispatch policy of one host: its waiting and running work, and the decisions about it.
 
 use std::time::Duration;
 
@@ -22,17 +22,17 @@
 use super::slot_ledger::SlotLedger;
 use super::target_view::TargetView;
 
-/// The least time between two samples of one work's pace: the slowest network
-/// and the largest read put tokens of some milliseconds together.
+/// The least time between two samples of one request's token rate: a slow network or a large
+/// read delivers the tokens of some milliseconds together.
 const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How many prefixes a host remembers to count repeated prompts.
+/// How many prefixes a host tracks to count repeated prefills.
 const MAX_TRACKED_PREFIXES: usize = 512;
 
-/// The policy of one host: it holds the waiting work and decides.
+/// The dispatch policy of one host: its waiting and running work, and the decisions about it.
 #[derive(Debug)]
 pub struct DispatchPolicy {
-    pub(super) limits: PolicySettings,
+    pub(super) settings: PolicySettings,
     pub(super) ledger: SlotLedger,
     pub(super) targets: SortedMap<TargetName, TargetView>,
     pub(super) queue: FairQueue,
@@ -41,7 +41,7 @@
     pub(super) services: PoolState,
     pub(super) peers: PeerCapacity,
     pub(super) waste: WastedTokens,
-    /// Where each prefix was sent last.
+    /// The target that each prefix was last sent to.
     pub(super) sent_prefixes: SortedMap<u64, TargetName>,
     sequence: u64,
 }
@@ -51,23 +51,24 @@
 pub(super) struct RunningWork {
     pub(super) item: WorkItem,
     pub(super) target: TargetName,
-    /// The expected seconds, for the wait of others.
+    /// The expected seconds, used to estimate the wait of other work.
     pub(super) cost: f64,
     pub(super) sent_at: Duration,
-    /// Whether its prefix was most likely in the target's cache.
+    /// Whether the prefix was most likely in the target's cache.
     pub(super) cached: bool,
-    /// The last progress: when, and how many tokens.
+    /// Time of the last progress.
     pub(super) progressed_at: Duration,
+    /// Answer tokens so far.
     pub(super) tokens: u32,
 }
 
 impl DispatchPolicy {
-    /// Makes the policy of `host`, which knows no target and no host yet; it
-    /// dispatches nothing before [`DispatchPolicy::set_hosts`].
-    pub fn new(host: HostName, limits: PolicySettings) -> Self {
+    /// Creates the policy of `host` without targets and hosts. It dispatches nothing before
+    /// [`DispatchPolicy::set_hosts`].
+    pub fn new(host: HostName, settings: PolicySettings) -> Self {
         Self {
-            ledger: SlotLedger::new(host, limits.incarnation),
-            limits,
+            ledger: SlotLedger::new(host, settings.incarnation),
+            settings,
             targets: SortedMap::new(),
             queue: FairQueue::default(),
             running: SortedMap::new(),
@@ -80,12 +81,12 @@
         }
     }
 
-    /// Sets the most requests that may wait here; what waits already stays.
+    /// Sets the maximum number of waiting requests. Requests that already wait are kept.
     pub fn set_max_waiting(&mut self, max_waiting: u32) {
-        self.limits.max_waiting = max_waiting;
+        self.settings.max_waiting = max_waiting;
     }
 
-    /// Takes up the targets as the configuration and the lists now have them.
+    /// Replaces the targets by those in the configuration and the platform's lists.
     pub fn set_targets(&mut self, _now: Duration, facts: Vec<TargetFacts>) {
         let mut targets = SortedMap::new();
         for fact in facts {
@@ -113,7 +114,7 @@
         self.choose_express();
     }
 
-    /// Takes up the cell's seats, this host among them.
+    /// Replaces the hosts of the cell, this one included.
     pub fn set_hosts(&mut self, _now: Duration, mut hosts: Vec<HostName>) {
         hosts.sort();
         hosts.dedup();
@@ -127,19 +128,19 @@
         self.admit(now, item, true)
     }
 
-    /// Decides about work that a peer handed over; it is not handed over again.
+    /// Decides about work that a peer handed over. It is not handed over again.
     pub fn take_over(&mut self, now: Duration, item: WorkItem) -> Vec<PolicyAction> {
         self.admit(now, item, false)
     }
 
-    /// Notes that the target took the work up.
+    /// Records that the target started the work.
     pub fn started(&mut self, now: Duration, work: WorkId) {
         if let Some(running) = self.running.get_mut(&work) {
             running.progressed_at = now;
         }
     }
 
-    /// Notes how many tokens of the answer have come.
+    /// Records how many tokens of the answer have arrived.
     pub fn progressed(&mut self, now: Duration, work: WorkId, tokens_so_far: u32) {
         let Some(running) = self.running.get_mut(&work) else {
             return;
@@ -150,8 +151,8 @@
         let interval = now.saturating_sub(running.progressed_at);
         let elapsed = interval.as_secs_f64();
         let previous = running.tokens;
-        // Guards against tokens that arrive together: their gaps of microseconds
-        // would pass for the engine's best pace, and it would look slow for ever.
+        // Tokens that arrive together have gaps of microseconds. If these counted as the
+        // engine's best time per token, the engine would look slow for ever.
         if previous > 0 && interval < MIN_SAMPLE_INTERVAL {
             return;
         }
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Notes the end of dispatched work and decides what takes its slot.
+    /// Records the end of dispatched work and decides what takes its slot.
     pub fn ended(&mut self, now: Duration, work: WorkId, end: WorkOutcome) -> Vec<PolicyAction> {
         let Some(ended) = self.running.remove(&work) else {
             return Vec::new();
@@ -197,20 +198,20 @@
         self.decide(now)
     }
 
-    /// Forgets work whose caller left while it waited.
+    /// Removes waiting work whose caller left.
     pub fn withdraw(&mut self, now: Duration, work: WorkId) -> Vec<PolicyAction> {
         self.queue.remove(work);
         self.decide(now)
     }
 
-    /// Takes a target's own report, which may be old.
+    /// Applies a target's load report, which may be outdated.
     pub fn report(&mut self, _now: Duration, target: &TargetName, report: LoadReport) {
         if let Some(view) = self.targets.get_mut(target) {
             view.apply_report(report);
         }
     }
 
-    /// Takes a peer's digest, which may be old or lost.
+    /// Applies a peer's digest. Digests may be late, and some may be lost.
     pub fn apply_peer_digest(&mut self, now: Duration, host: &HostName, digest: HostDigest) {
         if !self.ledger.apply_digest(host, &digest) {
             return;
@@ -226,21 +227,21 @@
         self.refresh_shares();
     }
 
-    /// Tells whether the peers should get a digest before the next second,
-    /// because the division of the slots waits for it.
+    /// Tells whether the peers should get a digest before the next regular one, because the
+    /// division of slots waits for it.
     pub fn wants_digest(&self) -> bool {
-        // Without targets there are no slots, and nothing would ever settle.
+        // Without targets there are no slots to divide, and the condition would last for ever.
         self.ledger.has_changed() && !self.targets.is_empty()
     }
 
-    /// Returns the lowest tiers that this host's own load lets in to engines and
-    /// to services; peers should hear of a change before the next second.
+    /// Returns the lowest tiers that this host's own load admits to engines and to services.
+    /// Peers should learn of a change before the next regular digest.
     pub fn shed_levels(&self, now: Duration) -> (TierRank, TierRank) {
         (self.engines.shed.own(now), self.services.shed.own(now))
     }
 
-    /// Returns what the peers should know, and gives free slots to those that
-    /// want them more; it must be sent to all peers.
+    /// Lends free slots to peers that need them more, and returns the digest, which must be sent
+    /// to all peers.
     pub fn digest(&mut self, now: Duration) -> HostDigest {
         self.sequence += 1;
         let mut targets = Vec::new();
@@ -256,7 +257,7 @@
         }
         self.refresh_shares();
         HostDigest {
-            incarnation: self.limits.incarnation,
+            incarnation: self.settings.incarnation,
             sequence: self.sequence,
             generation: self.ledger.generation(),
             engine_level: self.engines.shed.own(now),
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Decides what the passing of time asks for; called each 20 ms.
+    /// Makes the decisions that depend on the passing of time; called every 20 ms.
     pub fn tick(&mut self, now: Duration) -> Vec<PolicyAction> {
         self.observe(now);
         self.choose_express();
@@ -275,7 +276,7 @@
         actions
     }
 
-    /// Gives up all waiting work: the host leaves.
+    /// Hands over or refuses all waiting work, because the host is leaving.
     pub fn drain(&mut self, now: Duration) -> Vec<PolicyAction> {
         let works = self.queue.drain();
         works
@@ -284,12 +285,12 @@
             .collect()
     }
 
-    /// Returns how much work waits, by tier.
+    /// Returns the amount of waiting work by tier.
     pub fn waiting(&self) -> SortedMap<TierRank, u32> {
         count_tiers(self.queue.works().iter().map(|work| &work.item))
     }
 
-    /// Returns how much work runs, by tier.
+    /// Returns the amount of running work by tier.
     pub fn running(&self) -> SortedMap<TierRank, u32> {
         count_tiers(self.running.values().map(|running| &running.item))
     }
@@ -299,17 +300,17 @@
         self.ledger.held(target)
     }
 
-    /// Returns the prompt tokens that were read for nothing.
+    /// Returns the prompt tokens whose prefill was wasted.
     pub const fn waste(&self) -> WastedTokens {
         self.waste
     }
 
-    /// Remembers where a prefix went, and counts the prompt as repeated when
-    /// another target had it. Tells whether the same target had it.
+    /// Records the target of a prefix, and counts the prompt as repeated if the prefix was last
+    /// sent to another target. Returns whether it was last sent to the same one.
     pub(super) fn record_prefix(&mut self, item: &WorkItem, target: &TargetName) -> bool {
         let previous = self.sent_prefixes.insert(item.prefix, target.clone());
         if self.sent_prefixes.len() > MAX_TRACKED_PREFIXES {
-            // Prefixes are hashes, so the lowest is any one of them.
+            // Prefixes are hashes, so evicting the lowest is a random eviction.
             let lowest = self.sent_prefixes.iter().next().map(|(prefix, _)| *prefix);
             if let Some(lowest) = lowest {
                 self.sent_prefixes.remove(&lowest);
--- a/src/policy/fair_queue.rs
+++ b/src/policy/fair_queue.rs
@@ -1,13 +1,13 @@
-//! The waiting work and its order.
+//! The queue of waiting work and its order.
 //!
-//! Load: two accounts send most of the work, and long work stands among short.
-//! First come first served gives the account that sends most the most, and one
-//! digest ahead holds up all the checks behind it.
+//! A few accounts may send most of the work, and long and short work is mixed. First come,
+//! first served would favour the account that sends most, and one long request would delay all
+//! short ones behind it.
 //!
-//! The order is: strict tiers; then the account that has had the least, by
-//! weight (weighted fair queueing on expected cost); then the shortest expected
-//! work. Work that has waited for [`AGE_BOUND`] goes before the account's
-//! younger work, so that long work is not passed by for ever.
+//! The order is: strict tiers; then the account that has been served least, relative to its
+//! weight (weighted fair queueing by expected cost); then the shortest expected work. Work that
+//! has waited for [`AGING_THRESHOLD`] goes before the account's newer work, so that long work
+//! does not starve.
 
 use std::time::Duration;
 
@@ -20,22 +20,22 @@
 use super::WorkId;
 use super::WorkItem;
 
-/// After this wait an account's work goes first come first served: a few times
-/// the mean wait in a load of 1.5, and a fraction of any long work's deadline.
+/// Work that has waited this long is served in order of arrival within its account. This is a
+/// few times the mean wait at a load of 1.5, and a fraction of the deadlines of long work.
 const AGING_THRESHOLD: Duration = Duration::from_secs(10);
 
-/// Work that waits.
+/// A piece of waiting work.
 #[derive(Debug)]
 pub(super) struct WaitingWork {
     pub(super) item: WorkItem,
-    /// The kind of its targets.
+    /// The kind of the targets.
     pub(super) kind: TargetKind,
     pub(super) since: Duration,
     /// The expected seconds on the best target.
     pub(super) cost: f64,
-    /// The targets closest to home, the closest first.
+    /// The home targets of the prefix, in order of preference.
     pub(super) homes: Vec<TargetName>,
-    /// A target that could not be reached with this work.
+    /// A target that this work could not reach.
     pub(super) avoid: Option<TargetName>,
 }
 
@@ -43,7 +43,7 @@
 #[derive(Debug, Default)]
 pub(super) struct FairQueue {
     works: Vec<WaitingWork>,
-    /// What each account of a tier has had, in seconds by weight.
+    /// The service each account of a tier has received: expected seconds divided by weight.
     served_cost: SortedMap<(TierRank, AccountName), f64>,
 }
 
@@ -66,13 +66,13 @@
         std::mem::take(&mut self.works)
     }
 
-    /// Charges an account for work that was dispatched.
+    /// Charges an account for dispatched work.
     pub(super) fn charge(&mut self, item: &WorkItem, cost: f64) {
         let key = (item.tier, item.account.clone());
         *self.served_cost.get_or_insert_with(key, || 0.0) += cost / f64::from(item.weight.max(1));
     }
 
-    /// Returns the tiers that wait, the highest first.
+    /// Returns the tiers with waiting work, the highest first.
     pub(super) fn tiers(&self) -> Vec<TierRank> {
         let mut tiers: Vec<TierRank> = self.works.iter().map(|work| work.item.tier).collect();
         tiers.sort_unstable();
@@ -80,7 +80,7 @@
         tiers
     }
 
-    /// Returns the places of a tier's work, in the order in which it is due.
+    /// Returns the indices of a tier's work, in dispatch order.
     pub(super) fn order(&self, now: Duration, tier: TierRank) -> Vec<usize> {
         let indices = 0..self.works.len();
         let mut order: Vec<(f64, bool, f64, Duration, usize)> = indices
@@ -103,8 +103,8 @@
 
     /// Returns the expected seconds of work that goes before an item.
     ///
-    /// Of its own tier, each other account has at most as much ahead of it as
-    /// the item's account has itself, by weight.
+    /// Within the item's tier, each other account has at most as much work ahead of it as the
+    /// item's own account, relative to their weights.
     pub(super) fn ahead_of(&self, item: &WorkItem, kind: TargetKind, cost: f64) -> f64 {
         let mut higher = 0.0;
         let mut backlog: SortedMap<&AccountName, (f64, u32)> = SortedMap::new();
@@ -127,8 +127,8 @@
         higher + own + same
     }
 
-    /// Returns the work that is displaced first: of the lowest tier, the
-    /// longest; nothing where no tier is below `tier`.
+    /// Returns the work to displace first: the longest of the lowest tier; `None` if no work is
+    /// below `tier`.
     pub(super) fn lowest_below(&self, tier: TierRank) -> Option<WorkId> {
         self.works
             .iter()
@@ -145,8 +145,8 @@
         self.served_cost.get(&key).copied().unwrap_or(0.0)
     }
 
-    /// An account that comes back starts one request ahead of the least served
-    /// one that waits: it saves nothing more up while it is away.
+    /// Admits an account that has no waiting work. It starts at most one request ahead of the
+    /// least served waiting account, so that it accumulates no credit while idle.
     fn admit_account(&mut self, item: &WorkItem, cost: f64) {
         let tier = item.tier;
         let mut same = self.works.iter().filter(|work| work.item.tier == tier);
--- a/src/policy/host_digest.rs
+++ b/src/policy/host_digest.rs
@@ -1,4 +1,4 @@
-//! What a host tells its peers each second.
+//! The load digest that a host sends to its peers every second.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,49 +7,50 @@
 use crate::ids::TargetName;
 use crate::ids::TierRank;
 
-/// What a host tells its peers each second; a lost or late one does no harm.
+/// The load digest that a host sends to its peers every second. Lost and late digests do no
+/// harm.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HostDigest {
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: IncarnationId,
-    /// Rises with each digest of one life; receivers drop older ones.
+    /// Increases with each digest of one incarnation; receivers drop older digests.
     pub sequence: u64,
-    /// Rises within a life each time the sender's hosts or slots change.
+    /// Increases within an incarnation each time the sender's hosts or slots change.
     pub generation: u32,
-    /// The lowest tier that the sender still lets in to engines.
+    /// The lowest tier that the sender admits to engines.
     pub engine_level: TierRank,
-    /// The lowest tier that the sender still lets in to services.
+    /// The lowest tier that the sender admits to services.
     pub service_level: TierRank,
-    /// How long new engine work waits, by tier, where it waits at all.
+    /// The wait of new engine work, for each tier with waiting work.
     pub waits: Vec<TierWait>,
-    /// One entry a target, in the order of names.
+    /// One entry per target, sorted by name.
     pub targets: Vec<TargetDemand>,
 }
 
-/// A host's part in one target's load.
+/// A host's share of one target and its demand for it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TargetDemand {
     /// The target.
     pub target: TargetName,
-    /// Names the division of slots that the sender goes by; 0 while it holds
-    /// more than its base share of it.
+    /// The epoch of the division of slots that the sender uses; 0 while it holds more than its
+    /// base share.
     pub epoch: u64,
     /// The slots that the sender may fill.
     pub held: u32,
     /// The slots that the sender could use.
     pub wanted: u32,
-    /// The sender's work that runs there.
+    /// The sender's work that runs at the target.
     pub running: u32,
-    /// The pace the sender learned, in microseconds a token; 0 when unknown.
+    /// The time per token learned by the sender, in microseconds; 0 if unknown.
     pub pace_us: u32,
-    /// The best pace that the sender saw, in microseconds a token; 0 when unknown.
+    /// The best time per token seen by the sender, in microseconds; 0 if unknown.
     pub best_us: u32,
-    /// The slots that the sender gave each host in this epoch, all added up,
-    /// by the host's place in the sorted list; hosts that got none are absent.
+    /// The total slots that the sender has lent to each host in this epoch. Hosts that it lent
+    /// none are absent.
     pub lent: Vec<LentSlots>,
 }
 
-/// How long new engine work of a tier waits on a host.
+/// The wait of new engine work of a tier on a host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TierWait {
     /// The tier.
@@ -58,11 +59,11 @@
     pub wait_ms: u32,
 }
 
-/// The slots that a host gave one peer.
+/// The slots that a host has lent to one peer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LentSlots {
-    /// The peer's place in the sorted list of hosts.
+    /// The peer's index in the sorted list of hosts.
     pub host_index: u16,
-    /// All that it was given, added up.
+    /// Total number of slots lent.
     pub slots: u32,
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,14 +1,14 @@
-//! The decisions under load: what is let in, what waits, what is turned away, and where work goes.
+//! Decisions under load: which work is admitted, queued or refused, and which target runs it.
 //!
-//! Everything here is pure: no network, no clock, no random numbers. The daemon
-//! and `replay` run the very same code and pass in the time, as a [`Duration`]
-//! since the process (or the replay) began. docs/POLICY.md has the figures.
+//! The module is deterministic: it uses no network, clock or random numbers. The daemon and
+//! `replay` run the same code and pass in the time as a [`Duration`] since the process (or the
+//! replay) began. docs/POLICY.md has the figures.
 //!
 //! [`Duration`]: std::time::Duration
 //!
-//! Units: times are durations, lengths are tokens, a weight has none. Nothing here
-//! fails: work that can't be served gets [`PolicyAction::Refuse`] with an
-//! [`ErrorKind`](crate::errors::ErrorKind) and the time to come back.
+//! Units: times are durations, lengths are tokens, weights have none. No call fails: work that
+//! can't be served gets [`PolicyAction::Refuse`] with an
+//! [`ErrorKind`](crate::errors::ErrorKind) and the time after which to retry.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/src/policy/observe.rs
+++ b/src/policy/observe.rs
@@ -1,8 +1,7 @@
-//! What the policy learns with time: loads, silence, and which engines are express.
+//! Periodic observation: loads, silent targets, and the choice of express engines.
 //!
-//! Load: long work among short. Beside a long prompt the first token of a check
-//! takes many times longer, whatever slots are kept free; so one fast engine is
-//! kept from long work altogether.
+//! Beside a long prompt the first token of short work takes many times longer, whatever slots
+//! are reserved. Therefore some fast engines take no long work at all.
 
 use std::time::Duration;
 
@@ -15,17 +14,18 @@
 use super::pool_state::WorkBand;
 use super::target_view::TargetView;
 
-/// One engine in so many is an express engine: it takes brief work only.
+/// One engine in this many is an express engine, which takes brief work only.
 const EXPRESS_DIVISOR: usize = 12;
-/// Engines within this factor of the fastest are as fast, and the first by name
-/// is taken: hosts that learned a little differently must choose the same one,
-/// or one host's long prompts hold up the others' brief work. Lots differ more.
+/// Engines within this factor of the fastest count as equally fast, and the first by name is
+/// chosen. Hosts with slightly different samples must choose the same one, or one host's long
+/// prompts delay the others' brief work. Hardware generations differ by more.
 const SAME_SPEED_FACTOR: f64 = 1.25;
-/// With fewer engines than this none is set aside.
+/// With fewer engines than this there is no express engine.
 const MIN_ENGINES_FOR_EXPRESS: usize = 4;
 
 impl DispatchPolicy {
-    /// Takes up what changes with time: reserves, limits, and silence.
+    /// Updates what changes with time: reserves, concurrency limits, and the token rate of
+    /// silent targets.
     pub(super) fn observe(&mut self, now: Duration) {
         self.count_pools();
         let (mut top, mut short) = (0, 0);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Sets the fastest engines aside for brief work.
+    /// Reserves the fastest engines for brief work.
     pub(super) fn choose_express(&mut self) {
         let candidates: Vec<(&TargetName, f64)> = self
             .targets
@@ -137,8 +137,8 @@
             } else {
                 &mut self.services
             };
-            // Guards against a reserve as large as what is left: slots of targets
-            // that are gone, or above their limit, would be kept free for ever.
+            // Slots of targets that are gone, or above their concurrency limit, don't count:
+            // otherwise a reserve as large as the remaining slots would block them for ever.
             if view.is_live() {
                 pool.slots += view.limit.usable(view.share);
             }
--- a/src/policy/pace_estimate.rs
+++ b/src/policy/pace_estimate.rs
@@ -1,57 +1,56 @@
-//! How long work takes on a target: learned from progress, not from reports.
+//! Estimates how long work takes on a target, learned from the progress of its streams.
 //!
-//! Load: engines come from unlike lots, lengths differ a hundredfold, and
-//! reports are old when they arrive. Placement by reported load sends long work
-//! to a slow engine that looks idle, and goes on sending to one that has just
-//! become ten times slower, since its reports still look well.
+//! Engines run on different hardware, lengths differ by a factor of a hundred, and load reports
+//! are old when they arrive. Placement by reported load would send long work to a slow engine
+//! that looks idle, and continue sending to one that has just become ten times slower, as its
+//! reports still look normal.
 //!
-//! Each token that arrives is a sample of the pace. A target that falls silent
-//! gives no samples, so silence beyond what was expected counts as one too.
+//! Each token that arrives is a sample of the time per token. A silent target gives no samples,
+//! so silence beyond the expected time counts as a sample as well.
 
 use std::time::Duration;
 
 use crate::fleet::TargetKind;
 use crate::ids::TokenCount;
 
-/// The pace assumed of an engine that nobody has seen work, in seconds a token.
-/// It only orders the first few requests; a middling lot writes 20 to 30 ms.
+/// Initial seconds per token of an engine without samples. It only orders the first few
+/// requests; a typical engine takes 20 to 30 ms.
 const INITIAL_PACE: f64 = 0.025;
-/// The time assumed of a service call before any has ended, in seconds.
+/// Initial seconds per service call.
 const INITIAL_CALL_SECONDS: f64 = 0.05;
-/// How much faster prompt tokens are read than answer tokens written, before
-/// any prompt was timed.
+/// Initial ratio of prefill speed to generation speed.
 const INITIAL_PREFILL_RATIO: f64 = 200.0;
-/// The weight of a new sample of the pace. At 0.15 some ten tokens, a quarter
-/// of a second of one stream, replace most of what was known.
+/// The weight of a new sample of the time per token. At 0.15 some ten tokens, a quarter of a
+/// second of one stream, replace most of the former estimate.
 const PACE_GAIN: f64 = 0.15;
-/// The weight of a new sample of the reading time; prompts are rarer than tokens.
+/// The weight of a new sample of the prefill time; prompts are rarer than tokens.
 const PREFILL_GAIN: f64 = 0.1;
-/// How fast the best pace forgets, a sample: an engine that was moved to other
-/// hardware is judged afresh after some minutes of full load. At 0.0002 the best
-/// followed the load within seconds, and hosts disagreed on the fastest engine.
+/// The decay of the best time per token, per sample: an engine that was moved to other hardware
+/// is judged anew after some minutes of full load. At 0.0002 the best time followed the load
+/// within seconds, and hosts disagreed on the fastest engine.
 const BEST_DECAY: f64 = 0.000_01;
-/// A pace so many times the best one seen makes a target slow. A full batch
-/// beside a long prompt costs up to 4.2 times an idle step, so 5 is above ordinary
-/// load and far below the tenfold of a fault. At 3 a run of checks made the express
-/// engine look slow, and a long prompt was sent there as a probe.
+/// A target is slow if its time per token exceeds the best one seen by this factor. A full
+/// batch beside a long prompt costs up to 4.2 times an idle step, so 5 is above normal load and
+/// far below the factor of ten of a fault. At 3 a run of short requests made the express engine
+/// look slow, and a long prompt was sent there as a probe.
 const SLOW_RATIO: f64 = 5.0;
-/// Silence of so many times the expected wait counts as a sample.
+/// Silence of this many times the expected wait counts as a sample.
 const OVERDUE_RATIO: f64 = 4.0;
-/// Silence is not counted below this, in seconds; a long prompt's chunks of
-/// somebody else may hold a step up for that long.
+/// Shorter silence is not counted: prefill chunks of another request's long prompt may delay a
+/// step for that long.
 const MIN_OVERDUE_SECONDS: f64 = 0.25;
-/// A peer's pace is taken over when no own sample is younger than this.
+/// A peer's estimate is adopted if no own sample is younger than this.
 const OWN_SAMPLE_MAX_AGE: Duration = Duration::from_secs(2);
 
-/// How long work takes on a target.
+/// Learned parameters of the time that work takes on a target.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PaceEstimate {
     kind: TargetKind,
-    /// Seconds a token, or a call of a service.
+    /// Seconds per token, or per call of a service.
     token_seconds: f64,
-    /// The best seconds a token seen; infinite when none was.
+    /// The best seconds per token seen; infinite without samples.
     best_token_seconds: f64,
-    /// Seconds a prompt token.
+    /// Seconds per prompt token.
     prefill: f64,
     sampled_at: Option<Duration>,
 }
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Takes the time of one token, or of one call of a service.
+    /// Adds a sample of the time of one token, or of one service call.
     pub(super) fn sample_token(&mut self, now: Duration, seconds: f64) {
         if self.sampled_at.is_none() && !self.best_token_seconds.is_finite() {
             self.token_seconds = seconds;
@@ -81,24 +80,24 @@
         self.sampled_at = Some(now);
     }
 
-    /// Takes the time of a prompt whose prefix was most likely not cached.
+    /// Adds a sample of the prefill time of a prompt whose prefix was most likely not cached.
     pub(super) fn sample_prefill(&mut self, seconds: f64, prompt_tokens: TokenCount) {
         let sample = (seconds - self.token_seconds).max(0.0) / f64::from(prompt_tokens.max(1));
         self.prefill += PREFILL_GAIN * (sample - self.prefill);
     }
 
-    /// Takes the silence of work that should have shown progress.
+    /// Counts the silence of work that should have made progress as a sample.
     pub(super) fn sample_silence(&mut self, now: Duration, silent: f64, expected: f64) {
         if silent < MIN_OVERDUE_SECONDS || silent < OVERDUE_RATIO * expected {
             return;
         }
-        // The token is at least so late; the true pace may be slower still.
+        // A lower bound: the true time per token may be longer still.
         let at_least = self.token_seconds * silent / expected.max(self.token_seconds);
         self.token_seconds += PACE_GAIN * (at_least - self.token_seconds).max(0.0);
         self.sampled_at = Some(now);
     }
 
-    /// Takes over what a peer learned where nothing is known here.
+    /// Adopts a peer's estimate if this host has no recent sample.
     pub(super) fn adopt(&mut self, now: Duration, pace_us: u32, best_us: u32) {
         if best_us == 0 {
             return;
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Returns the pace and the best one in microseconds, 0 where not learned.
+    /// Returns the current and the best time per token for peers, in microseconds; 0 if unknown.
     pub(super) fn gossiped(&self) -> (u32, u32) {
         if !self.best_token_seconds.is_finite() {
             return (0, 0);
@@ -123,12 +122,12 @@
         )
     }
 
-    /// Returns the seconds a token.
+    /// Returns the seconds per token.
     pub(super) const fn token_seconds(&self) -> f64 {
         self.token_seconds
     }
 
-    /// Returns the best seconds a token, or the assumed ones.
+    /// Returns the best seconds per token, or an initial estimate.
     pub(super) fn best_token_seconds(&self) -> f64 {
         if self.best_token_seconds.is_finite() {
             self.best_token_seconds
@@ -137,12 +136,12 @@
         }
     }
 
-    /// Tells whether nothing was learned for a while.
+    /// Tells whether there was no sample for `age`.
     pub(super) fn is_stale(&self, now: Duration, age: Duration) -> bool {
         self.sampled_at.is_none_or(|at| now >= at + age)
     }
 
-    /// Tells whether the target is far slower than it was.
+    /// Tells whether the target is far slower than at its best.
     pub(super) fn is_slow(&self) -> bool {
         self.token_seconds > SLOW_RATIO * self.best_token_seconds()
     }
@@ -155,7 +154,7 @@
         }
     }
 
-    /// Returns the seconds to the end of the answer on an idle target.
+    /// Returns the expected seconds to the end of the answer on an idle target.
     pub(super) fn idle_total_seconds(
         &self,
         prompt_tokens: TokenCount,
--- a/src/policy/peer_capacity.rs
+++ b/src/policy/peer_capacity.rs
@@ -1,4 +1,4 @@
-//! How much room each peer had by its last digest.
+//! The free capacity of each peer by its last digest.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use super::TierWait;
 use super::WorkItem;
 
-/// A digest older than this says nothing about a peer's room: two periods and
-/// the time on the way.
+/// The age at which a digest no longer says anything about a peer's capacity: two digest
+/// periods and the transfer time.
 const CAPACITY_MAX_AGE: Duration = Duration::from_millis(2500);
 
-/// How much room each peer had by its last digest.
+/// The free capacity of each peer by its last digest.
 #[derive(Debug, Default)]
 pub(super) struct PeerCapacity {
     peers: SortedMap<HostName, CapacityView>,
@@ -26,11 +26,11 @@
     received_at: Duration,
     free: SortedMap<TargetName, u32>,
     waits: Vec<TierWait>,
-    /// Slots that the peer holds, over all targets.
+    /// Slots that the peer holds, summed over all targets.
     held: u32,
-    /// The expected seconds of the work sent there since the digest.
+    /// Expected seconds of the work sent to the peer since the digest.
     sent_seconds: f64,
-    /// Work sent there since the digest.
+    /// Number of work items sent to the peer since the digest.
     sent_count: u32,
 }
 
@@ -55,8 +55,8 @@
         self.peers.retain(|host, _| hosts.contains(host));
     }
 
-    /// Returns the peer where work of `cost` seconds waits least, and counts it
-    /// as sent there; nothing where no peer's wait is below `wait` seconds.
+    /// Returns the peer with the shortest wait for work of `cost` seconds, and counts the work as
+    /// sent there; `None` if no peer's wait is below `wait` seconds.
     pub(super) fn choose_shorter_wait(
         &mut self,
         now: Duration,
@@ -76,8 +76,8 @@
         Some(host.clone())
     }
 
-    /// Returns the peer with the most free slots on some targets, and counts an
-    /// item as sent there; nothing where no peer is known to have any.
+    /// Returns the peer with the most free slots on some targets, and counts an item as sent
+    /// there; `None` if no peer is known to have any.
     pub(super) fn choose_with_free_slot(
         &mut self,
         now: Duration,
@@ -95,8 +95,8 @@
         Some(host.clone())
     }
 
-    /// Returns the peer with the most room for an item, and counts the item as
-    /// sent there; nothing where no peer is known to have room.
+    /// Returns the peer with the most free slots for an item, and counts the item as sent there;
+    /// `None` if no peer is known to have any.
     pub(super) fn choose(&mut self, now: Duration, item: &WorkItem) -> Option<HostName> {
         self.choose_with_free_slot(now, &item.allowed)
     }
--- a/src/policy/policy_action.rs
+++ b/src/policy/policy_action.rs
@@ -1,4 +1,4 @@
-//! What the policy asks its host to do, and what the host tells it of the end of work.
+//! The actions that the policy requests from its host, and the outcomes that the host reports.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
 
 use super::WorkId;
 
-/// What the host is asked to do with one piece of work, at once.
+/// An action that the host must take at once on one piece of work.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PolicyAction {
-    /// Send the work to the target; its slot stays taken until `ended`.
+    /// Send the work to the target. Its slot stays taken until `ended`.
     Dispatch {
         /// The work.
         work: WorkId,
-        /// Where it goes.
+        /// The target.
         target: TargetName,
     },
-    /// Give the caller its final answer now.
+    /// Refuse the work; this is the caller's final answer.
     Refuse {
         /// The work.
         work: WorkId,
-        /// Why it is turned away.
+        /// The reason.
         kind: ErrorKind,
-        /// When the caller should come back.
+        /// The time after which the caller should retry.
         retry_after: Duration,
     },
-    /// Hand the work, which was not dispatched, to a peer.
+    /// Hand the work, which was not dispatched, over to a peer.
     HandOver {
         /// The work.
         work: WorkId,
@@ -36,15 +36,15 @@
     },
 }
 
-/// How dispatched work ended.
+/// The outcome of dispatched work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkOutcome {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Finished,
     /// The target was lost or fell silent after the dispatch.
     Failed,
-    /// No byte went out, so another target may be tried.
+    /// Nothing was sent, so another target may be tried.
     NotSent,
-    /// The caller went away and the work was cancelled.
+    /// The caller left and the work was cancelled.
     Cancelled,
 }
--- a/src/policy/policy_settings.rs
+++ b/src/policy/policy_settings.rs
@@ -5,10 +5,10 @@
 /// The settings of a policy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PolicySettings {
-    /// The most requests that may wait on this host.
+    /// The maximum number of requests that wait on this host.
     pub max_waiting: u32,
-    /// This life of the process: random at its start. Peers tell by it that
-    /// the host restarted and forgot which slots it had lent.
+    /// A random number drawn at the start of the process. A change tells peers that the host
+    /// restarted and lost its record of lent slots.
     pub incarnation: IncarnationId,
 }
 
--- a/src/policy/pool_state.rs
+++ b/src/policy/pool_state.rs
@@ -1,4 +1,4 @@
-//! One kind of targets taken together: what runs there and what is kept free.
+//! The aggregate state of one kind of targets: running work and reserved slots.
 
 use crate::ids::TierRank;
 
@@ -6,41 +6,41 @@
 use super::slot_reserve::SlotReserve;
 use super::tier_load::TierLoad;
 
-/// How many deviations above its mean the top tier's reserve is.
+/// The top tier's reserve, in standard deviations above its mean usage.
 const TOP_DEVIATIONS: f64 = 1.0;
-/// The top tier's reserve on an idle host.
+/// The top tier's reserve on an idle host, in slots.
 const MIN_TOP_RESERVE: f64 = 1.0;
-/// The same for short work of the lower tiers, which may wait a little.
+/// The same for short work of the lower tiers, which may wait briefly.
 const SHORT_DEVIATIONS: f64 = 0.0;
-/// The short reserve on an idle host.
+/// The reserve for short work on an idle host, in slots.
 const MIN_SHORT_RESERVE: f64 = 0.0;
 
-/// A tier is never thought to get less than this part of the slots: the wait
-/// must stay a number, and the means overshoot in a burst.
+/// The least fraction of the slots that a tier is assumed to get. It keeps the expected wait
+/// finite, as the means overshoot in a burst.
 const MIN_SLOT_FRACTION: f64 = 0.05;
 
-/// One kind of targets taken together.
+/// The aggregate state of one kind of targets.
 #[derive(Debug)]
 pub(super) struct PoolState {
     pub(super) top: SlotReserve,
     pub(super) short: SlotReserve,
     pub(super) load: TierLoad,
-    /// Which tiers are let in.
+    /// Which tiers are admitted.
     pub(super) shed: ShedLevel,
-    /// Slots that this host may fill, over all targets of the kind.
+    /// Slots that this host may fill, summed over all targets of the kind.
     pub(super) slots: u32,
-    /// Those of them that are free.
+    /// Free slots among them.
     pub(super) free: u32,
     pub(super) running_top: u32,
     pub(super) running_short: u32,
 }
 
-/// How long work is, by its expected time.
+/// The length class of work, by its expected time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum WorkBand {
-    /// A few lines: it goes to the express engines.
+    /// An answer of a few lines, which goes to the express engines.
     Brief,
-    /// Shorter than what is kept from the last slots.
+    /// Work that may use the slots reserved for short work.
     Short,
     /// Everything else.
     Long,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Returns the part of the slots that is left to a tier in the long run.
+    /// Returns the fraction of the slots that higher tiers leave to a tier on average.
     pub(super) fn fraction_left_to(&self, tier: TierRank) -> f64 {
         let taken = self.load.above(tier) / f64::from(self.slots.max(1));
         (1.0 - taken).clamp(MIN_SLOT_FRACTION, 1.0)
@@ -76,7 +76,7 @@
             WorkBand::Brief | WorkBand::Short => top,
             WorkBand::Long => top + self.short.reserved_slots(self.running_short),
         };
-        // Where there are few slots, a reserve must not shut lower work out.
+        // With few slots, a reserve must not exclude lower tiers.
         reserved.min(self.slots / 2)
     }
 }
--- a/src/policy/retry_advice.rs
+++ b/src/policy/retry_advice.rs
@@ -1,11 +1,10 @@
-//! When a refused caller should come back.
+//! The time after which a refused caller should retry.
 //!
-//! Load: the end of a burst. Callers that are all told the same time come back
-//! as the next burst, and callers told too short a time spend the fleet's room
-//! on refusals.
+//! If all refused callers got the same time, they would return as the next burst; if it were
+//! too short, the fleet would spend its capacity on refusals.
 //!
-//! The advice is the time in which the present queue drains, spread by a hash
-//! of the work's id.
+//! The advice is the time in which the current queue drains, with jitter from a hash of the
+//! work's id.
 
 use std::time::Duration;
 
@@ -13,16 +12,14 @@
 
 use super::WorkId;
 
-/// The least advice, in seconds: below it callers would come back before
-/// anything has changed.
+/// The least advice: callers that retry earlier would find the same load.
 const MIN_SECONDS: f64 = 0.25;
-/// The most advice, in seconds: a burst that has passed must not keep callers
-/// away for long.
+/// The longest advice: callers must not stay away long after a burst is over.
 const MAX_SECONDS: f64 = 30.0;
-/// The advice is spread over this part of itself on either side.
+/// The jitter, as a fraction of the advice in either direction.
 const JITTER: f64 = 0.5;
 
-/// Returns the advice for a queue that drains in `drain` seconds.
+/// Returns the advice for a queue that drains in `drain_seconds`.
 pub(super) fn retry_advice(work: WorkId, drain_seconds: f64) -> Duration {
     let hash = xxh3_64(&work.to_le_bytes());
     let uniform = hash as f64 / u64::MAX as f64;
--- a/src/policy/share.rs
+++ b/src/policy/share.rs
@@ -1,14 +1,14 @@
-//! The part of a target's slots that each host may fill without asking anybody.
+//! The base share of a target's slots that each host may fill without coordination.
 
 use crate::ids::HostName;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Returns the number of `slots` of `target` that belong to `host`.
+/// Returns the base share of `host` in the `slots` of `target`.
 ///
-/// Slots that do not divide evenly go to the hosts that rank first by
-/// rendezvous hashing, so that each target favours other hosts. The parts of
-/// all `hosts` add up to `slots` wherever the same list of hosts is known.
+/// Slots that do not divide evenly go to the hosts that rank first by rendezvous hashing, so
+/// that each target favours different hosts. The shares of all `hosts` add up to `slots` if all
+/// of them use the same list of hosts.
 pub(crate) fn base_share(target: &str, slots: u32, hosts: &[HostName], host: &str) -> u32 {
     if !hosts.iter().any(|other| other == host) {
         return 0;
--- a/src/policy/shed_level.rs
+++ b/src/policy/shed_level.rs
@@ -1,12 +1,11 @@
-//! Which tiers are still let in, on this host and by its peers.
+//! Load shedding by tier, coordinated with peers.
 //!
-//! Load: saturation, and a burst that the top tier alone nearly fills. Without
-//! it one host turns urgent work away while another still lets digests in.
+//! Under saturation, or in a burst that the top tier alone nearly fills, one host would
+//! otherwise refuse urgent work while another still admits work of low tiers.
 //!
-//! A host that must refuse work of a tier, though the work would be in time on
-//! an idle fleet, stops letting lower tiers in and tells its peers, which do
-//! the same. The level rises again by itself when nothing was refused for a
-//! while, so a digest that is lost keeps nothing shut.
+//! A host that must refuse work of a tier, although the work would meet its deadline on an idle
+//! fleet, stops admitting lower tiers and tells its peers, which do the same. The level resets
+//! when nothing was refused for a while, so a lost digest can't block a tier permanently.
 
 use std::time::Duration;
 
@@ -14,11 +13,11 @@
 use crate::ids::TierRank;
 use crate::sorted::SortedMap;
 
-/// How long the level stays after a refusal: two digests, so that a peer hears
-/// of it and a lost digest does not open the gate in between.
+/// How long the level lasts after a refusal: two digest periods, so that peers learn of it and
+/// one lost digest does not end it.
 const HOLD_TIME: Duration = Duration::from_secs(2);
 
-/// Which tiers are still let in.
+/// The lowest tier that is still admitted.
 #[derive(Debug)]
 pub(super) struct ShedLevel {
     own: LevelMark,
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Notes that work of a tier had to be refused for want of room.
+    /// Records that work of a tier was refused for lack of capacity.
     pub(super) fn record_refusal(&mut self, now: Duration, tier: TierRank) {
         let level = self.own(now).min(tier);
         self.own = LevelMark {
@@ -51,18 +50,18 @@
         };
     }
 
-    /// Takes a peer's level.
+    /// Updates a peer's level.
     pub(super) fn update(&mut self, now: Duration, host: &HostName, level: TierRank) {
         let until = now + HOLD_TIME;
         self.peers.insert(host.clone(), LevelMark { level, until });
     }
 
-    /// Returns the lowest tier that this host's own load allows.
+    /// Returns the lowest tier that this host's own load admits.
     pub(super) fn own(&self, now: Duration) -> TierRank {
         self.own.at(now)
     }
 
-    /// Returns the lowest tier that is let in.
+    /// Returns the lowest tier that is admitted.
     pub(super) fn level(&self, now: Duration) -> TierRank {
         let peers = self.peers.values().map(|mark| mark.at(now));
         peers.min().unwrap_or(TierRank::MAX).min(self.own(now))
--- a/src/policy/slot_ledger.rs
+++ b/src/policy/slot_ledger.rs
@@ -1,22 +1,20 @@
-//! Which part of each target's slots this host may fill, and what it lends to peers.
+//! Accounting of the slots of each target that this host may fill and that it lends to peers.
 //!
-//! Load: callers spread unevenly over the hosts, so one host has a queue while
-//! another leaves its slots free. Without shares hosts overfill a target that
-//! looks idle to all of them; with fixed shares free slots stand unused.
+//! Callers are spread unevenly over the hosts, so one host may have a queue while another has
+//! free slots. Without shares, hosts would overfill a target that looks idle to all of them;
+//! with fixed shares, free slots would remain unused.
 //!
-//! Slots move like money: a host that does not need a slot gives it to a peer
-//! and counts it as gone at once; the peer counts it when a digest tells it. A
-//! digest that is lost, late or cut off by a partition can only leave a slot
-//! unused for a while. So the shares never add up to more than the target's
-//! slots, without clocks or agreement, and each side of a partition keeps what
-//! it holds.
+//! Slots are transferred like credits: a host that does not need a slot lends it to a peer and
+//! deducts it at once; the peer adds it when it receives the digest. A digest that is lost,
+//! late or blocked by a partition can only leave a slot unused for a while. So the shares never
+//! add up to more than the target's slots, without clocks or consensus, and each side of a
+//! partition keeps the slots that it holds.
 //!
-//! Counts restart (a new *epoch*) whenever the hosts, a target's slots or a
-//! host's life change. The epoch is a hash of all of these, so hosts with the
-//! same epoch agree on what the counts began from. Until all hosts of the list
-//! have shown the new epoch, a host holds the less of what it held before and
-//! its new base share. A host that has just started holds only the part of its
-//! base share that a host never lends, because its former life may have lent
+//! The counts restart with a new *epoch* whenever the hosts, a target's slots or a host's
+//! incarnation change. The epoch is a hash of all of these, so hosts with the same epoch agree
+//! on the initial counts. Until all listed hosts have announced the new epoch, a host holds the
+//! smaller of its former holding and its new base share. A host that has just started holds only
+//! the part of its base share that is never lent, because its former incarnation may have lent
 //! the rest.
 
 use xxhash_rust::xxh3::Xxh3;
@@ -31,7 +29,7 @@
 use super::TargetDemand;
 use super::share::base_share;
 
-/// Which part of each target's slots this host may fill.
+/// The account of each target's slots that this host may fill.
 #[derive(Debug)]
 pub(super) struct SlotLedger {
     host: HostName,
@@ -50,32 +48,32 @@
     sequence: u64,
 }
 
-/// One target's slots, as this host counts them.
+/// One target's slots, as accounted by this host.
 #[derive(Debug)]
 struct SlotAccount {
     slots: u32,
-    /// 0 while some peer's life is unknown.
+    /// 0 while some peer's incarnation is unknown.
     epoch: u64,
     base: u32,
-    /// What may be held until all peers show the epoch.
+    /// The slots that may be held until all peers have announced the epoch.
     provisional: u32,
     settled: bool,
-    /// Whether this host may still run more than its base share, from slots of
-    /// an earlier epoch. If it settled or showed its epoch then, the others
-    /// would fill their base shares beside it and overfill the target.
+    /// Whether this host may still run more than its base share, from slots of an earlier epoch.
+    /// If it settled or announced its epoch meanwhile, the others would fill their base shares
+    /// as well and overfill the target.
     may_exceed_base: bool,
     lent: SortedMap<HostName, u32>,
     peers: SortedMap<HostName, PeerSlots>,
 }
 
-/// A peer's part in a target, by its last digest.
+/// A peer's slots at a target, by its last digest.
 #[derive(Debug, Default)]
 struct PeerSlots {
     epoch: u64,
     held: u32,
     wanted: u32,
     received: u32,
-    /// What was given to the peer when the digest came.
+    /// The slots that had been lent to the peer when the digest arrived.
     lent_before: u32,
 }
 
@@ -92,7 +90,7 @@
         }
     }
 
-    /// Takes up the targets and their slots.
+    /// Replaces the targets and their slots.
     pub(super) fn set_targets(&mut self, targets: &[(TargetName, u32)]) {
         let same = targets.len() == self.accounts.len()
             && targets.iter().all(|(name, slots)| {
@@ -113,7 +111,7 @@
         self.begin_generation();
     }
 
-    /// Takes up the cell's hosts.
+    /// Replaces the hosts of the cell.
     pub(super) fn set_hosts(&mut self, hosts: Vec<HostName>) {
         if hosts == self.hosts {
             return;
@@ -135,17 +133,17 @@
         self.accounts.get(target).map_or(0, SlotAccount::held)
     }
 
-    /// Tells whether the peers should hear of a change before the next second.
+    /// Tells whether the peers should learn of a change before the next regular digest.
     pub(super) const fn has_changed(&self) -> bool {
         self.changed
     }
 
-    /// Returns how often the hosts or slots changed in this life.
+    /// Returns how often the hosts or slots changed in this incarnation.
     pub(super) const fn generation(&self) -> u32 {
         self.generation
     }
 
-    /// Takes a peer's digest; returns false for one that is older than the last.
+    /// Applies a peer's digest; returns false if it is not newer than the last one.
     pub(super) fn apply_digest(&mut self, from: &HostName, digest: &HostDigest) -> bool {
         if !self.hosts.contains(from) || *from == self.host {
             return false;
@@ -194,8 +192,8 @@
         account.try_settle(&self.hosts, &self.host);
     }
 
-    /// Gives free slots to peers that want them more, and returns the entry
-    /// of the target for the digest.
+    /// Lends free slots to peers that need them more, and returns the target's entry for the
+    /// digest.
     pub(super) fn lend(&mut self, target: &TargetName, running: u32, wanted: u32) -> TargetDemand {
         self.changed = false;
         let hosts = &self.hosts;
@@ -229,15 +227,15 @@
         }
     }
 
-    /// Begins epochs that were never in force before.
+    /// Starts epochs that were never in force before.
     ///
-    /// Coming back to an earlier list of hosts must not bring back its epoch:
-    /// peers may still count what was given then. The same goes for a peer's
-    /// life. Lives have no order, so a digest that comes late from a former one
-    /// looks like a restart; had that life once shown the epoch, this host would
-    /// fill its whole base share beside the slots that it lent since. A life that
-    /// ended before the new generation cannot have shown an epoch of that generation, so
-    /// this host waits until the life that runs now has heard of it.
+    /// Returning to an earlier list of hosts must not restore its epoch: peers may still count
+    /// slots that were lent then. The same applies to a peer's incarnation. Incarnations have no
+    /// order, so a late digest from a former one looks like a restart; if that incarnation had
+    /// once announced the epoch, this host would fill its whole base share in addition to the
+    /// slots that it has lent since. An incarnation that ended before the new generation can't
+    /// have announced an epoch of that generation, so this host waits until the current
+    /// incarnation has learned of it.
     fn begin_generation(&mut self) {
         self.generation += 1;
         self.begin_epochs();
@@ -257,7 +255,7 @@
         }
     }
 
-    /// Returns a hash of all hosts and their lives, once all are known.
+    /// Returns a hash of all hosts and their incarnations, once all are known.
     fn incarnation_hash(&self) -> Option<u64> {
         let mut hash = Xxh3::new();
         for host in &self.hosts {
@@ -300,7 +298,7 @@
         (self.base + received).saturating_sub(lent)
     }
 
-    /// Settles once every other host has shown the epoch.
+    /// Settles once every other host has announced the epoch.
     fn try_settle(&mut self, hosts: &[HostName], own: &HostName) {
         if self.settled || self.may_exceed_base || self.epoch == 0 {
             return;
@@ -321,7 +319,7 @@
         let mut free = held.saturating_sub(running.max(floor).max(wanted));
         while free > 0 {
             let neediest = self.peers.iter().max_by_key(|(host, peer)| {
-                // The name breaks ties, so that a replay is the same each time.
+                // The name breaks ties, so that replays are deterministic.
                 (self.deficit(host, peer), std::cmp::Reverse((*host).clone()))
             });
             let Some((host, peer)) = neediest else {
@@ -336,7 +334,7 @@
         }
     }
 
-    /// Returns how many slots the peer still lacks, as far as is known here.
+    /// Returns how many slots the peer still needs, as far as this host knows.
     fn deficit(&self, host: &HostName, peer: &PeerSlots) -> u32 {
         if peer.epoch != self.epoch {
             return 0;
@@ -347,8 +345,8 @@
     }
 }
 
-/// Returns the part of a base share that a host may lend: half, rounded down,
-/// so that even where shares are two slots each, a restarted host serves at once.
+/// Returns how many slots of a base share a host may lend: half, rounded down, so that a
+/// restarted host serves at once even if shares are only two slots each.
 const fn lendable(base: u32) -> u32 {
     base / 2
 }
@@ -357,6 +355,6 @@
     let mut hash = Xxh3::with_seed(seed);
     hash.update(target.as_bytes());
     hash.update(&slots.to_le_bytes());
-    // Zero stands for no epoch.
+    // Zero means no epoch.
     hash.digest().max(1)
 }
--- a/src/policy/slot_reserve.rs
+++ b/src/policy/slot_reserve.rs
@@ -1,31 +1,30 @@
-//! The slots kept free for the top tier, and for short work.
+//! Slots reserved for the top tier, and for short work.
 //!
-//! Load: long work among short. Engines know no priorities, and work that runs
-//! is not taken back, so once digests fill every slot an urgent check waits for
-//! one to end, which may take a minute.
+//! Engines have no priorities and running work is not preempted. Once long work fills every
+//! slot, urgent work waits for one to end, which may take a minute.
 //!
-//! The reserve follows what such work has needed lately: the mean of how much
-//! runs at once, and some deviations above it. With little such work it is one
-//! slot; the slots that such work fills already count.
+//! The reserve follows the recent demand of such work: its mean concurrency plus some standard
+//! deviations. With little such work it is one slot. The slots that such work already fills
+//! count.
 
 use std::time::Duration;
 
-/// How often the mean takes a sample.
+/// The interval between samples of the mean.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// The weight of a rising sample: a burst is met within half a second.
+/// The weight of a sample above the mean: the reserve follows a burst within half a second.
 const RISE_GAIN: f64 = 0.2;
-/// The weight of a falling sample: the reserve outlasts the gaps between bursts
-/// of some seconds.
+/// The weight of a sample below the mean: the reserve persists through gaps of some seconds
+/// between bursts.
 const FALL_GAIN: f64 = 0.01;
 
-/// How much work of a kind runs at once, smoothed.
+/// A reserve that follows the smoothed concurrency of a kind of work.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlotReserve {
     mean: f64,
     sampled_at: Duration,
-    /// How many deviations above the mean are kept.
+    /// Standard deviations above the mean.
     deviations: f64,
-    /// What is kept in any case.
+    /// Slots reserved in addition.
     minimum: f64,
 }
 
@@ -39,7 +38,7 @@
         }
     }
 
-    /// Takes how much such work runs and waits now.
+    /// Adds a sample of how much such work runs and waits now.
     pub(super) fn sample(&mut self, now: Duration, present: u32) {
         if now < self.sampled_at + SAMPLE_INTERVAL {
             return;
@@ -54,12 +53,12 @@
         self.mean += gain * (present - self.mean);
     }
 
-    /// Returns how many slots such work should find, those it fills included.
+    /// Returns the size of the reserve, slots that such work already fills included.
     pub(super) fn size(&self) -> f64 {
         self.mean + self.deviations * self.mean.sqrt() + self.minimum
     }
 
-    /// Returns how many slots others must leave free while `running` are filled.
+    /// Returns how many slots other work must leave free while such work fills `running`.
     pub(super) fn reserved_slots(&self, running: u32) -> u32 {
         (self.size() - f64::from(running)).max(0.0).round() as u32
     }
--- a/src/policy/target_facts.rs
+++ b/src/policy/target_facts.rs
@@ -1,4 +1,4 @@
-//! What the policy is told about targets.
+//! The policy's input about targets.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 use crate::ids::TargetName;
 use crate::ids::ZoneName;
 
-/// What the configuration and the platform's list say about a target.
+/// A target as described by the configuration and the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetFacts {
     /// The target's name.
     pub name: TargetName,
-    /// Engine or service.
+    /// Whether the target is an engine or a service.
     pub kind: TargetKind,
-    /// How many requests may run at once, over all hosts.
+    /// The number of requests that may run concurrently, over all hosts.
     pub slots: u32,
-    /// Whether the target takes new work.
+    /// Whether the target accepts new work.
     pub state: TargetState,
     /// The target's availability zone.
     pub availability_zone: ZoneName,
 }
 
-/// A target's own report of its load; it arrives late.
+/// A target's own report of its load, which arrives late.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
-    /// When the target took the report, on this process's time.
+    /// When the target measured the load, on this process's clock.
     pub taken: Duration,
     /// Requests in the target's batch.
     pub running: u32,
--- a/src/policy/target_view.rs
+++ b/src/policy/target_view.rs
@@ -1,4 +1,4 @@
-//! A target as this host sees it.
+//! The state of a target as seen by this host.
 
 use std::time::Duration;
 
@@ -12,29 +12,29 @@
 use super::concurrency_limit::ConcurrencyLimit;
 use super::pace_estimate::PaceEstimate;
 
-/// How long dispatch times are kept to correct a late report.
+/// How long a load report, and the dispatch times that correct it, are used.
 const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
 
-/// A target as this host sees it.
+/// The state of a target as seen by this host.
 #[derive(Debug)]
 pub(super) struct TargetView {
     pub(super) facts: TargetFacts,
     pub(super) pace: PaceEstimate,
     pub(super) limit: ConcurrencyLimit,
-    /// This host's work that runs here.
+    /// This host's work that runs at the target.
     pub(super) running: u32,
     /// The slots that this host may fill.
     pub(super) share: u32,
-    /// Prompt tokens sent whose first answer token has not come.
+    /// Prompt tokens sent for which no answer token has arrived yet.
     pub(super) pending_prefill_tokens: u64,
-    /// Whether long work is kept away from here.
+    /// Whether the target takes brief work only.
     pub(super) express: bool,
-    /// When a slow target was last tried.
+    /// When the target, being slow, was last probed.
     pub(super) probed_at: Option<Duration>,
-    /// Requests that waited inside the target by its last report.
+    /// Requests queued inside the target, by its last report.
     queued: u32,
     reported_at: Duration,
-    /// When this host last sent work here, the newest last.
+    /// The times of this host's last dispatches, the newest last.
     dispatch_times: Vec<Duration>,
 }
 
@@ -64,7 +64,7 @@
         self.facts.kind == TargetKind::Engine
     }
 
-    /// Returns how many slots this host may still fill here.
+    /// Returns how many slots this host may still fill at the target.
     pub(super) fn free(&self) -> u32 {
         if !self.is_live() {
             return 0;
@@ -72,9 +72,9 @@
         self.limit.usable(self.share).saturating_sub(self.running)
     }
 
-    /// Takes the target's own report.
+    /// Applies the target's load report.
     ///
-    /// It says nothing about what was sent after it was taken; that is added.
+    /// The report does not include work that was sent after it was made; that is added.
     pub(super) fn apply_report(&mut self, report: LoadReport) {
         if report.taken < self.reported_at {
             return;
@@ -118,14 +118,14 @@
         }
     }
 
-    /// Returns the expected seconds of the work alone, whatever is before it.
+    /// Returns the expected seconds of the work alone, ignoring work ahead of it.
     pub(super) fn service_seconds(&self, item: &WorkItem) -> f64 {
         self.pace
             .total_seconds(item.prompt_tokens, item.output_tokens)
     }
 
-    /// Returns the expected wait inside the target: what its report shows,
-    /// and what was sent after the report was taken, beyond its slots.
+    /// Returns the expected wait inside the target, from the requests queued by its report and
+    /// those sent after the report was made.
     fn queue_wait(&self, now: Duration) -> f64 {
         if self.queued == 0 || now > self.reported_at + REPORT_MAX_AGE {
             return 0.0;
--- a/src/policy/tier_load.rs
+++ b/src/policy/tier_load.rs
@@ -1,21 +1,21 @@
-//! How many slots each tier has filled lately.
+//! The recent slot usage of each tier.
 //!
-//! Load: saturation. The wait of a lower tier depends on what higher tiers will
-//! still send, not only on what waits now; an estimate from the queue alone
-//! lets in work that then waits for minutes and is refused in the end.
+//! Under saturation the wait of a lower tier depends on the future arrivals of higher tiers,
+//! not only on the current queue. An estimate from the queue alone would admit work that waits
+//! for minutes and is refused in the end.
 
 use std::time::Duration;
 
 use crate::ids::TierRank;
 use crate::sorted::SortedMap;
 
-/// How often the means take a sample.
+/// The interval between samples of the means.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// The weight of a sample; the means look back some fifty seconds, so that a
-/// burst does not shut out long work that can wait until it is over.
+/// The weight of a sample. The means cover some fifty seconds, so that a burst does not exclude
+/// long work that can wait until it is over.
 const GAIN: f64 = 0.002;
 
-/// How many slots each tier has filled lately.
+/// The recent mean slot usage of each tier.
 #[derive(Debug)]
 pub(super) struct TierLoad {
     sampled_at: Duration,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes how many slots each tier fills now.
+    /// Adds a sample of the slots that each tier fills now.
     pub(super) fn sample(&mut self, now: Duration, filled: &SortedMap<TierRank, u32>) {
         if now < self.sampled_at + SAMPLE_INTERVAL {
             return;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns how many slots the tiers above `tier` fill.
+    /// Returns the mean number of slots filled by the tiers above `tier`.
     pub(super) fn above(&self, tier: TierRank) -> f64 {
         let higher = self.means.iter().filter(|(other, _)| **other < tier);
         higher.map(|(_, mean)| *mean).sum()
--- a/src/policy/wasted_tokens.rs
+++ b/src/policy/wasted_tokens.rs
@@ -1,8 +1,8 @@
-//! Prompt tokens that were read for nothing, by cause.
+//! Counters of wasted prefill, by cause.
 //!
-//! Load: overload, where work is dispatched that can't be in time, and hot
-//! prefixes spread over many engines. Without the counts neither is seen: the
-//! engines look busy and the callers get nothing.
+//! Prefill is wasted under overload, when dispatched work can't meet its deadline, and when
+//! frequent prefixes are spread over many engines. Without these counters neither is visible:
+//! the engines look busy while callers get no answers.
 
 use serde::Serialize;
 
@@ -10,20 +10,20 @@
 
 use super::WorkOutcome;
 
-/// Prompt tokens that were read for nothing, by cause.
+/// Prompt tokens whose prefill was wasted, by cause.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct WastedTokens {
-    /// The caller left or its deadline came.
+    /// The caller left or the deadline passed.
     pub cancelled: u64,
     /// The target was lost or fell silent.
     pub failed: u64,
-    /// The prompt's prefix was sent to a target that had not read it lately,
-    /// though another one had; the whole prompt is counted.
+    /// The prompt's prefix was sent to a target that had not processed it recently although
+    /// another one had. The whole prompt is counted.
     pub repeated: u64,
 }
 
 impl WastedTokens {
-    /// Counts the end of work whose prompt was sent.
+    /// Counts the prompt of work that ended, unless the work finished or was not sent.
     pub(super) fn record_end(&mut self, end: WorkOutcome, prompt_tokens: TokenCount) {
         match end {
             WorkOutcome::Cancelled => self.cancelled += u64::from(prompt_tokens),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Counts a prompt that goes to another target than its prefix did before.
+    /// Counts a prompt that is sent to another target than its prefix was before.
     pub(super) fn record_repeat(&mut self, prompt_tokens: TokenCount) {
         self.repeated += u64::from(prompt_tokens);
     }
