--- a/src/policy/fair_queue.rs
+++ b/src/policy/fair_queue.rs
@@ -1,6 +1,6 @@
 //! The queue of waiting work and its order.
 //!
-//! A few accounts may send most of the work, and long and short work is mixed. First come,
+//! Two accounts may send most of the work, and long and short work is mixed. First come,
 //! first served would favour the account that sends most, and one long request would delay all
 //! short ones behind it.
 //!
