--- a/tests/account_limit.rs
+++ b/tests/account_limit.rs
@@ -1,16 +1,16 @@
-//! One account's rate, in virtual time.
+//! The rate limit of one account, in virtual time.
 
 use std::time::Duration;
 
 use cardamomgw::limits::AccountBucket;
 
-/// Takes as many requests as the bucket lets in at one moment.
+/// Returns how many requests the bucket admits at one time.
 fn take_all(bucket: &AccountBucket, now: Duration) -> usize {
     (0..1000).take_while(|_| bucket.take(now).is_ok()).count()
 }
 
 #[test]
-fn burst_is_let_in_and_then_the_rate() {
+fn a_burst_is_admitted_and_then_the_rate() {
     let bucket = AccountBucket::new(10.0, 5.0);
     let start = Duration::from_secs(100);
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn share_below_one_a_second_still_lets_one_in() {
+fn a_share_below_one_per_second_admits_one_request() {
     let bucket = AccountBucket::new(0.25, 1.0);
 
     assert_eq!(take_all(&bucket, Duration::from_secs(1)), 1);
--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -1,4 +1,4 @@
-//! Many hosts before targets that are cold, in virtual time.
+//! Simulation of many hosts with cold targets, in virtual time.
 
 use std::time::Duration;
 
@@ -18,25 +18,25 @@
 const POOL: &str = "engines";
 const HOSTS: usize = 82;
 const TARGETS: usize = 4;
-const STEP: Duration = Duration::from_millis(20);
-/// How long a target works on a request.
-const SERVICE: Duration = Duration::from_millis(400);
+const TIME_STEP: Duration = Duration::from_millis(20);
+/// How long a target runs a request.
+const SERVICE_TIME: Duration = Duration::from_millis(400);
 const COLD_TIME: Duration = Duration::from_secs(3);
 const LIMIT: ColdLimit = ColdLimit {
     requests_per_second: 16.0,
     duration: COLD_TIME,
 };
-/// What a cold target may get in any second, over all hosts.
-const BOUND: usize = 29;
+/// The most requests that a cold target may get in any second, over all hosts.
+const MAX_PER_SECOND: usize = 29;
 
-/// Requests that were sent: when, by which host, to which target.
+/// Sent requests: time, host and target.
 type SentRequests = Vec<(Duration, usize, usize)>;
 
-struct ColdWorld {
+struct ColdSimulation {
     tables: Vec<PoolTable>,
-    /// When each host learns what happens.
+    /// The delay after which each host learns of a change.
     delays: Vec<Duration>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 fn start() -> Duration {
@@ -94,10 +94,10 @@
     }
 }
 
-impl ColdWorld {
-    /// Makes hosts that learn what happens within `spread`.
-    fn new(spread: Duration) -> Self {
-        let mut chance = ChaCha8Rng::seed_from_u64(7);
+impl ColdSimulation {
+    /// Creates hosts that learn of changes within `max_delay`.
+    fn new(max_delay: Duration) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(7);
         let table = |index| {
             let mut table = PoolTable::new("za".into());
             let hosts = HOSTS;
@@ -107,14 +107,14 @@
         Self {
             tables: (0..HOSTS).map(table).collect(),
             delays: (0..HOSTS)
-                .map(|_| spread.mul_f64(chance.random::<f64>()))
+                .map(|_| max_delay.mul_f64(rng.random::<f64>()))
                 .collect(),
-            chance,
+            rng,
         }
     }
 
-    /// Lets hosts with more requests than they can place act for `length` from `from` on;
-    /// each learns of the targets by `learn` when its delay is over.
+    /// Simulates hosts with more requests than they can place, for `length` from `from` on. Each
+    /// host learns of the targets by `learn` after its delay.
     fn run(
         &mut self,
         from: Duration,
@@ -127,26 +127,26 @@
         while now < from + length {
             for (host, table) in self.tables.iter_mut().enumerate() {
                 let learns_at = from + self.delays[host];
-                if now >= learns_at && now < learns_at + STEP {
+                if now >= learns_at && now < learns_at + TIME_STEP {
                     learn(table, now);
                 }
-                while let Some(placed) = table.place(&request(now), now, self.chance.random()) {
+                while let Some(placed) = table.place(&request(now), now, self.rng.random()) {
                     let target: usize = placed.name[1..].parse().expect("targets are numbered");
                     sent.push((now, host, target));
-                    running.push((now + SERVICE, host, placed));
+                    running.push((now + SERVICE_TIME, host, placed));
                 }
             }
             for (_, host, placed) in running.extract_if(.., |(end, _, _)| *end <= now) {
                 self.tables[host].record_activity(POOL, &placed.name, now);
                 self.tables[host].record_outcome(POOL, &placed, AttemptOutcome::Succeeded, now);
             }
-            now += STEP;
+            now += TIME_STEP;
         }
         sent
     }
 }
 
-/// Returns the most requests that a target got in a second.
+/// Returns the most requests that any target got in any second.
 fn most_in_a_second(sent: &SentRequests) -> usize {
     let of_target = |target: usize| {
         let times = sent.iter().filter(move |(_, _, held)| *held == target);
@@ -162,17 +162,17 @@
     (0..TARGETS).map(of_target).max().unwrap_or(0)
 }
 
-/// Guards against all hosts sending to a target that comes back with all its slots free.
+/// Guards against all hosts sending at once to a target that returns with all its slots free.
 #[test]
 fn hosts_share_the_rate_of_a_cold_target() {
-    let mut world = ColdWorld::new(Duration::from_millis(300));
+    let mut simulation = ColdSimulation::new(Duration::from_millis(300));
 
-    let sent = world.run(start(), COLD_TIME, |table, now| {
+    let sent = simulation.run(start(), COLD_TIME, |table, now| {
         table.set_targets(members(5, COLD_TIME), now);
     });
 
     assert!(
-        most_in_a_second(&sent) <= BOUND,
+        most_in_a_second(&sent) <= MAX_PER_SECOND,
         "{}",
         most_in_a_second(&sent)
     );
@@ -180,54 +180,54 @@
     assert!(per_target >= 25, "{per_target} in {COLD_TIME:?}");
 }
 
-/// Guards against turns that were not used being used later, by all hosts at once.
+/// Guards against unused send windows that all hosts use later at once.
 #[test]
-fn unused_turns_are_not_kept() {
-    let mut world = ColdWorld::new(Duration::from_millis(300));
-    for table in &mut world.tables {
+fn unused_send_windows_expire() {
+    let mut simulation = ColdSimulation::new(Duration::from_millis(300));
+    for table in &mut simulation.tables {
         table.set_targets(members(5, COLD_TIME * 3), start());
     }
 
-    let sent = world.run(start() + COLD_TIME * 2, Duration::from_secs(2), |_, _| {});
+    let sent = simulation.run(start() + COLD_TIME * 2, Duration::from_secs(2), |_, _| {});
 
     assert!(
-        most_in_a_second(&sent) <= BOUND,
+        most_in_a_second(&sent) <= MAX_PER_SECOND,
         "{}",
         most_in_a_second(&sent)
     );
 }
 
-/// Guards against a target that was lost drawing all hosts at its return, before its
+/// Guards against all hosts sending at once to a lost target that returns, before its
 /// registration says that it is cold.
 #[test]
-fn a_lost_target_is_used_by_turns_from_its_first_answer_on() {
-    let mut world = ColdWorld::new(Duration::from_millis(700));
-    for table in &mut world.tables {
+fn a_lost_target_is_rate_limited_from_its_first_answer_on() {
+    let mut simulation = ColdSimulation::new(Duration::from_millis(700));
+    for table in &mut simulation.tables {
         table.set_targets(members(1, Duration::ZERO), start());
         for _ in 0..TARGETS {
             let placed = table.place(&request(start()), start(), 0.1);
-            let placed = placed.expect("nothing runs there");
+            let placed = placed.expect("the targets are idle");
             table.record_outcome(POOL, &placed, AttemptOutcome::Unreachable, start());
         }
     }
     let back = start() + Duration::from_secs(3);
 
-    let sent = world.run(back, COLD_TIME, |table, now| {
+    let sent = simulation.run(back, COLD_TIME, |table, now| {
         table.set_targets(members(5, COLD_TIME), now);
     });
 
     assert!(!sent.is_empty());
     assert!(
-        most_in_a_second(&sent) <= BOUND,
+        most_in_a_second(&sent) <= MAX_PER_SECOND,
         "{}",
         most_in_a_second(&sent)
     );
 }
 
-/// Guards against a restart of all hosts: before they know each other, each would take the
-/// whole rate for its own.
+/// Guards against a restart of all hosts: before they know each other, each would use the full
+/// rate.
 #[test]
-fn a_host_that_does_not_know_its_turn_sends_to_no_cold_target() {
+fn a_host_without_a_position_sends_to_no_cold_target() {
     let mut table = PoolTable::new("za".into());
     table.set_targets(members(5, COLD_TIME), start());
 
@@ -236,39 +236,39 @@
     assert_eq!(placed, None);
 }
 
-/// Guards against turns that go on when the target has long been warm.
+/// Guards against rate limiting that continues after the target has warmed up.
 #[test]
-fn a_target_is_used_freely_once_it_is_warm() {
-    let mut world = ColdWorld::new(Duration::ZERO);
-    for table in &mut world.tables {
+fn a_warm_target_is_not_rate_limited() {
+    let mut simulation = ColdSimulation::new(Duration::ZERO);
+    for table in &mut simulation.tables {
         table.set_targets(members(5, COLD_TIME), start());
     }
     let warm = start() + COLD_TIME;
 
-    let sent = world.run(warm, STEP, |_, _| {});
+    let sent = simulation.run(warm, TIME_STEP, |_, _| {});
 
     assert!(sent.len() >= HOSTS * TARGETS, "{}", sent.len());
 }
 
-/// Guards against requests for an evacuated zone, and against all hosts sending to its
-/// targets at once as it is taken back: they may have turned cold meanwhile.
+/// Guards against requests to an evacuated zone, and against all hosts sending to its targets at
+/// once when it is used again: the targets may have become cold in the meantime.
 #[test]
 fn an_evacuated_zone_gets_nothing_and_is_taken_back_by_turns() {
-    let mut world = ColdWorld::new(Duration::from_millis(300));
-    for table in &mut world.tables {
+    let mut simulation = ColdSimulation::new(Duration::from_millis(300));
+    for table in &mut simulation.tables {
         table.set_targets(evacuated_members(true), start());
     }
 
-    let during = world.run(start(), Duration::from_secs(1), |_, _| {});
+    let during = simulation.run(start(), Duration::from_secs(1), |_, _| {});
     let back = start() + Duration::from_secs(2);
-    let after = world.run(back, Duration::from_secs(2), |table, now| {
+    let after = simulation.run(back, Duration::from_secs(2), |table, now| {
         table.set_targets(evacuated_members(false), now);
     });
 
     assert_eq!(during.len(), 0);
     assert!(!after.is_empty());
     assert!(
-        most_in_a_second(&after) <= BOUND,
+        most_in_a_second(&after) <= MAX_PER_SECOND,
         "{}",
         most_in_a_second(&after)
     );
--- a/tests/policy_digest.rs
+++ b/tests/policy_digest.rs
@@ -1,4 +1,4 @@
-//! The digest between hosts: small, and whole after its way.
+//! The size and the encoding of the digest between hosts.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use cardamomgw::policy::PolicySettings;
 use cardamomgw::policy::TargetFacts;
 
-/// The bytes that a digest of the larger deployment may take: seven peers, one
-/// digest a second, and the control traffic of a host stays under 4 KB/s.
-const MOST_BYTES: usize = 550;
+/// The maximum size of a digest in the larger deployment: with seven peers and one digest per
+/// second, a host's control traffic stays below 4 KB/s.
+const MAX_BYTES: usize = 550;
 
 fn policy_of(host: &str, hosts: &[String]) -> DispatchPolicy {
     let facts = (1..=15).map(|number| TargetFacts {
@@ -21,11 +21,11 @@
         state: TargetState::Live,
         availability_zone: "zone-a".to_string(),
     });
-    let limits = PolicySettings {
+    let settings = PolicySettings {
         incarnation: u64::MAX,
         ..PolicySettings::default()
     };
-    let mut policy = DispatchPolicy::new(host.to_string(), limits);
+    let mut policy = DispatchPolicy::new(host.to_string(), settings);
     policy.set_targets(Duration::ZERO, facts.collect());
     policy.set_hosts(Duration::ZERO, hosts.to_vec());
     policy
@@ -48,9 +48,10 @@
     let digest = policies[0].digest(Duration::ZERO);
     let config = bincode::config::standard();
     let bytes = bincode::serde::encode_to_vec(&digest, config).unwrap();
-    let (read, _): (HostDigest, usize) = bincode::serde::decode_from_slice(&bytes, config).unwrap();
+    let (decoded, _): (HostDigest, usize) =
+        bincode::serde::decode_from_slice(&bytes, config).unwrap();
 
     println!("digest: {} bytes", bytes.len());
-    assert_eq!(read, digest);
-    assert!(bytes.len() <= MOST_BYTES, "{} bytes", bytes.len());
+    assert_eq!(decoded, digest);
+    assert!(bytes.len() <= MAX_BYTES, "{} bytes", bytes.len());
 }
--- a/tests/policy_first.rs
+++ b/tests/policy_first.rs
@@ -1,4 +1,4 @@
-//! The policy's interface: strict tiers, slots divided over hosts, refusal at arrival.
+//! Basic behaviour of the policy: strict tiers and refusal at arrival.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn higher_tier_takes_the_next_slot() {
+fn a_higher_tier_gets_the_next_slot() {
     let mut policy = policy(1);
     policy.arrive(Duration::ZERO, item(1, 1));
     policy.arrive(Duration::ZERO, item(2, 1));
--- a/tests/policy_load/main.rs
+++ b/tests/policy_load/main.rs
@@ -1,4 +1,4 @@
-//! The decisions under load, one host at a time and in pairs, in virtual time.
+//! The policy's decisions under load, on one host and on pairs of hosts, in virtual time.
 
 mod policy_bench;
 mod policy_shed;
@@ -34,8 +34,8 @@
     }
 }
 
-/// Long work fills every slot it can get, then an urgent check arrives. It must
-/// not wait until a digest ends, so some slots are kept from long work.
+/// Long work fills every slot that it may use, then urgent work arrives. It must not wait for
+/// long work to end, so some slots are reserved.
 #[test]
 fn urgent_work_finds_a_slot_while_long_work_saturates_the_engines() {
     let mut bench = PolicyBench::new(6, 4);
@@ -48,8 +48,8 @@
     assert!(matches!(actions[..], [PolicyAction::Dispatch { .. }]));
 }
 
-/// One account sends ten times the work of another. First come first served
-/// would make the small one wait behind all of it.
+/// One account sends 40 requests, another sends one. In order of arrival, the small account would
+/// wait behind all of it.
 #[test]
 fn a_small_account_does_not_wait_behind_a_large_one() {
     let mut bench = PolicyBench::new(1, 4);
@@ -65,10 +65,10 @@
     assert_eq!(dispatched, [small]);
 }
 
-/// Short work of the same account goes first, but not for ever: work that has
-/// waited for the age bound goes before younger and shorter work.
+/// Shorter work of the same account goes first, but long work must not starve: work that has
+/// reached the aging threshold goes before newer and shorter work.
 #[test]
-fn long_work_is_passed_by_only_until_it_has_aged() {
+fn long_work_is_overtaken_only_until_it_has_aged() {
     let mut bench = PolicyBench::new(1, 2);
     bench.arrive(long("account-1"));
     let aged = bench.next_work();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_higher_tier_goes_first_whatever_its_account_had() {
+fn a_higher_tier_goes_first_regardless_of_its_accounts_usage() {
     let mut bench = PolicyBench::new(1, 2);
     for _ in 0..6 {
         bench.arrive(long("account-2"));
@@ -101,11 +101,11 @@
     assert_eq!(dispatched, [higher]);
 }
 
-/// A burst: far more urgent work than can be in time. What is too much is
-/// refused when it arrives and not near its deadline, with advice that is
-/// spread so that the callers do not come back as the next burst.
+/// In a burst of far more urgent work than can meet its deadline, the excess is refused at
+/// arrival and not near its deadline, with jittered advice, so that the callers do not return as
+/// the next burst.
 #[test]
-fn a_burst_is_refused_at_arrival_with_spread_advice() {
+fn a_burst_is_refused_at_arrival_with_jittered_retry_advice() {
     let mut bench = PolicyBench::new(1, 4);
 
     let mut refused = Vec::new();
@@ -126,10 +126,10 @@
     assert!(advice[0] >= Duration::from_millis(100));
 }
 
-/// The queue is full of lower work when urgent work arrives: a digest is
-/// refused in its place, and no further digest is let in for a while.
+/// The queue is full of lower work when urgent work arrives: lower work is refused in its place,
+/// and no further work of its tier is admitted for a while.
 #[test]
-fn urgent_work_displaces_lower_work_and_shuts_its_tier() {
+fn urgent_work_displaces_lower_work_and_sheds_its_tier() {
     let mut bench = PolicyBench::with_queue(1, 2, 10);
     for _ in 0..12 {
         bench.arrive(long("account-1"));
@@ -150,10 +150,10 @@
     assert_eq!(later.len(), 1);
 }
 
-/// Two hosts: one must refuse urgent work, the other still lets digests in.
-/// The digest between hosts carries the level, so the other stops as well.
+/// One host must refuse urgent work while another still admits lower work. The digest between
+/// hosts carries the shed level, so the other host stops as well.
 #[test]
-fn a_peer_that_hears_of_refused_urgent_work_lets_no_lower_work_in() {
+fn a_peer_sheds_lower_work_after_a_digest_with_refused_urgent_work() {
     let mut busy = PolicyBench::in_cell("entry-1", 1, 4);
     let mut idle = PolicyBench::in_cell("entry-2", 1, 4);
     let refused = (0..400)
@@ -172,10 +172,10 @@
     assert_eq!((before.len(), after.len(), reopened.len()), (0, 1, 0));
 }
 
-/// Urgent work that finds no slot goes to a peer that showed free ones before
-/// it is ever refused.
+/// Urgent work that finds no slot is handed over to a peer with free slots before it is
+/// refused.
 #[test]
-fn urgent_work_goes_to_a_peer_with_room_before_it_is_refused() {
+fn urgent_work_goes_to_a_peer_with_free_slots_before_it_is_refused() {
     let mut busy = PolicyBench::in_cell("entry-1", 1, 4);
     let mut idle = PolicyBench::in_cell("entry-2", 1, 4);
     let digest = idle.policy.digest(idle.now);
@@ -191,9 +191,9 @@
     assert!(refusals(&actions).is_empty());
 }
 
-/// A host that leaves gives each waiting request its answer or a new host now.
+/// A leaving host refuses each waiting request or hands it over at once.
 #[test]
-fn a_leaving_host_keeps_no_work_waiting() {
+fn a_leaving_host_keeps_no_work_queued() {
     let mut bench = PolicyBench::new(1, 2);
     for _ in 0..6 {
         bench.arrive(long("account-1"));
@@ -211,10 +211,10 @@
     );
 }
 
-/// A waiting request that no target can finish in time any more is told so
-/// then, and not when its deadline comes.
+/// A waiting request that can no longer meet its deadline is refused at once, and not when the
+/// deadline passes.
 #[test]
-fn hopeless_work_is_refused_before_its_deadline() {
+fn unattainable_work_is_refused_before_its_deadline() {
     let mut bench = PolicyBench::new(1, 2);
     bench.arrive(long("account-1"));
     let mut shape = long("account-1");
@@ -228,7 +228,7 @@
     assert_eq!(refused.len(), 1);
 }
 
-/// No byte reached the target: the work is tried again, on another one.
+/// Work of which nothing was sent to the target is retried at another one.
 #[test]
 fn work_that_was_not_sent_goes_to_another_target() {
     let mut bench = PolicyBench::new(2, 4);
@@ -240,11 +240,10 @@
     assert_ne!(bench.last_target(), first);
 }
 
-/// An engine becomes ten times slower and its reports still look well. Its
-/// streams show it: within two seconds new work goes elsewhere. When it has
-/// recovered the work comes back.
+/// An engine becomes ten times slower while its reports still look normal. Its streams show it:
+/// within two seconds new work goes elsewhere. After recovery the engine is used again.
 #[test]
-fn a_slow_engine_is_left_within_two_seconds_and_comes_back() {
+fn a_slow_engine_is_avoided_within_two_seconds_and_used_again_later() {
     let mut bench = PolicyBench::new(3, 8);
     bench.run_streams(10 * SECOND, "", 1);
     let before = bench.dispatched_to("engine-1");
--- a/tests/policy_load/policy_bench.rs
+++ b/tests/policy_load/policy_bench.rs
@@ -1,4 +1,4 @@
-//! One host's policy with engines and some work, for tests in virtual time.
+//! A simulation of one host's policy with engines and work, in virtual time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use cardamomgw::policy::WorkItem;
 use cardamomgw::policy::WorkOutcome;
 
-/// The time of one token of an engine that is well.
+/// The time per token of a healthy engine.
 const TOKEN: Duration = Duration::from_millis(20);
 
-/// One host's policy with engines and some work.
+/// A simulation of one host's policy with engines and work.
 pub(crate) struct PolicyBench {
     pub(crate) policy: DispatchPolicy,
     pub(crate) now: Duration,
     allowed: Arc<Vec<String>>,
     work: u64,
-    /// What was dispatched and has not ended: work, target, tokens.
+    /// Running work: id, target and tokens so far.
     running: Vec<(u64, String, u32)>,
     dispatched: Vec<String>,
 }
 
-/// What a request looks like.
+/// The parameters of a request.
 pub(crate) struct WorkShape {
     pub(crate) tier: u8,
     pub(crate) account: String,
@@ -37,23 +37,23 @@
 }
 
 impl PolicyBench {
-    /// A host alone before some engines.
+    /// Creates a single host with engines.
     pub(crate) fn new(engines: usize, slots: u32) -> Self {
         Self::with_hosts("entry-1", &["entry-1"], engines, slots, 4096)
     }
 
-    /// A host alone with a short queue.
+    /// Creates a single host with a short queue.
     pub(crate) fn with_queue(engines: usize, slots: u32, queue: u32) -> Self {
         Self::with_hosts("entry-1", &["entry-1"], engines, slots, queue)
     }
 
-    /// One of two hosts.
+    /// Creates one of two hosts.
     pub(crate) fn in_cell(host: &str, engines: usize, slots: u32) -> Self {
         Self::with_hosts(host, &["entry-1", "entry-2"], engines, slots, 4096)
     }
 
     fn with_hosts(host: &str, hosts: &[&str], engines: usize, slots: u32, queue: u32) -> Self {
-        let limits = PolicySettings {
+        let settings = PolicySettings {
             max_waiting: queue,
             ..PolicySettings::default()
         };
@@ -65,7 +65,7 @@
             state: TargetState::Live,
             availability_zone: "zone-a".to_string(),
         });
-        let mut policy = DispatchPolicy::new(host.to_string(), limits);
+        let mut policy = DispatchPolicy::new(host.to_string(), settings);
         policy.set_targets(Duration::ZERO, facts.collect());
         let hosts = hosts.iter().map(|host| (*host).to_string());
         policy.set_hosts(Duration::ZERO, hosts.collect());
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The id that the next arrival gets.
+    /// Returns the id of the next arrival.
     pub(crate) fn next_work(&self) -> u64 {
         self.work + 1
     }
@@ -100,26 +100,26 @@
             allowed: self.allowed.clone(),
         };
         let actions = self.policy.arrive(self.now, item);
-        self.note(&actions);
+        self.record(&actions);
         actions
     }
 
-    /// Lets the policy decide what the passing of time asks for.
+    /// Runs the policy's periodic decisions.
     pub(crate) fn tick(&mut self) {
         let actions = self.policy.tick(self.now);
-        self.note(&actions);
+        self.record(&actions);
     }
 
-    /// Tells whether anything runs.
+    /// Tells whether any work runs.
     pub(crate) fn has_running(&self) -> bool {
         !self.running.is_empty()
     }
 
-    /// Ends the work that was dispatched first; returns what is dispatched then.
+    /// Ends the work that was dispatched first; returns the work dispatched as a result.
     pub(crate) fn end_oldest(&mut self, end: WorkOutcome) -> Vec<u64> {
         let (work, _, _) = self.running.remove(0);
         let actions = self.policy.ended(self.now, work, end);
-        self.note(&actions);
+        self.record(&actions);
         let works = actions.iter().filter_map(|action| match action {
             PolicyAction::Dispatch { work, .. } => Some(*work),
             _ => None,
@@ -127,12 +127,12 @@
         works.collect()
     }
 
-    /// The target of the last dispatch.
+    /// Returns the target of the last dispatch.
     pub(crate) fn last_target(&self) -> Option<String> {
         self.dispatched.last().cloned()
     }
 
-    /// How much was dispatched to a target.
+    /// Returns how much work was dispatched to a target.
     pub(crate) fn dispatched_to(&self, target: &str) -> usize {
         self.dispatched
             .iter()
@@ -140,8 +140,8 @@
             .count()
     }
 
-    /// Plays arrivals of medium work each 200 ms and the engines' tokens; one
-    /// engine is slower by a factor.
+    /// Simulates arrivals of medium work every 200 ms and the engines' tokens; the engine `slow`
+    /// is slower by a factor.
     pub(crate) fn run_streams(&mut self, length: Duration, slow: &str, factor: u32) {
         let end = self.now + length;
         let mut step = 0;
@@ -157,13 +157,13 @@
                     deadline: Duration::from_secs(60),
                 });
             }
-            self.write_tokens(step, slow, factor);
+            self.generate_tokens(step, slow, factor);
             let actions = self.policy.tick(self.now);
-            self.note(&actions);
+            self.record(&actions);
         }
     }
 
-    fn write_tokens(&mut self, step: u32, slow: &str, factor: u32) {
+    fn generate_tokens(&mut self, step: u32, slow: &str, factor: u32) {
         let mut ended = Vec::new();
         for (work, target, tokens) in &mut self.running {
             if target == slow && !step.is_multiple_of(factor) {
@@ -178,11 +178,11 @@
         self.running.retain(|(work, _, _)| !ended.contains(work));
         for work in ended {
             let actions = self.policy.ended(self.now, work, WorkOutcome::Finished);
-            self.note(&actions);
+            self.record(&actions);
         }
     }
 
-    fn note(&mut self, actions: &[PolicyAction]) {
+    fn record(&mut self, actions: &[PolicyAction]) {
         for action in actions {
             if let PolicyAction::Dispatch { work, target } = action {
                 self.running.push((*work, target.clone(), 0));
@@ -192,7 +192,7 @@
     }
 }
 
-/// The refusals among some actions.
+/// Returns the refusals among some actions.
 pub(crate) fn refusals(actions: &[PolicyAction]) -> Vec<(u64, ErrorKind, Duration)> {
     let refusals = actions.iter().filter_map(|action| match action {
         PolicyAction::Refuse {
--- a/tests/policy_load/policy_shed.rs
+++ b/tests/policy_load/policy_shed.rs
@@ -1,4 +1,4 @@
-//! Whatever arrives: urgent work is not refused while lower work is let in.
+//! Random load: urgent work is not refused while lower work is admitted.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 use super::policy_bench::WorkShape;
 use super::policy_bench::refusals;
 
-/// How long a refusal of urgent work keeps lower work out.
-const HOLD: Duration = Duration::from_secs(2);
+/// How long lower work is shed after a refusal of urgent work.
+const HOLD_TIME: Duration = Duration::from_secs(2);
 
 fn shape(tier: u8, output_tokens: u32, deadline: Duration) -> WorkShape {
     WorkShape {
@@ -25,14 +25,14 @@
     }
 }
 
-/// Returns whether the newest work is among the refused.
+/// Tells whether the newest work is among the refused.
 fn is_refused(bench: &PolicyBench, actions: &[PolicyAction]) -> bool {
     let newest = bench.next_work() - 1;
     let mut refused = refusals(actions).into_iter();
     refused.any(|(work, _, _)| work == newest)
 }
 
-fn play_random_load(random: &mut Unstructured<'_>) -> Result<()> {
+fn run_random_load(random: &mut Unstructured<'_>) -> Result<()> {
     let queue = random.int_in_range(1..=20)?;
     let mut bench = PolicyBench::with_queue(2, 3, queue);
     let mut refused_at = None;
@@ -50,9 +50,9 @@
                 let tier = random.int_in_range(1..=2)?;
                 let lower = shape(tier, tokens, Duration::from_secs(100));
                 let actions = bench.arrive(lower);
-                let shut = refused_at.is_some_and(|at| bench.now < at + HOLD);
+                let shut = refused_at.is_some_and(|at| bench.now < at + HOLD_TIME);
                 if shut {
-                    assert!(is_refused(&bench, &actions), "tier {tier} was let in");
+                    assert!(is_refused(&bench, &actions), "tier {tier} was admitted");
                 }
             }
             7 => bench.now += Duration::from_millis(random.int_in_range(0..=900)?),
@@ -67,17 +67,17 @@
     Ok(())
 }
 
-/// Running work fell silent, so the engines looked too slow for urgent work,
-/// which was refused as hopeless; digests with long deadlines were let in and
-/// kept the engines as slow as they were.
+/// A seed with which running work was silent, so the engines seemed too slow for urgent work,
+/// which was refused as unattainable; long work with late deadlines was admitted and kept the
+/// engines slow.
 #[test]
-fn urgent_work_that_looks_hopeless_under_load_shuts_lower_work_out() {
-    arbtest(play_random_load).seed(0x8ca6_7545_0000_00c3);
+fn urgent_work_that_seems_unattainable_under_load_sheds_lower_work() {
+    arbtest(run_random_load).seed(0x8ca6_7545_0000_00c3);
 }
 
 #[test]
-fn urgent_work_is_never_refused_while_lower_work_is_let_in() {
-    arbtest(play_random_load)
+fn urgent_work_is_never_refused_while_lower_work_is_admitted() {
+    arbtest(run_random_load)
         .size_min(64)
         .size_max(4096)
         .budget_ms(2_000);
--- a/tests/policy_shares.rs
+++ b/tests/policy_shares.rs
@@ -1,4 +1,4 @@
-//! Shares of a target's slots: never more than the slots, whatever happens to digests.
+//! The hosts' shares of a target's slots never exceed the slots, whatever happens to digests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 const ENGINE: &str = "engine-1";
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// Some hosts, the digests between them, and what runs.
+/// A simulation of hosts, the digests between them, and running work.
 struct HostGroup {
     now: Duration,
     slots: u32,
     names: Vec<String>,
     policies: Vec<DispatchPolicy>,
-    /// Every digest ever sent: any of them may arrive late, twice or never.
+    /// Every digest sent so far; each may arrive late, twice or never.
     sent: Vec<(usize, HostDigest)>,
     running: Vec<Vec<u64>>,
     count: u64,
@@ -44,19 +44,19 @@
             names,
         };
         for host in 0..hosts {
-            let policy = group.fresh_policy(host);
+            let policy = group.new_policy(host);
             group.policies.push(policy);
         }
         group
     }
 
-    fn fresh_policy(&mut self, host: usize) -> DispatchPolicy {
+    fn new_policy(&mut self, host: usize) -> DispatchPolicy {
         self.count += 1;
-        let limits = PolicySettings {
+        let settings = PolicySettings {
             incarnation: self.count,
             ..PolicySettings::default()
         };
-        let mut policy = DispatchPolicy::new(self.names[host].clone(), limits);
+        let mut policy = DispatchPolicy::new(self.names[host].clone(), settings);
         let facts = TargetFacts {
             name: ENGINE.to_string(),
             kind: TargetKind::Engine,
@@ -106,17 +106,17 @@
             allowed: Arc::new(vec![ENGINE.to_string()]),
         };
         let actions = self.policies[host].take_over(self.now, item);
-        self.note(host, actions);
+        self.record(host, actions);
     }
 
     fn end(&mut self, host: usize) {
         if let Some(work) = self.running[host].pop() {
             let actions = self.policies[host].ended(self.now, work, WorkOutcome::Finished);
-            self.note(host, actions);
+            self.record(host, actions);
         }
     }
 
-    fn note(&mut self, host: usize, actions: Vec<PolicyAction>) {
+    fn record(&mut self, host: usize, actions: Vec<PolicyAction>) {
         for action in actions {
             if let PolicyAction::Dispatch { work, .. } = action {
                 self.running[host].push(work);
@@ -125,8 +125,8 @@
     }
 
     fn restart(&mut self, host: usize) {
-        self.policies[host] = self.fresh_policy(host);
-        // The connections of the former life closed, so its work was cancelled.
+        self.policies[host] = self.new_policy(host);
+        // The connections of the former process closed, so its work was cancelled.
         self.running[host].clear();
     }
 
@@ -165,7 +165,7 @@
         }
         10 => {
             let actions = group.policies[host].tick(group.now);
-            group.note(host, actions);
+            group.record(host, actions);
         }
         11 if random.ratio(1, 4)? => group.restart(host),
         _ => (),
@@ -173,8 +173,8 @@
     Ok(())
 }
 
-/// Plays random steps and checks the shares after each.
-fn play_random_steps(random: &mut Unstructured<'_>) -> Result<()> {
+/// Runs random steps and checks the shares after each.
+fn run_random_steps(random: &mut Unstructured<'_>) -> Result<()> {
     let hosts = random.int_in_range(1..=5)?;
     let slots = random.int_in_range(0..=20)?;
     let mut group = HostGroup::new(hosts, slots);
@@ -186,26 +186,26 @@
 }
 
 #[test]
-fn shares_never_exceed_the_slots_when_digests_are_lost_late_or_doubled() {
-    arbtest(play_random_steps)
+fn shares_never_exceed_the_slots_with_lost_late_or_duplicate_digests() {
+    arbtest(run_random_steps)
         .size_min(64)
         .size_max(4096)
         .budget_ms(3_000);
 }
 
-/// A walk of the test above that ended with nine slots held of eight: hosts that
-/// restart, and digests that come late and twice, leave two hosts with the same slot.
+/// A seed of the test above with which hosts held nine of eight slots: restarts, and late and
+/// duplicate digests, left two hosts with the same slot.
 #[test]
-fn shares_never_exceed_the_slots_when_digests_are_lost_late_or_doubled_in_a_known_walk() {
-    arbtest(play_random_steps)
+fn shares_never_exceed_the_slots_with_a_known_seed() {
+    arbtest(run_random_steps)
         .size_min(64)
         .size_max(4096)
         .seed(0xc5dd_66c6_0000_1000);
 }
 
-/// The platform's list of hosts goes back and forth: a host that never comes up
-/// is on it and off it again. Hosts hear of it at different times.
-fn play_with_changing_lists(random: &mut Unstructured<'_>) -> Result<()> {
+/// Runs random steps with a changing list of hosts: a host that never starts is added and
+/// removed again, and the hosts learn of it at different times.
+fn run_with_changing_lists(random: &mut Unstructured<'_>) -> Result<()> {
     let hosts = random.int_in_range(2..=4)?;
     let slots = random.int_in_range(4..=20)?;
     let mut group = HostGroup::new(hosts, slots);
@@ -226,28 +226,28 @@
 }
 
 #[test]
-fn shares_never_exceed_the_slots_when_the_list_goes_back_and_forth() {
-    arbtest(play_with_changing_lists)
+fn shares_never_exceed_the_slots_with_changing_host_lists() {
+    arbtest(run_with_changing_lists)
         .size_min(64)
         .size_max(4096)
         .budget_ms(3_000);
 }
 
-/// A target ran 14 requests on 13 slots. A host ran borrowed slots when a peer
-/// restarted and the counts began anew; it saw that all others had begun anew,
-/// settled, and so told them that it had settled too, though it still ran more
-/// than its base share. They filled theirs beside it.
+/// Guards against a target that runs 14 requests on 13 slots. A host ran borrowed slots when a
+/// peer restarted and a new epoch began. It saw that all others had announced the epoch, and
+/// settled and announced it too although it still ran more than its base share, so the others
+/// filled theirs as well.
 #[test]
 fn a_host_that_runs_borrowed_slots_does_not_settle() {
-    arbtest(play_random_steps).seed(0x491e_fed4_0000_1000);
+    arbtest(run_random_steps).seed(0x491e_fed4_0000_1000);
 }
 
-/// A target ran nine requests on eight slots. A host restarted while its last
-/// digest was still under way; its peer lent the new life two slots, then took
-/// the late digest for one more restart. The former life had shown the division
-/// in force, so the peer filled its base share again, beside what it had lent.
+/// Guards against a target that runs nine requests on eight slots. A host restarted while its
+/// last digest was still in transit. Its peer lent two slots to the new incarnation, then took
+/// the late digest for another restart. The former incarnation had announced the current epoch,
+/// so the peer filled its base share again in addition to the slots it had lent.
 #[test]
-fn a_late_digest_of_a_former_life_does_not_bring_back_its_division() {
+fn a_late_digest_of_a_former_incarnation_does_not_restore_its_epoch() {
     let mut group = HostGroup::new(2, 8);
     group.send(1);
     group.deliver(0, 0);
@@ -269,7 +269,7 @@
     group.send(1);
 
     group.check();
-    // The peer must come back to the life that runs now.
+    // The peer must return to the current incarnation.
     for _ in 0..2 {
         group.end(0);
     }
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn hosts_that_hear_each_other_hold_all_slots() {
+fn connected_hosts_hold_all_slots() {
     let mut group = HostGroup::new(3, 16);
 
     for _ in 0..3 {
@@ -290,10 +290,10 @@
     assert_eq!(group.held(), 16);
 }
 
-/// Callers of one host wait while its peers' slots stand unused: the balancer
-/// sent most of them to this host. The peers lend what they do not need.
+/// Guards against callers that wait at one host, to which the load balancer sent most of them,
+/// while its peers' slots are unused. The peers lend the slots that they do not need.
 #[test]
-fn slots_move_to_the_host_that_has_the_callers() {
+fn slots_move_to_the_host_with_the_callers() {
     let mut group = HostGroup::new(4, 16);
     for _ in 0..3 {
         group.exchange_all();
@@ -312,10 +312,10 @@
     group.check();
 }
 
-/// A partition falls while slots are lent. The borrower goes on with them and
-/// the lender must not take them back, or both sides would fill them.
+/// A partition occurs while slots are lent. The borrower continues to use them, and the lender
+/// must not reclaim them, or both sides would fill them.
 #[test]
-fn a_partition_leaves_each_side_what_it_holds() {
+fn each_side_of_a_partition_keeps_the_slots_it_holds() {
     let mut group = HostGroup::new(2, 16);
     for _ in 0..3 {
         group.exchange_all();
@@ -336,10 +336,10 @@
     group.check();
 }
 
-/// A host lends slots, restarts and forgets it. If it took its whole base
-/// share at once, the target would be overfilled until the peers hear of it.
+/// A host lends slots, restarts and loses the record. If it used its full base share at once, it
+/// would overfill the target until the peers learn of the restart.
 #[test]
-fn a_restarted_host_does_not_use_what_its_former_life_lent() {
+fn a_restarted_host_does_not_use_slots_lent_by_its_former_incarnation() {
     let mut group = HostGroup::new(2, 16);
     for _ in 0..3 {
         group.exchange_all();
@@ -358,10 +358,10 @@
     assert!(group.policies[1].held_slots(ENGINE) >= 4);
 }
 
-/// The list drops a lost host; its share goes to those that remain, but only
-/// once all of them know, or two hosts would divide by different lists.
+/// A lost host is removed from the list. Its share goes to the remaining hosts only once all of
+/// them know, or hosts would divide the slots by different lists.
 #[test]
-fn the_share_of_a_lost_host_goes_to_the_others_once_all_know() {
+fn the_share_of_a_removed_host_goes_to_the_others_once_all_know() {
     let mut group = HostGroup::new(3, 15);
     for _ in 0..3 {
         group.exchange_all();
@@ -369,7 +369,7 @@
     let left: Vec<String> = group.names[..2].to_vec();
 
     group.policies[0].set_hosts(group.now, left.clone());
-    let alone = group.policies[0].held_slots(ENGINE);
+    let before_the_other_knew = group.policies[0].held_slots(ENGINE);
     group.policies[1].set_hosts(group.now, left);
     group.names.truncate(2);
     group.policies.truncate(2);
@@ -377,6 +377,6 @@
         group.exchange_all();
     }
 
-    assert!(alone <= 5);
+    assert!(before_the_other_knew <= 5);
     assert_eq!(group.held(), 15);
 }
--- a/tests/policy_slow_targets.rs
+++ b/tests/policy_slow_targets.rs
@@ -1,4 +1,4 @@
-//! Work whose targets have all become slow.
+//! Dispatch of work whose targets have all become slow.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -47,11 +47,11 @@
     actions.iter().any(dispatch)
 }
 
-/// A crew's booking waits for its whole deadline beside free slots. The only
-/// service took 1 ms a call and takes 20 ms now, so it counts as slow, and work
-/// of the top tier keeps off slow targets.
+/// Guards against work that waits beside free slots until its deadline: the only service slowed
+/// down from 1 ms to 20 ms per call, so it counts as slow, and work of the top tier avoids slow
+/// targets.
 #[test]
-fn booking_goes_to_a_slow_service_where_there_is_no_other() {
+fn work_goes_to_a_slow_service_if_there_is_no_other() {
     let mut policy = policy();
     let mut now = Duration::from_secs(10);
     let mut work = 0;
--- a/tests/policy_stall.rs
+++ b/tests/policy_stall.rs
@@ -1,4 +1,4 @@
-//! Work that must not wait while slots are free.
+//! Cases in which work must not wait while slots are free.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -51,11 +51,11 @@
         .into_iter()
         .enumerate()
         .map(|(index, host)| {
-            let limits = PolicySettings {
+            let settings = PolicySettings {
                 incarnation: index as u64 + 1,
                 ..PolicySettings::default()
             };
-            let mut policy = DispatchPolicy::new(host, limits);
+            let mut policy = DispatchPolicy::new(host, settings);
             policy.set_hosts(Duration::ZERO, hosts());
             policy.set_targets(Duration::ZERO, engines(TargetState::Live));
             policy
@@ -63,7 +63,7 @@
         .collect()
 }
 
-/// Lets each host tell each other one what it knows.
+/// Exchanges the digests of all hosts.
 fn exchange(cell: &mut [DispatchPolicy], now: Duration) {
     for from in 0..cell.len() {
         let digest = cell[from].digest(now);
@@ -73,10 +73,10 @@
     }
 }
 
-/// Callers wait until their deadline although one engine is idle. The other one
-/// left the fleet a moment before; the callers' requests may go to both.
+/// Guards against work that waits until its deadline beside an idle engine: the other of its two
+/// engines left the fleet just before.
 #[test]
-fn work_goes_to_the_engine_that_stays_when_the_other_leaves() {
+fn work_goes_to_the_remaining_engine_when_the_other_leaves() {
     let mut cell = cell();
     let mut now = Duration::ZERO;
     for _ in 0..4 {
@@ -107,11 +107,10 @@
     assert_eq!(dispatched, 6);
 }
 
-/// A cargo question waits beside an idle engine until its deadline. The other
-/// engine had crashed, and the slots that are kept for urgent work were counted
-/// from both.
+/// Guards against work that waits until its deadline beside an idle engine: the other engine
+/// crashed, and the reserve for urgent work was computed from the slots of both.
 #[test]
-fn reserve_follows_the_slots_that_are_left() {
+fn the_reserve_follows_the_remaining_slots() {
     let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
     policy.set_hosts(Duration::ZERO, vec!["entry-1".into()]);
     let two_slots = |state| {
@@ -141,11 +140,10 @@
     assert_eq!(count_dispatches(&actions), 1, "{actions:?}");
 }
 
-/// Crews' bookings wait until their deadline beside an idle service. The one
-/// service that may take them had become ten times slower than it was, and slow
-/// targets are passed over.
+/// Guards against work that waits until its deadline beside an idle service: its only service
+/// became ten times slower, and slow targets are avoided.
 #[test]
-fn work_goes_to_a_slow_target_where_it_is_the_only_one() {
+fn work_goes_to_a_slow_target_if_it_is_the_only_one() {
     let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
     policy.set_hosts(Duration::ZERO, vec!["entry-1".into()]);
     policy.set_targets(Duration::ZERO, vec![service()]);
@@ -165,10 +163,10 @@
     assert_eq!(dispatched, 60);
 }
 
-/// A booking whose only service could not be connected to is tried again once
-/// the service is back, and does not wait beside it.
+/// Work that could not connect to its only service is sent there again, and does not wait
+/// beside it.
 #[test]
-fn work_goes_back_to_the_only_target_that_did_not_take_it() {
+fn work_is_retried_at_the_only_target_after_a_failed_connection() {
     let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
     policy.set_hosts(Duration::ZERO, vec!["entry-1".into()]);
     policy.set_targets(Duration::ZERO, vec![service()]);
--- a/tests/request_limits.rs
+++ b/tests/request_limits.rs
@@ -1,4 +1,4 @@
-//! Many hosts before targets that name how many requests per second they take, in virtual time.
+//! Simulation of many hosts with a target that states a request limit, in virtual time.
 
 use std::time::Duration;
 
@@ -16,34 +16,34 @@
 use rand_chacha::ChaCha8Rng;
 
 const POOL: &str = "engines";
-const STEP: Duration = Duration::from_millis(20);
-/// How long the target works on a request.
-const SERVICE: Duration = Duration::from_millis(200);
+const TIME_STEP: Duration = Duration::from_millis(20);
+/// How long the target runs a request.
+const SERVICE_TIME: Duration = Duration::from_millis(200);
 /// The window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// How long hosts are played.
+/// Length of a simulation.
 const LENGTH: Duration = Duration::from_secs(40);
-/// Within which all hosts know of a limit, by answers or by gossip.
-const SPREAD: Duration = Duration::from_millis(900);
+/// Time within which all hosts learn of a limit, from answers or by gossip.
+const MAX_DELAY: Duration = Duration::from_millis(900);
 
-/// Hosts with more requests than they can place, before one target.
-struct LimitedWorld {
+/// Hosts with more requests than they can place at the only target.
+struct LimitSimulation {
     tables: Vec<PoolTable>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 fn start() -> Duration {
     Duration::from_secs(100)
 }
 
-fn name() -> String {
+fn target_name() -> String {
     "t0".into()
 }
 
 fn member() -> PoolMember {
     PoolMember {
         record: TargetRecord {
-            name: name(),
+            name: target_name(),
             pool: POOL.into(),
             address: ([127, 0, 0, 1], 9000).into(),
             availability_zone: "za".into(),
@@ -76,7 +76,7 @@
     }
 }
 
-impl LimitedWorld {
+impl LimitSimulation {
     fn new(hosts: usize) -> Self {
         let table = |index| {
             let mut table = PoolTable::new("za".into());
@@ -86,16 +86,16 @@
         };
         Self {
             tables: (0..hosts).map(table).collect(),
-            chance: ChaCha8Rng::seed_from_u64(11),
+            rng: ChaCha8Rng::seed_from_u64(11),
         }
     }
 
-    /// Lets each host learn of a limit that the target names from `at` on.
-    fn name_limit(&mut self, per_second: Option<f64>, at: Duration) {
+    /// Lets each host learn of a limit that the target states from `at` on.
+    fn announce_limit(&mut self, per_second: Option<f64>, at: Duration) {
         for table in &mut self.tables {
-            let age = SPREAD.mul_f64(self.chance.random::<f64>());
+            let age = MAX_DELAY.mul_f64(self.rng.random::<f64>());
             let limit = TargetLimit {
-                target: name(),
+                target: target_name(),
                 per_second,
                 lasted_ms: age.as_millis() as u64,
                 age_ms: age.as_millis() as u64,
@@ -104,28 +104,28 @@
         }
     }
 
-    /// Lets all hosts send what they can for `length`; returns when.
+    /// Lets all hosts send as many requests as they may for `length`; returns the send times.
     fn run(&mut self, from: Duration, length: Duration) -> Vec<Duration> {
         let mut sent = Vec::new();
         let mut running = Vec::new();
         let mut now = from;
         while now < from + length {
             for (host, table) in self.tables.iter_mut().enumerate() {
-                while let Some(placed) = table.place(&request(now), now, self.chance.random()) {
+                while let Some(placed) = table.place(&request(now), now, self.rng.random()) {
                     sent.push(now);
-                    running.push((now + SERVICE, host, placed));
+                    running.push((now + SERVICE_TIME, host, placed));
                 }
             }
             for (_, host, placed) in running.extract_if(.., |(end, _, _)| *end <= now) {
                 self.tables[host].record_outcome(POOL, &placed, AttemptOutcome::Succeeded, now);
             }
-            now += STEP;
+            now += TIME_STEP;
         }
         sent
     }
 }
 
-/// Returns the most requests that were sent within a window.
+/// Returns the most requests that were sent within any window.
 fn most_in_a_window(sent: &[Duration]) -> usize {
     let starts = sent.iter().enumerate();
     let counts = starts.map(|(first, at)| {
@@ -140,15 +140,15 @@
     per_second * WINDOW.as_secs_f64() * 1.5 + 5.0
 }
 
-/// Guards against each host using the whole limit, and against a limit that nobody uses.
+/// Guards against each host using the full limit, and against a limit that is hardly used.
 #[test]
-fn all_hosts_together_keep_a_limit_and_use_it() {
+fn hosts_together_respect_and_use_a_limit() {
     for hosts in [1, 8, 85, 320] {
         for per_second in [0.5, 3.1, 4.1, 40.0] {
-            let mut world = LimitedWorld::new(hosts);
-            world.name_limit(Some(per_second), start());
+            let mut simulation = LimitSimulation::new(hosts);
+            simulation.announce_limit(Some(per_second), start());
 
-            let sent = world.run(start() + SPREAD, LENGTH);
+            let sent = simulation.run(start() + MAX_DELAY, LENGTH);
 
             let most = most_in_a_window(&sent) as f64;
             let used = sent.len() as f64 / LENGTH.as_secs_f64() / per_second;
@@ -161,60 +161,60 @@
     }
 }
 
-/// Guards against a limit that changes and lets each host send once more.
+/// Guards against extra sends of each host whenever the limit changes.
 #[test]
-fn a_limit_that_changes_often_is_kept() {
-    let mut world = LimitedWorld::new(8);
+fn a_limit_that_changes_often_is_respected() {
+    let mut simulation = LimitSimulation::new(8);
     let mut sent = Vec::new();
     for step in 0..60 {
         let from = start() + Duration::from_secs(step * 2);
         let per_second = [3.0, 4.0, 3.4, 4.4][step as usize % 4];
-        world.name_limit(Some(per_second), from);
-        sent.extend(world.run(from + SPREAD, Duration::from_secs(2)));
+        simulation.announce_limit(Some(per_second), from);
+        sent.extend(simulation.run(from + MAX_DELAY, Duration::from_secs(2)));
     }
 
     let most = most_in_a_window(&sent) as f64;
 
-    // The lowest mean of two limits that follow each other.
+    // The lowest mean of two consecutive limits.
     assert!(most <= allowed(3.5), "{most}");
     assert!(sent.len() >= 120, "{}", sent.len());
 }
 
-/// Guards against a target that is spared for ever after its need is over.
+/// Guards against limiting a target after its limit has ended.
 #[test]
-fn a_limit_ends_when_an_answer_names_none() {
-    let mut world = LimitedWorld::new(1);
-    let table = &mut world.tables[0];
+fn a_limit_ends_when_an_answer_states_none() {
+    let mut simulation = LimitSimulation::new(1);
+    let table = &mut simulation.tables[0];
     let second = |seconds| start() + Duration::from_secs(seconds);
 
-    let named = table.record_limit(&name(), Some(2.0), second(1), second(2));
-    let older = table.record_limit(&name(), None, second(1), second(3));
-    let ended = table.record_limit(&name(), None, second(4), second(5));
+    let stated = table.record_limit(&target_name(), Some(2.0), second(1), second(2));
+    let older = table.record_limit(&target_name(), None, second(1), second(3));
+    let ended = table.record_limit(&target_name(), None, second(4), second(5));
 
-    assert!(named && ended);
-    assert!(!older, "it was sent before the limit was named");
-    let sent = world.run(second(5), Duration::from_secs(1));
+    assert!(stated && ended);
+    assert!(!older, "the request was sent before the limit was stated");
+    let sent = simulation.run(second(5), Duration::from_secs(1));
     assert!(sent.len() >= 12, "{}", sent.len());
 }
 
-/// Guards against hosts that learn of a limit, or of its end, only by what they send themselves.
+/// Guards against hosts that learn of a limit, or of its end, only from their own requests.
 #[test]
-fn peers_pass_limits_and_their_end_on() {
-    let mut world = LimitedWorld::new(2);
+fn peers_exchange_limits_and_their_end() {
+    let mut simulation = LimitSimulation::new(2);
     let second = |seconds| start() + Duration::from_secs(seconds);
-    let [first, other] = &mut world.tables[..] else {
-        unreachable!("there are two");
+    let [first, other] = &mut simulation.tables[..] else {
+        unreachable!("two hosts were created");
     };
 
-    first.record_limit(&name(), Some(2.0), second(1), second(2));
-    let named = first.changed_limits(false, second(0), second(2));
-    let taken = other.merge_limits(named.clone(), second(2));
-    let again = other.merge_limits(named, second(3));
-    first.record_limit(&name(), None, second(3), second(4));
+    first.record_limit(&target_name(), Some(2.0), second(1), second(2));
+    let stated = first.changed_limits(false, second(0), second(2));
+    let merged = other.merge_limits(stated.clone(), second(2));
+    let again = other.merge_limits(stated, second(3));
+    first.record_limit(&target_name(), None, second(3), second(4));
     let ended = first.changed_limits(false, second(3), second(4));
     other.merge_limits(ended, second(4));
 
-    assert_eq!(taken.len(), 1);
+    assert_eq!(merged.len(), 1);
     assert!(again.is_empty());
     assert!(other.changed_limits(true, second(0), second(5)).is_empty());
 }
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -1,4 +1,4 @@
-//! A group of hosts that divides the slots of its engines, in virtual time.
+//! Simulation of a group of hosts that divides the slots of its engines, in virtual time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -27,40 +27,40 @@
 const HOSTS: usize = 16;
 const ENGINES: usize = 10;
 const SLOTS: usize = 8;
-/// How long an engine works on a request.
-const SERVICE: Duration = Duration::from_millis(500);
-/// How long its first event takes from its start.
-const FIRST: Duration = Duration::from_millis(70);
+/// How long an engine runs a request.
+const SERVICE_TIME: Duration = Duration::from_millis(500);
+/// Time from the start of a request to its first event.
+const FIRST_EVENT: Duration = Duration::from_millis(70);
 const OBJECTIVE: Duration = Duration::from_millis(600);
-/// How long a request waits at its host.
-const PATIENCE: Duration = Duration::from_millis(1500);
-const STEP: Duration = Duration::from_millis(5);
+/// How long a request may wait at its host.
+const MAX_WAIT: Duration = Duration::from_millis(1500);
+const TIME_STEP: Duration = Duration::from_millis(5);
 
-/// A request at an engine, with its host and what it needs there.
-struct EngineWork {
+/// A request at an engine.
+struct EngineRequest {
     host: usize,
     placed: PlacedTarget,
     arrived: Duration,
     tier: u8,
 }
 
-/// An engine that runs so many at once and queues the others in order of arrival.
+/// An engine that runs up to [`SLOTS`] requests and queues the others in order of arrival.
 #[derive(Default)]
 struct EngineModel {
-    queue: VecDeque<EngineWork>,
-    running: Vec<(Duration, EngineWork)>,
+    queue: VecDeque<EngineRequest>,
+    running: Vec<(Duration, EngineRequest)>,
 }
 
-struct GroupWorld {
+struct GroupSimulation {
     tables: Vec<PoolTable>,
     engines: Vec<EngineModel>,
     granted: SlotGrants,
     divides: bool,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     waiting: Vec<(QueueTicket, usize, u8, Duration)>,
     next_ticket: QueueTicket,
     counted_from: Duration,
-    asked: [usize; 3],
+    requested: [usize; 3],
     in_time: [usize; 3],
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-impl GroupWorld {
+impl GroupSimulation {
     fn new(divides: bool) -> Self {
         let table = || {
             let mut table = PoolTable::new("za".into());
@@ -95,37 +95,37 @@
             engines: (0..ENGINES).map(|_| EngineModel::default()).collect(),
             granted: SlotGrants::default(),
             divides,
-            chance: ChaCha8Rng::seed_from_u64(5),
+            rng: ChaCha8Rng::seed_from_u64(5),
             waiting: Vec::new(),
             next_ticket: 0,
             counted_from: Duration::ZERO,
-            asked: [0; 3],
+            requested: [0; 3],
             in_time: [0; 3],
         }
     }
 
-    /// Plays a load of so many requests a second for `length`, and counts what comes behind
-    /// its first second.
+    /// Simulates a load of `per_second` requests per second for `length`; counts requests after
+    /// the first second.
     fn run(&mut self, per_second: f64, length: Duration) {
         let start = Duration::from_secs(100);
         self.counted_from = start + Duration::from_secs(1);
         let mut now = start;
         while now < start + length {
             self.arrive(per_second, now);
-            self.work(now);
-            self.give_up(now);
+            self.advance(now);
+            self.drop_expired(now);
             self.report((now - start).as_millis() as usize / 5, now);
-            now += STEP;
+            now += TIME_STEP;
         }
     }
 
     fn arrive(&mut self, per_second: f64, now: Duration) {
-        let mut expected = per_second * STEP.as_secs_f64();
-        while self.chance.random::<f64>() < expected {
+        let mut expected = per_second * TIME_STEP.as_secs_f64();
+        while self.rng.random::<f64>() < expected {
             expected -= 1.0;
-            let host = self.chance.random_range(0..HOSTS);
-            let tier = self.chance.random_range(0..3);
-            self.asked[usize::from(tier)] += usize::from(now >= self.counted_from);
+            let host = self.rng.random_range(0..HOSTS);
+            let tier = self.rng.random_range(0..3);
+            self.requested[usize::from(tier)] += usize::from(now >= self.counted_from);
             let request = PlacementRequest {
                 pool: POOL.into(),
                 priority: RequestPriority {
@@ -140,8 +140,8 @@
                 deadline: now + Duration::from_secs(12),
                 tried: Vec::new(),
             };
-            let spread = self.chance.random::<f64>();
-            match self.tables[host].place(&request, now, spread) {
+            let random = self.rng.random::<f64>();
+            match self.tables[host].place(&request, now, random) {
                 Some(placed) => self.send(host, placed, tier, now),
                 None => {
                     self.next_ticket += 1;
@@ -154,7 +154,7 @@
 
     fn send(&mut self, host: usize, placed: PlacedTarget, tier: u8, arrived: Duration) {
         let engine: usize = placed.name[1..].parse().expect("engines are numbered");
-        self.engines[engine].queue.push_back(EngineWork {
+        self.engines[engine].queue.push_back(EngineRequest {
             host,
             placed,
             arrived,
@@ -162,8 +162,8 @@
         });
     }
 
-    /// Lets engines end and start work, and hosts give out what waits.
-    fn work(&mut self, now: Duration) {
+    /// Ends and starts requests at the engines, and assigns free slots to waiting requests.
+    fn advance(&mut self, now: Duration) {
         for engine in &mut self.engines {
             let ended = engine.running.extract_if(.., |(end, _)| *end <= now);
             for (_, work) in ended {
@@ -179,29 +179,31 @@
                     break;
                 };
                 let is_counted = work.arrived >= self.counted_from;
-                let is_in_time = is_counted && now + FIRST <= work.arrived + OBJECTIVE;
+                let is_in_time = is_counted && now + FIRST_EVENT <= work.arrived + OBJECTIVE;
                 self.in_time[usize::from(work.tier)] += usize::from(is_in_time);
-                engine.running.push((now + SERVICE, work));
+                engine.running.push((now + SERVICE_TIME, work));
             }
             for (_, work) in &engine.running {
                 self.tables[work.host].record_activity(POOL, &work.placed.name, now);
             }
         }
         for host in 0..HOSTS {
-            let chance = &mut self.chance;
-            let assigned = self.tables[host].assign(now, || chance.random::<f64>());
+            let rng = &mut self.rng;
+            let assigned = self.tables[host].assign(now, || rng.random::<f64>());
             for (ticket, placed) in assigned {
                 let index = self.waiting.iter().position(|held| held.0 == ticket);
-                let (_, _, tier, arrived) = self.waiting.swap_remove(index.expect("it waits"));
+                let (_, _, tier, arrived) = self
+                    .waiting
+                    .swap_remove(index.expect("the ticket is waiting"));
                 self.send(host, placed, tier, arrived);
             }
         }
     }
 
-    fn give_up(&mut self, now: Duration) {
+    fn drop_expired(&mut self, now: Duration) {
         let tables = &mut self.tables;
         self.waiting.retain(|(ticket, host, _, arrived)| {
-            let stays = now < *arrived + PATIENCE;
+            let stays = now < *arrived + MAX_WAIT;
             if !stays {
                 tables[*host].dequeue(POOL, *ticket);
             }
@@ -209,7 +211,7 @@
         });
     }
 
-    /// Lets each host report each 200 ms, and take what the others run.
+    /// Exchanges loads, demands and grants; each host reports every 100 ms.
     fn report(&mut self, tick: usize, now: Duration) {
         for host in (0..HOSTS).filter(|host| (host + tick).is_multiple_of(20)) {
             let name = format!("e{host}");
@@ -231,43 +233,47 @@
         }
     }
 
-    fn part_in_time(&self, tier: usize) -> f64 {
-        self.in_time[tier] as f64 / self.asked[tier] as f64
+    fn fraction_in_time(&self, tier: usize) -> f64 {
+        self.in_time[tier] as f64 / self.requested[tier] as f64
     }
 }
 
-/// What the engines can start in a second.
+/// Returns how many requests per second the engines can start.
 fn capacity() -> f64 {
-    (ENGINES * SLOTS) as f64 / SERVICE.as_secs_f64()
+    (ENGINES * SLOTS) as f64 / SERVICE_TIME.as_secs_f64()
 }
 
-/// Guards against a burst that waits in the engines' queues, where the urgent stand behind
-/// all others: at twice the capacity a third of the requests are urgent, so all of those
-/// can be in time as soon as hosts know of the burst.
+/// Guards against bursts that wait in the engines' queues, where urgent requests stand behind
+/// all others. At twice the capacity a third of the requests are urgent, so all of these can be
+/// in time as soon as the hosts detect the burst.
 #[test]
-fn a_group_keeps_urgent_work_in_time_at_twice_its_capacity() {
-    let mut divided = GroupWorld::new(true);
+fn a_group_serves_urgent_requests_in_time_at_twice_its_capacity() {
+    let mut divided = GroupSimulation::new(true);
     divided.run(capacity() * 2.0, Duration::from_secs(10));
-    let mut shared = GroupWorld::new(false);
+    let mut shared = GroupSimulation::new(false);
     shared.run(capacity() * 2.0, Duration::from_secs(10));
 
-    let urgent = divided.part_in_time(0);
+    let urgent = divided.fraction_in_time(0);
     assert!(urgent >= 0.9, "{urgent}");
-    assert!(shared.part_in_time(0) < 0.5, "{}", shared.part_in_time(0));
+    assert!(
+        shared.fraction_in_time(0) < 0.5,
+        "{}",
+        shared.fraction_in_time(0)
+    );
     let all: usize = divided.in_time.iter().sum();
     let all_shared: usize = shared.in_time.iter().sum();
     assert!(all > all_shared, "{all} of {all_shared}");
 }
 
-/// Guards against limits where there is room for all.
+/// Guards against limits although there is enough capacity for all requests.
 #[test]
-fn a_group_with_room_divides_nothing() {
-    let mut divided = GroupWorld::new(true);
+fn a_group_below_its_capacity_divides_no_slots() {
+    let mut divided = GroupSimulation::new(true);
     divided.run(capacity() * 0.7, Duration::from_secs(10));
 
     for tier in 0..3 {
-        let part = divided.part_in_time(tier);
-        assert!(part >= 0.97, "{part}");
+        let fraction = divided.fraction_in_time(tier);
+        assert!(fraction >= 0.97, "{fraction}");
     }
 }
 
@@ -288,7 +294,7 @@
     shares.map(|share| Some(share?.slots)).collect()
 }
 
-/// Guards against slots that nobody, or more than one host, may use.
+/// Guards against slots that no host, or more than one, may use.
 #[test]
 fn shares_follow_demand_and_add_up() {
     let now = Duration::from_secs(100);
@@ -298,12 +304,16 @@
     }
 
     assert_eq!(shares_of(&shares, 80), [Some(42), Some(25), Some(17)]);
-    assert_eq!(shares_of(&shares, 200), [None; 3], "there is room for all");
+    assert_eq!(
+        shares_of(&shares, 200),
+        [None; 3],
+        "there are enough slots for all"
+    );
 }
 
-/// Guards against urgent requests that wait at one host while another starts others.
+/// Guards against urgent requests that wait at one host while another starts less urgent ones.
 #[test]
-fn the_most_urgent_get_their_slots_first() {
+fn the_highest_priority_gets_slots_first() {
     let now = Duration::from_secs(100);
     let mut shares = SlotShares::default();
     let late = SlotDemand {
@@ -318,10 +328,9 @@
     assert_eq!(shares_of(&shares, 80), [Some(38), Some(46), Some(0)]);
 }
 
-/// Guards against hosts that get no slots at all where an urgency was reported of which nobody
-/// wants any more.
+/// Guards against hosts that get no slots when a reported priority has no demand left.
 #[test]
-fn an_urgency_that_nobody_wants_takes_nothing_from_the_others() {
+fn a_priority_without_demand_takes_no_slots() {
     let now = Duration::from_secs(100);
     let mut shares = SlotShares::default();
     for host in ["e1", "e2", "e3"] {
@@ -331,10 +340,10 @@
     assert_eq!(shares_of(&shares, 80), [Some(28); 3]);
 }
 
-/// Guards against requests that are held until their callers leave, though no slot will be
-/// theirs in time.
+/// Guards against queueing requests until their callers leave although they can't get a slot in
+/// time.
 #[test]
-fn what_turns_late_is_rejected_at_once_where_slots_are_divided() {
+fn late_requests_are_rejected_at_once_if_slots_are_divided() {
     let now = Duration::from_secs(100);
     let mut table = PoolTable::new("za".into());
     table.set_targets(vec![engine(0)], now);
@@ -357,17 +366,21 @@
     let late = now + OBJECTIVE;
 
     let undivided = table.shed_late(late);
-    let nothing = PoolGrants {
+    let no_slots = PoolGrants {
         pool: POOL.into(),
         slots: 0,
         late: 0,
         grants: Vec::new(),
     };
-    table.set_grants(vec![nothing], late);
+    table.set_grants(vec![no_slots], late);
     let divided = table.shed_late(late);
 
     assert!(undivided.is_empty());
-    assert_eq!(divided, [1], "one that has come back would not come again");
+    assert_eq!(
+        divided,
+        [1],
+        "a retry stays queued, as its caller would not retry again"
+    );
     assert!(table.should_shed(&request(false), late));
     assert_eq!(table.waiting(POOL), 1);
 }
@@ -381,8 +394,8 @@
     }
 }
 
-/// Guards against hosts that all choose the same target: each sees it free, and what is too
-/// much waits in its queue.
+/// Guards against hosts that all choose the same target, which each sees as free; the excess
+/// would wait in its queue.
 #[test]
 fn no_target_is_granted_beyond_its_slots() {
     let now = Duration::from_secs(100);
@@ -400,14 +413,14 @@
         }
     }
 
-    // One more than its slots may wait at a target, of which one is taken by another group.
+    // A target may queue one request beyond its slots. At t0 another group uses one of these.
     assert_eq!(sums, [8, 9]);
 }
 
-/// Guards against callers that come back, whose answers will be late in any case, and take the
-/// slots of new ones.
+/// Guards against retries, whose answers are late in any case, taking the slots of new
+/// requests.
 #[test]
-fn late_work_starts_only_as_far_as_it_is_granted() {
+fn late_requests_start_only_as_granted() {
     let now = Duration::from_secs(100);
     let mut table = PoolTable::new("za".into());
     table.set_targets(vec![engine(0)], now);
@@ -442,6 +455,6 @@
     let in_time = table.place(&request(now + OBJECTIVE), now, 0.5);
 
     assert!(first.is_some());
-    assert_eq!(second, None, "one late start was granted");
+    assert_eq!(second, None, "only one late start was granted");
     assert!(in_time.is_some());
 }
