--- a/src/dispatch/slot_grants.rs
+++ b/src/dispatch/slot_grants.rs
@@ -75,7 +75,7 @@
 impl SlotGrants {
     /// Updates the demand of a host.
     pub fn update_demands(&mut self, host: &str, demands: Vec<SlotDemand>, now: Duration) {
-        self.shares.take(host, demands, now);
+        self.shares.update(host, demands, now);
         self.granted
             .retain(|_, held| now.saturating_sub(held.granted_at) < GRANT_TTL);
     }
--- a/src/dispatch/slot_shares.rs
+++ b/src/dispatch/slot_shares.rs
@@ -60,7 +60,7 @@
 
 impl SlotShares {
     /// Updates the demand of a host.
-    pub fn take(&mut self, host: &str, demands: Vec<SlotDemand>, now: Duration) {
+    pub fn update(&mut self, host: &str, demands: Vec<SlotDemand>, now: Duration) {
         let demand = HostDemand {
             demands,
             reported_at: now,
--- a/src/dispatch/target_choice.rs
+++ b/src/dispatch/target_choice.rs
@@ -93,7 +93,7 @@
         .iter()
         .map(|target| {
             // If no target is healthy, an unhealthy one is still better than none.
-            let fit = target.is_healthy(context.now) || !any_healthy;
+            let is_usable = target.is_healthy(context.now) || !any_healthy;
             let slowness = target.slowness(fastest);
             let tokens = target.tokens_ahead() + request.prompt_tokens;
             let first = context.prefill.predict(tokens, slowness);
@@ -101,7 +101,7 @@
             let output = context.output.predict(output_tokens, slowness);
             TargetForecast {
                 allowed: target.is_accepting()
-                    && fit
+                    && is_usable
                     && target.may_send(context.position, context.now)
                     && !request.tried.contains(&target.record.name),
                 first,
@@ -124,10 +124,11 @@
             || !context.engine
     };
     // The strictest rule that some allowed target meets is required of all.
-    let good =
+    let meets_all =
         |forecast: &TargetForecast| in_time(forecast) && ends_in_time(forecast) && !forecast.stalls;
-    let ending = |forecast: &TargetForecast| in_time(forecast) && ends_in_time(forecast);
-    let rules: [&dyn Fn(&TargetForecast) -> bool; 3] = [&good, &ending, &in_time];
+    let in_time_and_ending =
+        |forecast: &TargetForecast| in_time(forecast) && ends_in_time(forecast);
+    let rules: [&dyn Fn(&TargetForecast) -> bool; 3] = [&meets_all, &in_time_and_ending, &in_time];
     let rule = rules.into_iter().find(|rule| allowed().any(rule));
     let is_candidate =
         |forecast: &TargetForecast| forecast.allowed && rule.is_none_or(|rule| rule(forecast));
--- a/src/policy/decide.rs
+++ b/src/policy/decide.rs
@@ -159,8 +159,8 @@
         let home_wait = (HOME_WAIT_FRACTION * work.cost).min(MAX_HOME_WAIT_SECONDS);
         let awaits_home = now < work.since + Duration::from_secs_f64(home_wait);
         let slack = item.deadline.saturating_sub(work.since).as_secs_f64() - work.cost;
-        let home_only_seconds = HOME_SLACK_FRACTION * slack.max(0.0);
-        let aged = now >= work.since + Duration::from_secs_f64(home_only_seconds);
+        let home_priority_seconds = HOME_SLACK_FRACTION * slack.max(0.0);
+        let aged = now >= work.since + Duration::from_secs_f64(home_priority_seconds);
         let prefers_home = item.tier > 0 && band != WorkBand::Brief;
         let homes = if awaits_home {
             homes.min(HOMES_PER_PREFIX)
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -251,7 +251,7 @@
             let Some(view) = self.targets.get(&name) else {
                 continue;
             };
-            let mut demand = self.ledger.lend(&name, view.running, wanted);
+            let mut demand = self.ledger.lend_free_slots(&name, view.running, wanted);
             (demand.pace_us, demand.best_us) = view.pace.gossiped();
             targets.push(demand);
         }
--- a/src/policy/slot_ledger.rs
+++ b/src/policy/slot_ledger.rs
@@ -156,13 +156,13 @@
             return false;
         }
         let replaced = !same && peer_incarnation.incarnation != 0;
-        let moved = !same || peer_incarnation.generation != digest.generation;
+        let generation_changed = !same || peer_incarnation.generation != digest.generation;
         peer_incarnation.incarnation = digest.incarnation;
         peer_incarnation.generation = digest.generation;
         peer_incarnation.sequence = digest.sequence;
         if replaced {
             self.begin_generation();
-        } else if moved {
+        } else if generation_changed {
             self.begin_epochs();
         }
         let own = self.hosts.iter().position(|host| *host == self.host);
@@ -194,7 +194,12 @@
 
     /// Lends free slots to peers that need them more, and returns the target's entry for the
     /// digest.
-    pub(super) fn lend(&mut self, target: &TargetName, running: u32, wanted: u32) -> TargetDemand {
+    pub(super) fn lend_free_slots(
+        &mut self,
+        target: &TargetName,
+        running: u32,
+        wanted: u32,
+    ) -> TargetDemand {
         self.changed = false;
         let hosts = &self.hosts;
         let Some(account) = self.accounts.get_mut(target) else {
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -300,7 +300,7 @@
     let now = Duration::from_secs(100);
     let mut shares = SlotShares::default();
     for (host, slots) in [("e1", 50), ("e2", 30), ("e3", 20)] {
-        shares.take(host, vec![demand(2, slots)], now);
+        shares.update(host, vec![demand(2, slots)], now);
     }
 
     assert_eq!(shares_of(&shares, 80), [Some(42), Some(25), Some(17)]);
@@ -321,9 +321,9 @@
         priority: None,
         slots: 40,
     };
-    shares.take("e1", vec![demand(0, 30), demand(2, 10)], now);
-    shares.take("e2", vec![demand(2, 60)], now);
-    shares.take("e3", vec![late], now);
+    shares.update("e1", vec![demand(0, 30), demand(2, 10)], now);
+    shares.update("e2", vec![demand(2, 60)], now);
+    shares.update("e3", vec![late], now);
 
     assert_eq!(shares_of(&shares, 80), [Some(38), Some(46), Some(0)]);
 }
@@ -334,7 +334,7 @@
     let now = Duration::from_secs(100);
     let mut shares = SlotShares::default();
     for host in ["e1", "e2", "e3"] {
-        shares.take(host, vec![demand(0, 0), demand(2, 40)], now);
+        shares.update(host, vec![demand(0, 0), demand(2, 40)], now);
     }
 
     assert_eq!(shares_of(&shares, 80), [Some(28); 3]);
