--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,20 +1,20 @@
-//! Decisions under load: which target runs a request, what waits and in which order.
+//! Dispatch under load: which target runs a request, which requests wait, and in which order.
 //!
-//! [`PoolTable`] is pure: it is told what happened and when, and has neither
-//! clock nor network. [`DispatchQueue`] shares one among the requests of a host.
+//! [`PoolTable`] is deterministic: events and their times are passed in, and it uses neither a
+//! clock nor the network. [`DispatchQueue`] shares one table among the requests of a host.
 
 mod cold_start;
 mod dispatch_queue;
-mod first_estimate;
+mod gap_tracker;
 mod limit_table;
 mod output_estimate;
-mod pace_track;
 mod peer_loads;
 mod placement_request;
 mod pool_entry;
 mod pool_feedback;
 mod pool_table;
-mod rate_track;
+mod prefill_estimate;
+mod rate_meter;
 mod request_limit;
 mod request_queue;
 mod shard_range;
--- a/src/policy/decide.rs
+++ b/src/policy/decide.rs
@@ -1,9 +1,8 @@
-//! Which waiting work takes which free slot.
+//! Assignment of free slots to waiting work.
 //!
-//! Load: engines of unlike pace, one that slows down, and long prompts that
-//! hold up the short ones batched with them. Placement by free slots alone
-//! gives a digest to the fastest engine's last slot and a check to an engine
-//! that reads a long prompt.
+//! Engines differ in speed, may slow down, and a long prompt delays the short ones batched with
+//! it. Placement by free slots alone would give long work the fastest engine's last slot, and
+//! put urgent short work on an engine that prefills a long prompt.
 
 use std::time::Duration;
 
@@ -17,7 +16,7 @@
 use super::DispatchPolicy;
 use super::PolicyAction;
 use super::WorkItem;
-use super::admission::HOMES;
+use super::admission::HOMES_PER_PREFIX;
 use super::dispatch_policy::RunningWork;
 use super::fair_queue::WaitingWork;
 use super::pool_state::PoolState;
@@ -28,30 +27,30 @@
 const BRIEF_SECONDS: f64 = 2.5;
 /// Work expected to end within this many seconds is short.
 const SHORT_SECONDS: f64 = 15.0;
-/// Work does not take a target that needs so many times the best one's time;
-/// the lots differ by less than 4.
-const STRETCH: f64 = 4.0;
-/// Work waits for its homes for this part of its expected time.
-const PATIENCE_PART: f64 = 0.05;
-/// Work waits for its homes no longer than this, in seconds.
-const PATIENCE_MOST: f64 = 3.0;
-/// Lower work must be in time even when its answer is so many times longer than
-/// expected: what is cut off at its deadline has taken a slot for nothing.
+/// Work does not take a target that needs more than this multiple of the best one's time.
+/// Hardware generations differ by less than 4.
+const MAX_SLOWDOWN: f64 = 4.0;
+/// Work waits for its home targets for this fraction of its expected time.
+const HOME_WAIT_FRACTION: f64 = 0.05;
+/// The longest time that work waits for its home targets.
+const MAX_HOME_WAIT_SECONDS: f64 = 3.0;
+/// Work below the top tier must meet its deadline even if it takes this many times longer than
+/// expected: work that is cancelled at its deadline has wasted a slot.
 const LENGTH_MARGIN: f64 = 1.25;
-/// Work that is not at home on a free target lets work that is go first for this
-/// part of the time that it can wait. Until then no slot stands free for it: a
-/// target that is nobody's home takes any work.
-const HOME_SLACK_PART: f64 = 0.5;
-/// A slow target that runs nothing of this host is tried again after this.
-const PROBE_GAP: Duration = Duration::from_secs(2);
-/// Long work tries a slow target when nothing was learned of it for this long.
-const LONG_PROBE_AGE: Duration = Duration::from_secs(10);
-/// With more free targets than this, two are drawn and the better one is taken:
-/// hosts that decide at once by the same figures must not all take one target.
-const MANY_TARGETS: usize = 16;
+/// For this fraction of the time that it can wait, work without a free slot at its home targets
+/// yields to work that has one. No slot is left idle: a target that is not a home of any waiting
+/// work takes any work.
+const HOME_SLACK_FRACTION: f64 = 0.5;
+/// The interval between probes of a slow target that runs no work of this host.
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
+/// Long work probes a slow target that gave no sample for this long.
+const LONG_PROBE_INTERVAL: Duration = Duration::from_secs(10);
+/// With more free targets than this, two are drawn at random and the better one is taken:
+/// hosts that decide at the same time from the same data must not all take one target.
+const MAX_COMPARED_TARGETS: usize = 16;
 
 impl DispatchPolicy {
-    /// Dispatches what has a slot.
+    /// Dispatches waiting work as far as there are slots.
     pub(super) fn decide(&mut self, now: Duration) -> Vec<PolicyAction> {
         let mut actions = Vec::new();
         if self.queue.works().is_empty() {
@@ -59,7 +58,7 @@
         }
         self.count_pools();
         for tier in self.queue.tiers() {
-            while self.may_place(tier) {
+            while self.has_free_slot(tier) {
                 let Some(action) = self.dispatch_one(now, tier) else {
                     break;
                 };
@@ -69,24 +68,24 @@
         actions
     }
 
-    /// Tells whether any work of a tier could get a slot; a full fleet is not
-    /// searched for each of the waiting requests.
-    fn may_place(&self, tier: TierRank) -> bool {
+    /// Tells whether any work of a tier could get a slot. This avoids searching a full fleet
+    /// for each waiting request.
+    fn has_free_slot(&self, tier: TierRank) -> bool {
         let mut pools = [&self.engines, &self.services].into_iter();
-        pools.any(|pool| pool.free > pool.keep_free(tier, WorkBand::Brief))
+        pools.any(|pool| pool.free > pool.reserved_slots(tier, WorkBand::Brief))
     }
 
-    /// Refuses waiting work that no target can finish in time any more.
-    pub(super) fn give_up_hopeless(&mut self, now: Duration) -> Vec<PolicyAction> {
-        let hopeless: Vec<u64> = self
+    /// Refuses waiting work that can no longer meet its deadline at any target.
+    pub(super) fn refuse_unattainable(&mut self, now: Duration) -> Vec<PolicyAction> {
+        let unattainable: Vec<u64> = self
             .queue
             .works()
             .iter()
-            .filter(|work| !self.in_time(now, 0.0, &work.item))
+            .filter(|work| !self.meets_deadline(now, 0.0, &work.item))
             .map(|work| work.item.work)
             .collect();
         let mut actions = Vec::new();
-        for work in hopeless {
+        for work in unattainable {
             if let Some(work) = self.queue.remove(work) {
                 let kind = if now >= work.item.deadline {
                     ErrorKind::DeadlinePassed
@@ -94,7 +93,7 @@
                     ErrorKind::Overloaded
                 };
                 let pool = self.pool_mut(work.kind);
-                pool.shed.refused(now, work.item.tier);
+                pool.shed.record_refusal(now, work.item.tier);
                 actions.push(self.refuse(&work.item, kind));
             }
         }
@@ -104,16 +103,16 @@
     fn dispatch_one(&mut self, now: Duration, tier: TierRank) -> Option<PolicyAction> {
         let order = self.queue.order(now, tier);
         let works = self.queue.works();
-        // Work that fits a free home goes before work that would take any
-        // target: with a long queue there is nearly always some.
+        // Work with a free slot at a home target goes before work that would take any target;
+        // in a long queue there is nearly always some.
         let fits = |homes: usize| {
             order.iter().find_map(|index| {
-                let target = self.place(now, &works[*index], homes)?;
+                let target = self.find_target(now, &works[*index], homes)?;
                 Some((*index, target))
             })
         };
-        let rings = [1, HOMES, usize::MAX];
-        let (index, target) = rings.into_iter().find_map(fits)?;
+        let home_counts = [1, HOMES_PER_PREFIX, usize::MAX];
+        let (index, target) = home_counts.into_iter().find_map(fits)?;
         let work = self.queue.works()[index].item.work;
         let work = self.queue.remove(work)?;
         Some(self.dispatch(now, work, target))
@@ -121,11 +120,11 @@
 
     fn dispatch(&mut self, now: Duration, work: WaitingWork, target: TargetName) -> PolicyAction {
         self.queue.charge(&work.item, work.cost);
-        let cached = self.note_prefix(&work.item, &target);
+        let cached = self.record_prefix(&work.item, &target);
         if let Some(view) = self.targets.get_mut(&target) {
-            view.send(now, &work.item);
+            view.record_dispatch(now, &work.item);
             if view.pace.is_slow() {
-                view.probed = Some(now);
+                view.probed_at = Some(now);
             }
         }
         let id = work.item.work;
@@ -133,9 +132,9 @@
             item: work.item,
             target: target.clone(),
             cost: work.cost,
-            sent: now,
+            sent_at: now,
             cached,
-            seen: now,
+            progressed_at: now,
             tokens: 0,
         };
         self.running.insert(id, running);
@@ -145,59 +144,64 @@
 
     /// Returns the target that the work should take now, if any.
     ///
-    /// Only so many of the work's closest `homes` count, unless it has waited
-    /// too long.
-    fn place(&self, now: Duration, work: &WaitingWork, homes: usize) -> Option<TargetName> {
+    /// Only the work's first `homes` home targets count, unless it has waited too long.
+    fn find_target(&self, now: Duration, work: &WaitingWork, homes: usize) -> Option<TargetName> {
         let item = &work.item;
         let band = band(work.cost);
         let pool = self.pool(work.kind);
-        if pool.free <= pool.keep_free(item.tier, band) {
+        if pool.free <= pool.reserved_slots(item.tier, band) {
             return None;
         }
         let mut free = self.free_targets(now, work, band);
         if free.is_empty() {
             return None;
         }
-        let patience = (PATIENCE_PART * work.cost).min(PATIENCE_MOST);
-        let patient = now < work.since + Duration::from_secs_f64(patience);
+        let home_wait = (HOME_WAIT_FRACTION * work.cost).min(MAX_HOME_WAIT_SECONDS);
+        let awaits_home = now < work.since + Duration::from_secs_f64(home_wait);
         let slack = item.deadline.saturating_sub(work.since).as_secs_f64() - work.cost;
-        let insists = HOME_SLACK_PART * slack.max(0.0);
-        let aged = now >= work.since + Duration::from_secs_f64(insists);
-        let homely = item.tier > 0 && band != WorkBand::Brief;
-        let homes = if patient { homes.min(HOMES) } else { homes };
-        if homely && !aged && homes <= HOMES {
+        let home_priority_seconds = HOME_SLACK_FRACTION * slack.max(0.0);
+        let aged = now >= work.since + Duration::from_secs_f64(home_priority_seconds);
+        let prefers_home = item.tier > 0 && band != WorkBand::Brief;
+        let homes = if awaits_home {
+            homes.min(HOMES_PER_PREFIX)
+        } else {
+            homes
+        };
+        if prefers_home && !aged && homes <= HOMES_PER_PREFIX {
             let closest = &work.homes[..homes.min(work.homes.len())];
             free.retain(|view| closest.contains(&view.facts.name));
         }
-        if free.len() > MANY_TARGETS {
+        if free.len() > MAX_COMPARED_TARGETS {
             free = draw_two(item, &free);
         }
         let best = free.into_iter().min_by(|a, b| {
             let express = b.express.cmp(&a.express);
-            let home = home_place(work, band, a).cmp(&home_place(work, band, b));
-            let seconds = a.whole(now, item).total_cmp(&b.whole(now, item));
+            let home = home_position(work, band, a).cmp(&home_position(work, band, b));
+            let seconds = a
+                .total_seconds(now, item)
+                .total_cmp(&b.total_seconds(now, item));
             express.then(home).then(seconds)
         })?;
         Some(best.facts.name.clone())
     }
 
-    /// Returns the targets with a free slot where the work would be in time.
+    /// Returns the targets with a free slot where the work would meet its deadline.
     fn free_targets(&self, now: Duration, work: &WaitingWork, band: WorkBand) -> Vec<&TargetView> {
         let item = &work.item;
         let left = item.deadline.saturating_sub(now).as_secs_f64();
         let live = self.live_targets(item);
         let is_usual = |view: &&TargetView| {
             let avoided = work.avoid.as_ref() == Some(&view.facts.name);
-            let kept = view.express && band != WorkBand::Brief;
-            !avoided && !kept && !view.pace.is_slow()
+            let reserved = view.express && band != WorkBand::Brief;
+            !avoided && !reserved && !view.pace.is_slow()
         };
-        // Guards against waiting beside an idle target until the deadline: where
-        // a slow, kept or avoided target is all that is left, it is taken. What
-        // is hopeless was refused before, by the pace that the target may regain.
+        // If only slow, reserved or avoided targets are left, one is taken, so that work does
+        // not wait beside an idle target until its deadline. Work that can't meet its deadline
+        // even at the speed that the target may regain has been refused before.
         if !live.iter().any(is_usual) {
             return live.into_iter().filter(|view| view.free() > 0).collect();
         }
-        let best = self.best_whole(item).unwrap_or(f64::INFINITY);
+        let best = self.best_service_seconds(item).unwrap_or(f64::INFINITY);
         live.into_iter()
             .filter(|view| view.free() > 0)
             .filter(|view| work.avoid.as_ref() != Some(&view.facts.name))
@@ -206,13 +210,13 @@
                 if view.pace.is_slow() {
                     return item.tier > 0 && may_probe(now, view, band);
                 }
-                let whole = view.whole(now, item);
-                whole * length_margin(item) <= left && whole <= STRETCH * best
+                let total_seconds = view.total_seconds(now, item);
+                total_seconds * length_margin(item) <= left && total_seconds <= MAX_SLOWDOWN * best
             })
             .collect()
     }
 
-    /// Returns the allowed targets that take new work.
+    /// Returns the allowed targets that accept new work.
     fn live_targets(&self, item: &WorkItem) -> Vec<&TargetView> {
         item.allowed
             .iter()
@@ -221,15 +225,15 @@
             .collect()
     }
 
-    /// Returns the least expected seconds over the allowed targets, full or not.
-    pub(super) fn best_whole(&self, item: &WorkItem) -> Option<f64> {
+    /// Returns the least expected service time over the allowed targets, free or not.
+    pub(super) fn best_service_seconds(&self, item: &WorkItem) -> Option<f64> {
         self.live_targets(item)
             .into_iter()
-            .map(|view| view.alone(item))
+            .map(|view| view.service_seconds(item))
             .min_by(f64::total_cmp)
     }
 
-    /// Returns the pool of a kind of targets.
+    /// Returns the state of a kind of targets.
     pub(super) const fn pool(&self, kind: TargetKind) -> &PoolState {
         match kind {
             TargetKind::Engine => &self.engines,
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Returns the pool of a kind of targets, for change.
+    /// Returns the mutable state of a kind of targets.
     pub(super) const fn pool_mut(&mut self, kind: TargetKind) -> &mut PoolState {
         match kind {
             TargetKind::Engine => &mut self.engines,
@@ -245,7 +249,7 @@
         }
     }
 
-    /// Returns the kind of the targets that an item may go to.
+    /// Returns the kind of the targets allowed for an item.
     pub(super) fn kind_of(&self, item: &WorkItem) -> TargetKind {
         let allowed = item.allowed.iter();
         let mut views = allowed.filter_map(|name| self.targets.get(name));
@@ -257,12 +261,12 @@
     }
 }
 
-/// Returns the factor on the expected time of work that must still be in time.
+/// Returns the factor on the expected time with which work must still meet its deadline.
 pub(super) const fn length_margin(item: &WorkItem) -> f64 {
     if item.tier == 0 { 1.0 } else { LENGTH_MARGIN }
 }
 
-/// Returns how long work is, by its expected seconds.
+/// Classifies the length of work by its expected seconds.
 pub(super) fn band(seconds: f64) -> WorkBand {
     if seconds <= BRIEF_SECONDS {
         WorkBand::Brief
@@ -273,9 +277,9 @@
     }
 }
 
-/// Returns how far from home a target is for long work; other work goes where
-/// it ends soonest.
-fn home_place(work: &WaitingWork, band: WorkBand, view: &TargetView) -> usize {
+/// Returns a target's position among the work's home targets. Top-tier and brief work has no
+/// preference and takes the target where it ends soonest.
+fn home_position(work: &WaitingWork, band: WorkBand, view: &TargetView) -> usize {
     if work.item.tier == 0 || band == WorkBand::Brief {
         return 0;
     }
@@ -285,17 +289,17 @@
         .unwrap_or(work.homes.len())
 }
 
-/// A slow target gets one piece of lower work now and then, so that its
-/// recovery is seen; work that runs there shows it without a probe.
+/// Tells whether a slow target may be probed with work below the top tier to detect its
+/// recovery. No probe is needed while work runs there.
 ///
-/// Long work is a probe only when nothing shorter has come for a while.
+/// Long work serves as a probe only if no shorter work has for a while.
 fn may_probe(now: Duration, view: &TargetView, band: WorkBand) -> bool {
-    let rested = view.probed.is_none_or(|at| now >= at + PROBE_GAP);
-    let suits = band != WorkBand::Long || view.pace.is_stale(now, LONG_PROBE_AGE);
-    view.running == 0 && rested && suits
+    let interval_over = view.probed_at.is_none_or(|at| now >= at + PROBE_INTERVAL);
+    let suitable = band != WorkBand::Long || view.pace.is_stale(now, LONG_PROBE_INTERVAL);
+    view.running == 0 && interval_over && suitable
 }
 
-/// Draws two of many targets by a hash of the work's id.
+/// Draws two of many targets pseudo-randomly, by a hash of the work's id.
 fn draw_two<'a>(item: &WorkItem, free: &[&'a TargetView]) -> Vec<&'a TargetView> {
     let hash = xxh3_64(&item.work.to_le_bytes()) as usize;
     let first = hash % free.len();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,14 +1,14 @@
-//! The decisions under load: what is let in, what waits, what is turned away, and where work goes.
+//! Decisions under load: which work is admitted, queued or refused, and which target runs it.
 //!
-//! Everything here is pure: no network, no clock, no random numbers. The daemon
-//! and `replay` run the very same code and pass in the time, as a [`Duration`]
-//! since the process (or the replay) began. docs/POLICY.md has the figures.
+//! The module is deterministic: it uses no network, clock or random numbers. The daemon and
+//! `replay` run the same code and pass in the time as a [`Duration`] since the process (or the
+//! replay) began. docs/POLICY.md has the figures.
 //!
 //! [`Duration`]: std::time::Duration
 //!
-//! Units: times are durations, lengths are tokens, a weight has none. Nothing here
-//! fails: work that can't be served gets [`PolicyAction::Refuse`] with an
-//! [`ErrorKind`](crate::errors::ErrorKind) and the time to come back.
+//! Units: times are durations, lengths are tokens, weights have none. No call fails: work that
+//! can't be served gets [`PolicyAction::Refuse`] with an
+//! [`ErrorKind`](crate::errors::ErrorKind) and the time after which to retry.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -64,7 +64,7 @@
 mod host_digest;
 mod observe;
 mod pace_estimate;
-mod peer_room;
+mod peer_capacity;
 mod policy_action;
 mod policy_settings;
 mod pool_state;
@@ -77,7 +77,7 @@
 mod target_facts;
 mod target_view;
 mod tier_load;
-mod waste_count;
+mod wasted_tokens;
 mod work_item;
 
 pub use dispatch_policy::DispatchPolicy;
@@ -91,6 +91,6 @@
 pub(crate) use share::base_share;
 pub use target_facts::LoadReport;
 pub use target_facts::TargetFacts;
-pub use waste_count::WasteCount;
+pub use wasted_tokens::WastedTokens;
 pub use work_item::WorkId;
 pub use work_item::WorkItem;
--- a/src/policy/slot_ledger.rs
+++ b/src/policy/slot_ledger.rs
@@ -1,22 +1,20 @@
-//! Which part of each target's slots this host may fill, and what it lends to peers.
+//! Accounting of the slots of each target that this host may fill and that it lends to peers.
 //!
-//! Load: callers spread unevenly over the hosts, so one host has a queue while
-//! another leaves its slots free. Without shares hosts overfill a target that
-//! looks idle to all of them; with fixed shares free slots stand unused.
+//! Callers are spread unevenly over the hosts, so one host may have a queue while another has
+//! free slots. Without shares, hosts would overfill a target that looks idle to all of them;
+//! with fixed shares, free slots would remain unused.
 //!
-//! Slots move like money: a host that does not need a slot gives it to a peer
-//! and counts it as gone at once; the peer counts it when a digest tells it. A
-//! digest that is lost, late or cut off by a partition can only leave a slot
-//! unused for a while. So the shares never add up to more than the target's
-//! slots, without clocks or agreement, and each side of a partition keeps what
-//! it holds.
+//! Slots are transferred like credits: a host that does not need a slot lends it to a peer and
+//! deducts it at once; the peer adds it when it receives the digest. A digest that is lost,
+//! late or blocked by a partition can only leave a slot unused for a while. So the shares never
+//! add up to more than the target's slots, without clocks or consensus, and each side of a
+//! partition keeps the slots that it holds.
 //!
-//! Counts restart (a new *epoch*) whenever the hosts, a target's slots or a
-//! host's life change. The epoch is a hash of all of these, so hosts with the
-//! same epoch agree on what the counts began from. Until all hosts of the list
-//! have shown the new epoch, a host holds the less of what it held before and
-//! its new base share. A host that has just started holds only the part of its
-//! base share that a host never lends, because its former life may have lent
+//! The counts restart with a new *epoch* whenever the hosts, a target's slots or a host's
+//! incarnation change. The epoch is a hash of all of these, so hosts with the same epoch agree
+//! on the initial counts. Until all listed hosts have announced the new epoch, a host holds the
+//! smaller of its former holding and its new base share. A host that has just started holds only
+//! the part of its base share that is never lent, because its former incarnation may have lent
 //! the rest.
 
 use xxhash_rust::xxh3::Xxh3;
@@ -31,51 +29,51 @@
 use super::TargetDemand;
 use super::share::base_share;
 
-/// Which part of each target's slots this host may fill.
+/// The account of each target's slots that this host may fill.
 #[derive(Debug)]
 pub(super) struct SlotLedger {
     host: HostName,
     incarnation: IncarnationId,
     generation: u32,
     hosts: Vec<HostName>,
-    lives: SortedMap<HostName, PeerLife>,
+    incarnations: SortedMap<HostName, PeerIncarnation>,
     accounts: SortedMap<TargetName, SlotAccount>,
     changed: bool,
 }
 
 #[derive(Debug, Default)]
-struct PeerLife {
+struct PeerIncarnation {
     incarnation: IncarnationId,
     generation: u32,
     sequence: u64,
 }
 
-/// One target's slots, as this host counts them.
+/// One target's slots, as accounted by this host.
 #[derive(Debug)]
 struct SlotAccount {
     slots: u32,
-    /// 0 while some peer's life is unknown.
+    /// 0 while some peer's incarnation is unknown.
     epoch: u64,
     base: u32,
-    /// What may be held until all peers show the epoch.
-    cautious: u32,
+    /// The slots that may be held until all peers have announced the epoch.
+    provisional: u32,
     settled: bool,
-    /// Whether this host may still run more than its base share, from slots of
-    /// an earlier epoch. If it settled or showed its epoch then, the others
-    /// would fill their base shares beside it and overfill the target.
-    overfull: bool,
+    /// Whether this host may still run more than its base share, from slots of an earlier epoch.
+    /// If it settled or announced its epoch meanwhile, the others would fill their base shares
+    /// as well and overfill the target.
+    may_exceed_base: bool,
     lent: SortedMap<HostName, u32>,
-    peers: SortedMap<HostName, PeerPart>,
+    peers: SortedMap<HostName, PeerSlots>,
 }
 
-/// A peer's part in a target, by its last digest.
+/// A peer's slots at a target, by its last digest.
 #[derive(Debug, Default)]
-struct PeerPart {
+struct PeerSlots {
     epoch: u64,
     held: u32,
     wanted: u32,
     received: u32,
-    /// What was given to the peer when the digest came.
+    /// The slots that had been lent to the peer when the digest arrived.
     lent_before: u32,
 }
 
@@ -86,13 +84,13 @@
             host,
             incarnation,
             generation: 0,
-            lives: SortedMap::new(),
+            incarnations: SortedMap::new(),
             accounts: SortedMap::new(),
             changed: true,
         }
     }
 
-    /// Takes up the targets and their slots.
+    /// Replaces the targets and their slots.
     pub(super) fn set_targets(&mut self, targets: &[(TargetName, u32)]) {
         let same = targets.len() == self.accounts.len()
             && targets.iter().all(|(name, slots)| {
@@ -105,7 +103,7 @@
         let mut accounts = SortedMap::new();
         for (name, slots) in targets {
             let known = self.accounts.remove(name);
-            let mut account = known.unwrap_or_else(|| self.fresh_account(name, *slots));
+            let mut account = known.unwrap_or_else(|| self.new_account(name, *slots));
             account.slots = *slots;
             accounts.insert(name.clone(), account);
         }
@@ -113,7 +111,7 @@
         self.begin_generation();
     }
 
-    /// Takes up the cell's hosts.
+    /// Replaces the hosts of the cell.
     pub(super) fn set_hosts(&mut self, hosts: Vec<HostName>) {
         if hosts == self.hosts {
             return;
@@ -123,7 +121,7 @@
         if first {
             for (name, account) in self.accounts.iter_mut() {
                 let base = base_share(name, account.slots, &self.hosts, &self.host);
-                account.cautious = base - lendable(base);
+                account.provisional = base - lendable(base);
                 account.settled = false;
             }
         }
@@ -135,46 +133,46 @@
         self.accounts.get(target).map_or(0, SlotAccount::held)
     }
 
-    /// Tells whether the peers should hear of a change before the next second.
-    pub(super) const fn changed(&self) -> bool {
+    /// Tells whether the peers should learn of a change before the next regular digest.
+    pub(super) const fn has_changed(&self) -> bool {
         self.changed
     }
 
-    /// Returns how often the hosts or slots changed in this life.
+    /// Returns how often the hosts or slots changed in this incarnation.
     pub(super) const fn generation(&self) -> u32 {
         self.generation
     }
 
-    /// Takes a peer's digest; returns false for one that is older than the last.
-    pub(super) fn take(&mut self, from: &HostName, digest: &HostDigest) -> bool {
+    /// Applies a peer's digest; returns false if it is not newer than the last one.
+    pub(super) fn apply_digest(&mut self, from: &HostName, digest: &HostDigest) -> bool {
         if !self.hosts.contains(from) || *from == self.host {
             return false;
         }
-        let life = self
-            .lives
-            .get_or_insert_with(from.clone(), PeerLife::default);
-        let same = life.incarnation == digest.incarnation;
-        if same && digest.sequence <= life.sequence {
+        let peer_incarnation = self
+            .incarnations
+            .get_or_insert_with(from.clone(), PeerIncarnation::default);
+        let same = peer_incarnation.incarnation == digest.incarnation;
+        if same && digest.sequence <= peer_incarnation.sequence {
             return false;
         }
-        let replaced = !same && life.incarnation != 0;
-        let moved = !same || life.generation != digest.generation;
-        life.incarnation = digest.incarnation;
-        life.generation = digest.generation;
-        life.sequence = digest.sequence;
+        let replaced = !same && peer_incarnation.incarnation != 0;
+        let generation_changed = !same || peer_incarnation.generation != digest.generation;
+        peer_incarnation.incarnation = digest.incarnation;
+        peer_incarnation.generation = digest.generation;
+        peer_incarnation.sequence = digest.sequence;
         if replaced {
             self.begin_generation();
-        } else if moved {
+        } else if generation_changed {
             self.begin_epochs();
         }
         let own = self.hosts.iter().position(|host| *host == self.host);
         for demand in &digest.targets {
-            self.take_demand(from, own, demand);
+            self.apply_demand(from, own, demand);
         }
         true
     }
 
-    fn take_demand(&mut self, from: &HostName, own: Option<usize>, demand: &TargetDemand) {
+    fn apply_demand(&mut self, from: &HostName, own: Option<usize>, demand: &TargetDemand) {
         let Some(account) = self.accounts.get_mut(&demand.target) else {
             return;
         };
@@ -183,20 +181,20 @@
             .iter()
             .find(|lent| Some(usize::from(lent.host_index)) == own)
             .map_or(0, |lent| lent.slots);
-        let part = PeerPart {
+        let peer = PeerSlots {
             epoch: demand.epoch,
             held: demand.held,
             wanted: demand.wanted,
             received: lent,
             lent_before: account.lent.get(from).copied().unwrap_or(0),
         };
-        account.peers.insert(from.clone(), part);
+        account.peers.insert(from.clone(), peer);
         account.try_settle(&self.hosts, &self.host);
     }
 
-    /// Gives free slots to peers that want them more, and returns the entry
-    /// of the target for the digest.
-    pub(super) fn settle(
+    /// Lends free slots to peers that need them more, and returns the target's entry for the
+    /// digest.
+    pub(super) fn lend_free_slots(
         &mut self,
         target: &TargetName,
         running: u32,
@@ -207,7 +205,7 @@
         let Some(account) = self.accounts.get_mut(target) else {
             return TargetDemand::default();
         };
-        account.overfull &= running > account.base;
+        account.may_exceed_base &= running > account.base;
         account.try_settle(hosts, &self.host);
         account.lend(running, wanted);
         let host_index = |host: &HostName| hosts.binary_search(host).ok();
@@ -220,7 +218,11 @@
         });
         TargetDemand {
             target: target.clone(),
-            epoch: if account.overfull { 0 } else { account.epoch },
+            epoch: if account.may_exceed_base {
+                0
+            } else {
+                account.epoch
+            },
             held: account.held(),
             wanted,
             running,
@@ -230,15 +232,15 @@
         }
     }
 
-    /// Begins epochs that were never in force before.
+    /// Starts epochs that were never in force before.
     ///
-    /// Coming back to an earlier list of hosts must not bring back its epoch:
-    /// peers may still count what was given then. The same goes for a peer's
-    /// life. Lives have no order, so a digest that comes late from a former one
-    /// looks like a restart; had that life once shown the epoch, this host would
-    /// fill its whole base share beside the slots that it lent since. A life that
-    /// ended before the new generation cannot have shown an epoch of that generation, so
-    /// this host waits until the life that runs now has heard of it.
+    /// Returning to an earlier list of hosts must not restore its epoch: peers may still count
+    /// slots that were lent then. The same applies to a peer's incarnation. Incarnations have no
+    /// order, so a late digest from a former one looks like a restart; if that incarnation had
+    /// once announced the epoch, this host would fill its whole base share in addition to the
+    /// slots that it has lent since. An incarnation that ended before the new generation can't
+    /// have announced an epoch of that generation, so this host waits until the current
+    /// incarnation has learned of it.
     fn begin_generation(&mut self) {
         self.generation += 1;
         self.begin_epochs();
@@ -246,27 +248,27 @@
 
     fn begin_epochs(&mut self) {
         self.changed = true;
-        let lives = self.life_hash();
+        let seed = self.incarnation_hash();
         for (name, account) in self.accounts.iter_mut() {
             let held = account.held();
             account.base = base_share(name, account.slots, &self.hosts, &self.host);
-            account.cautious = held.min(account.base);
+            account.provisional = held.min(account.base);
             account.settled = self.hosts.len() == 1;
-            account.overfull = true;
+            account.may_exceed_base = true;
             account.lent = SortedMap::new();
-            account.epoch = lives.map_or(0, |lives| epoch_hash(lives, name, account.slots));
+            account.epoch = seed.map_or(0, |seed| epoch_hash(seed, name, account.slots));
         }
     }
 
-    /// Returns a hash of all hosts and their lives, once all are known.
-    fn life_hash(&self) -> Option<u64> {
+    /// Returns a hash of all hosts and their incarnations, once all are known.
+    fn incarnation_hash(&self) -> Option<u64> {
         let mut hash = Xxh3::new();
         for host in &self.hosts {
             let (incarnation, generation) = if *host == self.host {
                 (self.incarnation, self.generation)
             } else {
-                let life = self.lives.get(host)?;
-                (life.incarnation, life.generation)
+                let peer_incarnation = self.incarnations.get(host)?;
+                (peer_incarnation.incarnation, peer_incarnation.generation)
             };
             hash.update(host.as_bytes());
             hash.update(&incarnation.to_le_bytes());
@@ -275,15 +277,15 @@
         Some(hash.digest())
     }
 
-    fn fresh_account(&self, name: &str, slots: u32) -> SlotAccount {
+    fn new_account(&self, name: &str, slots: u32) -> SlotAccount {
         let base = base_share(name, slots, &self.hosts, &self.host);
         SlotAccount {
             slots,
             epoch: 0,
             base,
-            cautious: base - lendable(base),
+            provisional: base - lendable(base),
             settled: self.hosts.len() == 1,
-            overfull: true,
+            may_exceed_base: true,
             lent: SortedMap::new(),
             peers: SortedMap::new(),
         }
@@ -293,23 +295,23 @@
 impl SlotAccount {
     fn held(&self) -> u32 {
         if !self.settled {
-            return self.cautious;
+            return self.provisional;
         }
-        let current = self.peers.values().filter(|part| part.epoch == self.epoch);
-        let received: u32 = current.map(|part| part.received).sum();
+        let current = self.peers.values().filter(|peer| peer.epoch == self.epoch);
+        let received: u32 = current.map(|peer| peer.received).sum();
         let lent: u32 = self.lent.values().sum();
         (self.base + received).saturating_sub(lent)
     }
 
-    /// Settles once every other host has shown the epoch.
+    /// Settles once every other host has announced the epoch.
     fn try_settle(&mut self, hosts: &[HostName], own: &HostName) {
-        if self.settled || self.overfull || self.epoch == 0 {
+        if self.settled || self.may_exceed_base || self.epoch == 0 {
             return;
         }
         let mut others = hosts.iter().filter(|host| *host != own);
         self.settled = others.all(|host| {
-            let part = self.peers.get(host);
-            part.is_some_and(|part| part.epoch == self.epoch)
+            let peer = self.peers.get(host);
+            peer.is_some_and(|peer| peer.epoch == self.epoch)
         });
     }
 
@@ -321,14 +323,14 @@
         let floor = self.base - lendable(self.base);
         let mut free = held.saturating_sub(running.max(floor).max(wanted));
         while free > 0 {
-            let neediest = self.peers.iter().max_by_key(|(host, part)| {
-                // The name breaks ties, so that a replay is the same each time.
-                (self.lack(host, part), std::cmp::Reverse((*host).clone()))
+            let neediest = self.peers.iter().max_by_key(|(host, peer)| {
+                // The name breaks ties, so that replays are deterministic.
+                (self.deficit(host, peer), std::cmp::Reverse((*host).clone()))
             });
-            let Some((host, part)) = neediest else {
+            let Some((host, peer)) = neediest else {
                 return;
             };
-            if self.lack(host, part) == 0 {
+            if self.deficit(host, peer) == 0 {
                 return;
             }
             let host = host.clone();
@@ -337,27 +339,27 @@
         }
     }
 
-    /// Returns how many slots the peer still lacks, as far as is known here.
-    fn lack(&self, host: &HostName, part: &PeerPart) -> u32 {
-        if part.epoch != self.epoch {
+    /// Returns how many slots the peer still needs, as far as this host knows.
+    fn deficit(&self, host: &HostName, peer: &PeerSlots) -> u32 {
+        if peer.epoch != self.epoch {
             return 0;
         }
         let lent = self.lent.get(host).copied().unwrap_or(0);
-        let on_the_way = lent.saturating_sub(part.lent_before);
-        part.wanted.saturating_sub(part.held + on_the_way)
+        let in_transit = lent.saturating_sub(peer.lent_before);
+        peer.wanted.saturating_sub(peer.held + in_transit)
     }
 }
 
-/// Returns the part of a base share that a host may lend: half, rounded down,
-/// so that even where shares are two slots each, a restarted host serves at once.
+/// Returns how many slots of a base share a host may lend: half, rounded down, so that a
+/// restarted host serves at once even if shares are only two slots each.
 const fn lendable(base: u32) -> u32 {
     base / 2
 }
 
-fn epoch_hash(lives: u64, target: &str, slots: u32) -> u64 {
-    let mut hash = Xxh3::with_seed(lives);
+fn epoch_hash(seed: u64, target: &str, slots: u32) -> u64 {
+    let mut hash = Xxh3::with_seed(seed);
     hash.update(target.as_bytes());
     hash.update(&slots.to_le_bytes());
-    // Zero stands for no epoch.
+    // Zero means no epoch.
     hash.digest().max(1)
 }
