--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -123,7 +123,7 @@
             log: log.clone(),
             metrics: metrics.clone(),
             admit_roster: admit_rosters(claims.clone()),
-            accepted: apply_views(
+            view_listener: apply_views(
                 settings.host.clone(),
                 work.clone(),
                 limiter.clone(),
