--- a/tests/process_edge.rs
+++ b/tests/process_edge.rs
@@ -47,14 +47,14 @@
 /// Waits until the host serves, and lets it end.
 fn assert_serves_and_ends(host: &mut SoakHost) {
     let begun = Instant::now();
-    while !host.has_metrics() && begun.elapsed() < START_LIMIT {
+    while !host.serves_metrics() && begun.elapsed() < START_LIMIT {
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(host.judge(), None);
-    assert!(host.has_metrics());
+    assert_eq!(host.check_process(), None);
+    assert!(host.serves_metrics());
     host.signal(Signal::TERM);
-    assert!(host.await_end(Duration::from_secs(7)));
-    assert_eq!(host.judge_output(), Vec::<String>::new());
+    assert!(host.wait_for_exit(Duration::from_secs(7)));
+    assert_eq!(host.check_output(), Vec::<String>::new());
 }
 
 /// A host that was killed comes back, and the operator's new settings are announced by
@@ -75,7 +75,7 @@
     std::thread::sleep(SIGNAL_TIME);
     std::fs::remove_file(&path).unwrap();
     host.write_settings(false);
-    pipe.write_all(host.plan.document().as_bytes()).unwrap();
+    pipe.write_all(host.settings.document().as_bytes()).unwrap();
     drop(pipe);
 
     assert_serves_and_ends(&mut host);
--- a/tests/soak/soak_fleet.rs
+++ b/tests/soak/soak_fleet.rs
@@ -99,7 +99,9 @@
     /// Returns where callers connect.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let hosts = self.hosts.iter();
-        hosts.map(|held| held.host.plan.caller_address()).collect()
+        hosts
+            .map(|held| held.host.settings.caller_address())
+            .collect()
     }
 
     /// Takes one step.
@@ -203,23 +205,23 @@
             }
         }
         let hosts = self.hosts.iter_mut();
-        hosts.filter_map(|held| held.host.judge()).collect()
+        hosts.filter_map(|held| held.host.check_process()).collect()
     }
 
     /// Ends all hosts as operators do; returns what is wrong with their ends and output.
     pub(crate) fn end(&mut self) -> Vec<String> {
         let mut faults = Vec::new();
         for held in &mut self.hosts {
-            if !held.host.has_metrics() {
-                faults.push(format!("{} has no metrics", held.host.plan.host));
+            if !held.host.serves_metrics() {
+                faults.push(format!("{} has no metrics", held.host.settings.host));
             }
             held.host.signal(Signal::TERM);
         }
         for held in &mut self.hosts {
-            if !held.host.await_end(Duration::from_secs(6) + END_LIMIT) {
-                faults.push(format!("{} outlived its grace", held.host.plan.host));
+            if !held.host.wait_for_exit(Duration::from_secs(6) + END_LIMIT) {
+                faults.push(format!("{} outlived its grace", held.host.settings.host));
             }
-            faults.extend(held.host.judge_output());
+            faults.extend(held.host.check_output());
         }
         faults
     }
@@ -235,10 +237,12 @@
             });
         }
         let hosts = self.hosts.iter();
-        let seeds: Vec<SocketAddr> = hosts.map(|held| held.host.plan.peer_address()).collect();
+        let seeds: Vec<SocketAddr> = hosts
+            .map(|held| held.host.settings.peer_address())
+            .collect();
         for held in &mut self.hosts {
             // As at the platform: some names, this host's own among them.
-            held.host.plan.seeds.clone_from(&seeds);
+            held.host.settings.seeds.clone_from(&seeds);
             held.host.start();
         }
     }
@@ -261,7 +265,7 @@
         if !overdue {
             self.disturb_host(index);
         }
-        let ended = self.hosts[index].host.await_end(END_LIMIT);
+        let ended = self.hosts[index].host.wait_for_exit(END_LIMIT);
         if !ended && overdue {
             let fault = format!("host {index} outlived its grace");
             self.ledger.note_fault(fault);
--- a/tests/soak/soak_host.rs
+++ b/tests/soak/soak_host.rs
@@ -39,7 +39,7 @@
 
 /// One host.
 pub(crate) struct SoakHost {
-    pub(crate) plan: SettingsSpec,
+    pub(crate) settings: SettingsSpec,
     /// What stands between the host and the store.
     pub(crate) store_link: LinkServer,
     directory: PathBuf,
@@ -57,14 +57,14 @@
     pub(crate) fn open(run: u8, number: usize, store: SocketAddr, directory: PathBuf) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let store_link = task::block_on(LinkServer::bind(any, store)).unwrap();
-        let plan = SettingsSpec {
+        let settings = SettingsSpec {
             host: format!("e{number}"),
             ip: host_ip(run, number),
             seeds: Vec::new(),
             store: store_link.address(),
         };
         Self {
-            plan,
+            settings,
             store_link,
             directory,
             child: None,
@@ -87,7 +87,7 @@
     /// Starts the process with the settings file as it stands.
     pub(crate) fn launch(&mut self) {
         let open = |end: &str| {
-            let path = self.directory.join(format!("{}.{end}", self.plan.host));
+            let path = self.directory.join(format!("{}.{end}", self.settings.host));
             File::options().append(true).create(true).open(path)
         };
         let child = Command::new(env!("CARGO_BIN_EXE_cardamomgw"))
@@ -107,7 +107,7 @@
 
     /// Writes the settings file, or half of it.
     pub(crate) fn write_settings(&self, torn: bool) {
-        let text = self.plan.document();
+        let text = self.settings.document();
         let length = if torn { text.len() / 2 } else { text.len() };
         std::fs::write(self.settings_path(), &text[..length]).unwrap();
     }
@@ -148,7 +148,7 @@
 
     /// Waits for the end that was asked for, and ends the process itself behind
     /// `limit`; returns whether it ended by itself.
-    pub(crate) fn await_end(&mut self, limit: Duration) -> bool {
+    pub(crate) fn wait_for_exit(&mut self, limit: Duration) -> bool {
         let Some(mut child) = self.child.take() else {
             return true;
         };
@@ -165,31 +165,31 @@
     }
 
     /// Returns what is wrong with a process that should run.
-    pub(crate) fn judge(&mut self) -> Option<String> {
+    pub(crate) fn check_process(&mut self) -> Option<String> {
         let child = self.child.as_mut()?;
         if !self.ending
             && let Some(status) = child.try_wait().unwrap()
         {
             self.ending = true;
-            return Some(format!("{} ended by itself: {status}", self.plan.host));
+            return Some(format!("{} ended by itself: {status}", self.settings.host));
         }
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmHWM"))?;
         let peak: u64 = line.split_whitespace().nth(1)?.parse().ok()?;
         let beyond = peak > MEMORY_BOUND_KB;
-        beyond.then(|| format!("{} took {peak} KB", self.plan.host))
+        beyond.then(|| format!("{} took {peak} KB", self.settings.host))
     }
 
     /// Returns what is wrong with what it wrote.
-    pub(crate) fn judge_output(&self) -> Vec<String> {
+    pub(crate) fn check_output(&self) -> Vec<String> {
         let read = |end: &str| {
-            let path = self.directory.join(format!("{}.{end}", self.plan.host));
+            let path = self.directory.join(format!("{}.{end}", self.settings.host));
             std::fs::read(path).unwrap_or_default()
         };
         let mut faults = Vec::new();
         let errors = String::from_utf8_lossy(&read("err")).into_owned();
         if !errors.is_empty() {
-            faults.push(format!("{} wrote on stderr: {errors}", self.plan.host));
+            faults.push(format!("{} wrote on stderr: {errors}", self.settings.host));
         }
         let log = read("log");
         let broken = log
@@ -199,14 +199,14 @@
             .count();
         // A kill may tear the last line of each life.
         if broken > log.len() / 2000 + 4 {
-            faults.push(format!("{}: {broken} broken log lines", self.plan.host));
+            faults.push(format!("{}: {broken} broken log lines", self.settings.host));
         }
         faults
     }
 
     /// Asks for the metrics; returns whether they came.
-    pub(crate) fn has_metrics(&self) -> bool {
-        let Ok(stream) = TcpStream::connect(self.plan.metrics_address()) else {
+    pub(crate) fn serves_metrics(&self) -> bool {
+        let Ok(stream) = TcpStream::connect(self.settings.metrics_address()) else {
             return false;
         };
         let mut link = RawLink::new(stream, Duration::from_secs(2));
@@ -218,7 +218,7 @@
 
     /// Returns where its settings file lies.
     pub(crate) fn settings_path(&self) -> PathBuf {
-        self.directory.join(format!("{}.json", self.plan.host))
+        self.directory.join(format!("{}.json", self.settings.host))
     }
 }
 
