--- a/benches/guard_cost/failures.rs
+++ b/benches/guard_cost/failures.rs
@@ -31,7 +31,7 @@
         (LinkMode::Silent, "minority side, peers silent: answer"),
     ] {
         let fleet = start_fleet(HOSTS, SLOTS).await;
-        fleet.link_to_peers(0, mode);
+        fleet.set_peer_links(0, mode);
         let mut times = TimeSpread::default();
         for _ in 0..MINORITY_CALLS {
             let began = Instant::now();
--- a/tests/process_config.rs
+++ b/tests/process_config.rs
@@ -32,7 +32,7 @@
 async fn a_host_cut_from_the_platform_follows_its_peers() {
     let mut fleet = service_fleet().await;
 
-    fleet.link_to_platform(0, LinkMode::Cut);
+    fleet.set_platform_link(0, LinkMode::Cut);
     fleet.edit(|document| document.limits.max_waiting = 77);
 
     for index in 0..fleet.hosts.len() {
--- a/tests/process_leaving.rs
+++ b/tests/process_leaving.rs
@@ -125,7 +125,7 @@
 #[async_std::test]
 async fn a_host_cut_from_the_platform_sends_nothing_to_a_leaving_target() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
-    fleet.link_to_platform(0, LinkMode::Cut);
+    fleet.set_platform_link(0, LinkMode::Cut);
     let run = endless_load(&fleet);
     wait_for("work on the engine", || {
         fleet.engine(0).executions().len() > 5
--- a/tests/process_resend.rs
+++ b/tests/process_resend.rs
@@ -214,7 +214,7 @@
     .await;
     let id = new_request_id();
 
-    fleet.link_to_peers(0, LinkMode::Cut);
+    fleet.set_peer_links(0, LinkMode::Cut);
     let alone = call(fleet.caller_address(0), &booking(&id)).await.unwrap();
     let other = new_request_id();
     let majority = call(fleet.caller_address(1), &booking(&other))
@@ -236,7 +236,7 @@
     .await;
     let id = new_request_id();
 
-    fleet.link_to_peers(0, LinkMode::Silent);
+    fleet.set_peer_links(0, LinkMode::Silent);
     let alone = call(fleet.caller_address(0), &booking(&id)).await.unwrap();
     let other = new_request_id();
     let majority = call(fleet.caller_address(1), &booking(&other))
@@ -258,7 +258,7 @@
     .await;
     let id = new_request_id();
 
-    fleet.link_to_targets(0, LinkMode::Cut);
+    fleet.set_target_links(0, LinkMode::Cut);
     let cut = call(fleet.caller_address(0), &booking(&id)).await.unwrap();
     let resent = call(fleet.caller_address(1), &booking(&id)).await.unwrap();
 
--- a/tests/support/test_fleet.rs
+++ b/tests/support/test_fleet.rs
@@ -238,7 +238,7 @@
     }
 
     /// Sets what happens between a host and all its peers, both ways.
-    pub(crate) fn link_to_peers(&self, index: usize, mode: LinkMode) {
+    pub(crate) fn set_peer_links(&self, index: usize, mode: LinkMode) {
         let name = self.hosts[index].name();
         for other in self.hosts.iter().filter(|host| host.name() != name) {
             self.links.set_rule(name, other.name(), mode);
@@ -250,7 +250,7 @@
     }
 
     /// Sets what happens between a host and all targets.
-    pub(crate) fn link_to_targets(&self, index: usize, mode: LinkMode) {
+    pub(crate) fn set_target_links(&self, index: usize, mode: LinkMode) {
         for target in &self.targets {
             let name = self.hosts[index].name();
             self.links.set_rule(name, &target.name, mode);
@@ -259,7 +259,7 @@
     }
 
     /// Sets what happens between a host and the platform.
-    pub(crate) fn link_to_platform(&self, index: usize, mode: LinkMode) {
+    pub(crate) fn set_platform_link(&self, index: usize, mode: LinkMode) {
         self.hosts[index].platform_link.set_mode(mode);
     }
 
