--- a/benches/cell_cost.rs
+++ b/benches/cell_cost.rs
@@ -161,7 +161,7 @@
     .await;
     fleet.edit(|document| add_accounts(document, accounts));
     for index in 0..hosts {
-        fleet.wait_in_force(index, 2).await;
+        fleet.wait_for_version(index, 2).await;
     }
     let before = processor_time(&fleet);
     task::sleep(SPAN).await;
--- a/tests/process_config.rs
+++ b/tests/process_config.rs
@@ -36,7 +36,7 @@
     fleet.edit(|document| document.limits.max_waiting = 77);
 
     for index in 0..fleet.hosts.len() {
-        fleet.wait_in_force(index, fleet.document.version).await;
+        fleet.wait_for_version(index, fleet.document.version).await;
     }
 }
 
@@ -47,7 +47,7 @@
     let stale = fleet.document.clone();
     fleet.edit(|document| document.limits.max_waiting = 77);
     for index in 0..fleet.hosts.len() {
-        fleet.wait_in_force(index, fleet.document.version).await;
+        fleet.wait_for_version(index, fleet.document.version).await;
     }
 
     fleet.platform.publish("fleet", &stale).unwrap();
@@ -55,7 +55,7 @@
     fleet.restart_host(0);
     fleet.hosts[0].process.wait_ready().await;
 
-    fleet.wait_in_force(0, fleet.document.version).await;
+    fleet.wait_for_version(0, fleet.document.version).await;
     task::sleep(OBSERVATION_TIME).await;
     for index in 0..fleet.hosts.len() {
         let version = fleet.version_in_force(index).await;
@@ -76,7 +76,7 @@
     fleet.restart_host(0);
 
     fleet.hosts[0].process.wait_ready().await;
-    fleet.wait_in_force(0, fleet.document.version).await;
+    fleet.wait_for_version(0, fleet.document.version).await;
 }
 
 /// The platform refuses every other call.
@@ -88,7 +88,7 @@
     fleet.edit(|document| document.limits.max_waiting = 77);
 
     for index in 0..fleet.hosts.len() {
-        fleet.wait_in_force(index, fleet.document.version).await;
+        fleet.wait_for_version(index, fleet.document.version).await;
     }
 }
 
@@ -126,7 +126,7 @@
     let mut fleet = service_fleet().await;
     fleet.edit(|document| document.limits.max_waiting = 77);
     for index in 0..fleet.hosts.len() {
-        fleet.wait_in_force(index, fleet.document.version).await;
+        fleet.wait_for_version(index, fleet.document.version).await;
     }
     let mut digests = Vec::new();
     for host in &fleet.hosts {
--- a/tests/process_leaving.rs
+++ b/tests/process_leaving.rs
@@ -221,7 +221,7 @@
         let mut old = fleet.hosts.remove(0);
         fleet.hosts.push(host);
         fleet.publish_roster();
-        fleet.wait_active().await;
+        fleet.wait_for_active_roster().await;
         fleet.wait_ready().await;
         old.process.terminate();
         assert!(old.process.wait_for_exit().await.success());
--- a/tests/process_operators.rs
+++ b/tests/process_operators.rs
@@ -110,7 +110,7 @@
     };
     let mut fleet = TestFleet::start(plan).await;
     fleet.edit(|document| document.limits.max_waiting = 1);
-    fleet.wait_in_force(0, 2).await;
+    fleet.wait_for_version(0, 2).await;
     let host = fleet.caller_address(0);
     let _running = spawn_call(host, &generate(&new_request_id(), "digest", 1000));
     wait_until("the first to run", || async {
--- a/tests/support/test_fleet.rs
+++ b/tests/support/test_fleet.rs
@@ -200,7 +200,7 @@
 
     /// Waits until every host calls the newest roster active, as operators do
     /// before they end a host that left it.
-    pub(crate) async fn wait_active(&self) {
+    pub(crate) async fn wait_for_active_roster(&self) {
         let number = Some(self.document.roster.number);
         for host in &self.hosts {
             let what = format!("roster {number:?} on {}", host.name());
@@ -270,7 +270,7 @@
     }
 
     /// Waits until a host has put at least this version in force.
-    pub(crate) async fn wait_in_force(&self, index: usize, version: u64) {
+    pub(crate) async fn wait_for_version(&self, index: usize, version: u64) {
         let what = format!("version {version} on {}", self.hosts[index].name());
         wait_until(&what, || async {
             self.version_in_force(index).await >= Some(version)
--- a/tests/wire_answers.rs
+++ b/tests/wire_answers.rs
@@ -54,7 +54,7 @@
         };
         document.classes.push(raw);
     });
-    fleet.wait_in_force(0, 2).await;
+    fleet.wait_for_version(0, 2).await;
     RawFleet { fleet, target }
 }
 
