--- a/benches/guard_cost/failures.rs
+++ b/benches/guard_cost/failures.rs
@@ -74,7 +74,7 @@
     let mut fleet = stuck_fleet().await;
     let id = new_request_id();
     drop(spawn_call(fleet.caller_address(0), &booking(&id)));
-    wait_for("the dispatch", || fleet.executions_of(&id) == 1).await;
+    wait_for("the dispatch", || fleet.execution_count(&id) == 1).await;
     let began = lose(&mut fleet, loss);
     let answer = call(fleet.caller_address(1), &booking(&id)).await.unwrap();
     let time = began.elapsed();
@@ -94,7 +94,7 @@
     }
     let id = sent
         .iter()
-        .find(|id| fleet.executions_of(id) == 0)
+        .find(|id| fleet.execution_count(id) == 0)
         .unwrap()
         .clone();
     fleet.service(0).set_faults(ServiceFaults::default());
@@ -113,7 +113,7 @@
         }
     }
     let time = began.elapsed();
-    assert_eq!(fleet.executions_of(&id), 1);
+    assert_eq!(fleet.execution_count(&id), 1);
     time
 }
 
--- a/tests/process_callers.rs
+++ b/tests/process_callers.rs
@@ -30,7 +30,7 @@
             check_answer(&answer, &id, &ExpectedAnswer::Stream(20)),
             Ok(())
         );
-        assert_eq!(fleet.executions_of(&id), 1);
+        assert_eq!(fleet.execution_count(&id), 1);
     }
 }
 
@@ -47,7 +47,7 @@
         assert_eq!(check_answer(&answer, &id, &expected), Ok(()));
     }
 
-    assert_eq!(fleet.executions_of(&id), 1);
+    assert_eq!(fleet.execution_count(&id), 1);
 }
 
 #[async_std::test]
@@ -66,5 +66,5 @@
     let report = LoadRun::spawn(plan).finish().await;
 
     assert_eq!(report.done, 120, "{report}");
-    fleet.assert_none_ran_twice();
+    fleet.assert_no_duplicate_executions();
 }
--- a/tests/process_claims.rs
+++ b/tests/process_claims.rs
@@ -35,9 +35,9 @@
         }
     }
 
-    fleet.assert_none_ran_twice();
+    fleet.assert_no_duplicate_executions();
     for (id, answer) in answers {
-        let runs = fleet.executions_of(id);
+        let runs = fleet.execution_count(id);
         match answer.outcome() {
             "done" => assert_eq!(runs, 1, "{id}"),
             "not-run" => assert_eq!(runs, 0, "{id}: {}", answer.text()),
--- a/tests/process_leaving.rs
+++ b/tests/process_leaving.rs
@@ -149,7 +149,7 @@
     .await;
     let id = new_request_id();
     let running = spawn_call(fleet.caller_address(0), &generate(&id, "briefing", 1000));
-    wait_for("the stream", || fleet.executions_of(&id) == 1).await;
+    wait_for("the stream", || fleet.execution_count(&id) == 1).await;
 
     fleet.engine(0).set_state(standins::TargetState::Leaving);
     fleet.edit(|document| document.targets[0].state = TargetState::Leaving);
@@ -167,7 +167,7 @@
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
     let id = new_request_id();
     let running = spawn_call(fleet.caller_address(0), &generate(&id, "briefing", 600));
-    wait_for("the stream", || fleet.executions_of(&id) == 1).await;
+    wait_for("the stream", || fleet.execution_count(&id) == 1).await;
 
     fleet.hosts[0].process.terminate();
 
@@ -197,7 +197,7 @@
 
     let report = run.finish().await;
     assert_eq!(report.done, report.total(), "{report}");
-    fleet.assert_none_ran_twice();
+    fleet.assert_no_duplicate_executions();
 }
 
 /// All hosts are replaced by new ones, one after the other, under load.
@@ -230,5 +230,5 @@
 
     let report = run.finish().await;
     assert_eq!(report.done, report.total(), "{report}");
-    fleet.assert_none_ran_twice();
+    fleet.assert_no_duplicate_executions();
 }
--- a/tests/process_path.rs
+++ b/tests/process_path.rs
@@ -35,8 +35,8 @@
         check_answer(&streamed, &briefing, &ExpectedAnswer::Stream(20)),
         Ok(())
     );
-    assert_eq!(fleet.executions_of(&slot), 1);
-    assert_eq!(fleet.executions_of(&briefing), 1);
+    assert_eq!(fleet.execution_count(&slot), 1);
+    assert_eq!(fleet.execution_count(&briefing), 1);
 }
 
 /// A caller resends its booking to another host, which must not run it a second time but
@@ -51,5 +51,5 @@
 
     assert_eq!((first.status, second.status), (200, 200));
     assert_eq!(second.text(), first.text());
-    assert_eq!(fleet.executions_of(&id), 1);
+    assert_eq!(fleet.execution_count(&id), 1);
 }
--- a/tests/process_resend.rs
+++ b/tests/process_resend.rs
@@ -51,7 +51,7 @@
 
 /// Asserts that the outcome doesn't contradict the executions.
 fn assert_truthful(fleet: &TestFleet, id: &str, answer: &CallerAnswer) {
-    let runs = fleet.executions_of(id);
+    let runs = fleet.execution_count(id);
     assert!(runs <= 1, "ran {runs} times");
     match answer.outcome() {
         "not-run" => assert_eq!(runs, 0, "told not-run, and it ran"),
@@ -61,13 +61,17 @@
 }
 
 fn assert_load_truthful(fleet: &TestFleet, report: &LoadReport) {
-    fleet.assert_none_ran_twice();
+    fleet.assert_no_duplicate_executions();
     assert_eq!(report.wrong, 0, "{report}");
     for id in &report.not_run_ids {
-        assert_eq!(fleet.executions_of(id), 0, "told not-run, and it ran: {id}");
+        assert_eq!(
+            fleet.execution_count(id),
+            0,
+            "told not-run, and it ran: {id}"
+        );
     }
     for id in &report.done_ids {
-        assert_eq!(fleet.executions_of(id), 1, "told done: {id}");
+        assert_eq!(fleet.execution_count(id), 1, "told done: {id}");
     }
 }
 
@@ -79,14 +83,14 @@
     let mut fleet = stuck_fleet().await;
     let id = new_request_id();
     let first = spawn_call(fleet.caller_address(0), &booking(&id));
-    wait_for("the dispatch", || fleet.executions_of(&id) == 1).await;
+    wait_for("the dispatch", || fleet.execution_count(&id) == 1).await;
 
     fleet.hosts[0].process.kill();
     first.await.unwrap_err();
     let answer = call(fleet.caller_address(1), &booking(&id)).await.unwrap();
 
     assert_eq!(answer.outcome(), "unknown", "{}", answer.text());
-    assert_eq!(fleet.executions_of(&id), 1);
+    assert_eq!(fleet.execution_count(&id), 1);
 }
 
 /// The host dies while a booking waits in its queue because the service is busy, and the
@@ -107,7 +111,7 @@
     fleet.service(0).restart().await.unwrap();
     let answer = call(fleet.caller_address(2), &booking(&id)).await.unwrap();
 
-    let runs = fleet.executions_of(&id);
+    let runs = fleet.execution_count(&id);
     match answer.outcome() {
         "done" => assert_eq!(runs, 1),
         _ => assert_truthful(&fleet, &id, &answer),
@@ -163,8 +167,8 @@
     fleet.hosts[0].process.resume();
     let resumed = waiting.await.unwrap();
 
-    fleet.assert_none_ran_twice();
-    let runs = fleet.executions_of(&id);
+    fleet.assert_no_duplicate_executions();
+    let runs = fleet.execution_count(&id);
     for answer in [&resent, &resumed] {
         match answer.outcome() {
             "done" => assert_eq!(runs, 1),
@@ -222,7 +226,7 @@
         .unwrap();
 
     assert_truthful(&fleet, &id, &alone);
-    assert_eq!(fleet.executions_of(&id), 0);
+    assert_eq!(fleet.execution_count(&id), 0);
     assert_eq!(majority.outcome(), "done", "{}", majority.text());
 }
 
@@ -244,7 +248,7 @@
         .unwrap();
 
     assert_truthful(&fleet, &id, &alone);
-    assert_eq!(fleet.executions_of(&id), 0);
+    assert_eq!(fleet.execution_count(&id), 0);
     assert_eq!(majority.outcome(), "done", "{}", majority.text());
 }
 
@@ -263,7 +267,7 @@
     let resent = call(fleet.caller_address(1), &booking(&id)).await.unwrap();
 
     assert_truthful(&fleet, &id, &cut);
-    assert!(fleet.executions_of(&id) <= 1);
+    assert!(fleet.execution_count(&id) <= 1);
     if resent.outcome() != "done" {
         assert_truthful(&fleet, &id, &resent);
     }
--- a/tests/process_whole.rs
+++ b/tests/process_whole.rs
@@ -53,7 +53,7 @@
 fn assert_not_passed_on(id: &str, answer: &CallerAnswer, fleet: &TestFleet) {
     assert!(answer.status >= 500 || !answer.is_whole, "{answer:?}");
     assert_ne!(answer.outcome(), "not-run");
-    assert_eq!(fleet.executions_of(id), 1);
+    assert_eq!(fleet.execution_count(id), 1);
 }
 
 /// The engine's connection is cut in the middle of a stream that the engine can resume: the
@@ -70,7 +70,7 @@
         check_answer(&answer, &id, &ExpectedAnswer::Stream(TOKENS)),
         Ok(())
     );
-    assert_eq!(fleet.executions_of(&id), 1);
+    assert_eq!(fleet.execution_count(&id), 1);
 }
 
 /// The engine's connection goes silent in the middle of a stream, while new ones work.
@@ -86,7 +86,7 @@
         check_answer(&answer, &id, &ExpectedAnswer::Stream(TOKENS)),
         Ok(())
     );
-    assert_eq!(fleet.executions_of(&id), 1);
+    assert_eq!(fleet.execution_count(&id), 1);
 }
 
 /// A resumed stream repeats tokens that the caller already has.
@@ -163,7 +163,7 @@
 
     let expected = ExpectedAnswer::Echo(booking_body(&id).into_bytes());
     assert_eq!(check_answer(&answer, &id, &expected), Ok(()));
-    assert_eq!(fleet.executions_of(&id), 1);
+    assert_eq!(fleet.execution_count(&id), 1);
 }
 
 /// A service restarts before it has answered a booking. Guards against a host that asks it
@@ -177,7 +177,7 @@
         ..ServiceFaults::default()
     });
     let booked = spawn_call(fleet.caller_address(0), &booking(&id));
-    wait_for("the booking", || fleet.executions_of(&id) == 1).await;
+    wait_for("the booking", || fleet.execution_count(&id) == 1).await;
 
     fleet.service(0).set_faults(ServiceFaults::default());
     fleet.service(0).crash();
--- a/tests/support/test_fleet.rs
+++ b/tests/support/test_fleet.rs
@@ -311,13 +311,13 @@
     }
 
     /// Returns how often a request was executed.
-    pub(crate) fn executions_of(&self, id: &str) -> usize {
+    pub(crate) fn execution_count(&self, id: &str) -> usize {
         let executions = self.executions();
         executions.iter().filter(|record| record.id == id).count()
     }
 
     /// Asserts that no request was executed twice.
-    pub(crate) fn assert_none_ran_twice(&self) {
+    pub(crate) fn assert_no_duplicate_executions(&self) {
         let mut ids: Vec<String> = self
             .executions()
             .into_iter()
