--- a/tests/process_crash.rs
+++ b/tests/process_crash.rs
@@ -23,7 +23,7 @@
     let fleet = TestFleet::start(FleetPlan {
         engines: 4,
         services: 0,
-        links_targets: false,
+        targets_behind_links: false,
         ..FleetPlan::default()
     })
     .await;
--- a/tests/process_trace.rs
+++ b/tests/process_trace.rs
@@ -18,7 +18,7 @@
 #[async_std::test]
 async fn a_recorded_trace_can_be_replayed() {
     let fleet = TestFleet::start(FleetPlan {
-        records: true,
+        records_traces: true,
         ..FleetPlan::default()
     })
     .await;
--- a/tests/support/fleet_plan.rs
+++ b/tests/support/fleet_plan.rs
@@ -41,9 +41,9 @@
     pub(crate) slots: u32,
     /// Whether targets stand behind links. A link takes connections even when
     /// its target is gone, so a test of dead targets does without.
-    pub(crate) links_targets: bool,
+    pub(crate) targets_behind_links: bool,
     /// Whether each host records a trace.
-    pub(crate) records: bool,
+    pub(crate) records_traces: bool,
 }
 
 impl Default for FleetPlan {
@@ -55,8 +55,8 @@
             engine: EngineSettings::default(),
             service: ServiceSettings::default(),
             slots: 16,
-            records: false,
-            links_targets: true,
+            records_traces: false,
+            targets_behind_links: true,
         }
     }
 }
--- a/tests/support/test_fleet.rs
+++ b/tests/support/test_fleet.rs
@@ -71,7 +71,7 @@
     links: FleetLinks,
     directory: PathBuf,
     next_host: usize,
-    records: bool,
+    records_traces: bool,
 }
 
 impl TestFleet {
@@ -127,7 +127,7 @@
             links: FleetLinks::default(),
             directory: fleet_directory(),
             next_host: 1,
-            records: plan.records,
+            records_traces: plan.records_traces,
         }
     }
 
@@ -165,7 +165,7 @@
 
     fn trace_file(&self, number: usize) -> Option<String> {
         let path = self.directory.join(format!("entry-{number}.trace"));
-        self.records.then(|| path.display().to_string())
+        self.records_traces.then(|| path.display().to_string())
     }
 
     fn peer_addresses(&self) -> Vec<SocketAddr> {
--- a/tests/support/test_targets.rs
+++ b/tests/support/test_targets.rs
@@ -52,7 +52,7 @@
 
     /// Returns where a document says that the target listens.
     pub(crate) fn address(&self, plan: &FleetPlan) -> SocketAddr {
-        match (&self.server, plan.links_targets) {
+        match (&self.server, plan.targets_behind_links) {
             (_, true) => self.link.address(),
             (TargetServer::Engine(engine), false) => engine.address(),
             (TargetServer::Service(service), false) => service.address(),
