--- a/benches/guard_cost/main.rs
+++ b/benches/guard_cost/main.rs
@@ -22,8 +22,8 @@
 use standins::ServiceSettings;
 use standins::new_request_id;
 use support::FleetPlan;
-use support::LIMIT;
 use support::TestFleet;
+use support::WAIT_LIMIT;
 use support::booking;
 
 /// The fleet sizes; one host claims from its own seat alone.
@@ -69,7 +69,7 @@
     let mut alone = None;
     for hosts in SIZES {
         let fleet = start_fleet(hosts, SLOTS).await;
-        let mut client = CallerClient::new(LIMIT);
+        let mut client = CallerClient::new(WAIT_LIMIT);
         let mut times = TimeSpread::default();
         for call in 0..CALLS + CALLS / 10 {
             let began = Instant::now();
--- a/tests/process_bench.rs
+++ b/tests/process_bench.rs
@@ -5,7 +5,7 @@
 use std::net::TcpListener;
 use std::net::TcpStream;
 
-use support::owner_of;
+use support::socket_owner;
 
 #[test]
 fn a_connection_is_traced_to_the_process_that_opened_it() {
@@ -13,7 +13,7 @@
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let own = std::process::id();
 
-    let owner = owner_of(stream.local_addr().unwrap(), &[1, own]);
+    let owner = socket_owner(stream.local_addr().unwrap(), &[1, own]);
 
     assert_eq!(owner, Some(own));
 }
@@ -25,7 +25,7 @@
     let address = stream.local_addr().unwrap();
     drop(stream);
 
-    let owner = owner_of(address, &[std::process::id()]);
+    let owner = socket_owner(address, &[std::process::id()]);
 
     assert_eq!(owner, None);
 }
--- a/tests/process_operators.rs
+++ b/tests/process_operators.rs
@@ -7,10 +7,10 @@
 use standins::EngineSettings;
 use standins::new_request_id;
 use support::FleetPlan;
-use support::LIMIT;
 use support::RawCaller;
 use support::TOKEN;
 use support::TestFleet;
+use support::WAIT_LIMIT;
 use support::booking;
 use support::call;
 use support::generate;
@@ -29,7 +29,7 @@
 async fn metrics(fleet: &TestFleet) -> String {
     let address = fleet.hosts[0].process.settings.operator_address;
     let request = CallerRequest::new("GET", "/metrics");
-    let answer = CallerClient::new(LIMIT).call(address, &request).await;
+    let answer = CallerClient::new(WAIT_LIMIT).call(address, &request).await;
     answer.expect("the operators' address answers").text()
 }
 
--- a/tests/support/fleet_links.rs
+++ b/tests/support/fleet_links.rs
@@ -7,7 +7,7 @@
 use standins::LinkMode;
 use standins::LinkServer;
 
-use super::process_sockets::owner_of;
+use super::process_sockets::socket_owner;
 
 /// What happens between two names; everything else is open.
 struct LinkRule {
@@ -30,7 +30,7 @@
             return LinkMode::Open;
         }
         let processes: Vec<u32> = self.processes.iter().map(|entry| entry.0).collect();
-        let Some(owner) = owner_of(client, &processes) else {
+        let Some(owner) = socket_owner(client, &processes) else {
             return LinkMode::Open;
         };
         let from = self.processes.iter().find(|entry| entry.0 == owner);
--- a/tests/support/host_process.rs
+++ b/tests/support/host_process.rs
@@ -20,7 +20,7 @@
 use standins::CallerClient;
 use standins::CallerRequest;
 
-use super::LIMIT;
+use super::WAIT_LIMIT;
 use super::free_port::PORT_LOCK;
 use super::wait_for;
 
@@ -96,7 +96,7 @@
     pub(crate) async fn wait_ready(&self) {
         let began = Instant::now();
         while !self.is_ready().await {
-            if began.elapsed() > LIMIT {
+            if began.elapsed() > WAIT_LIMIT {
                 let status = self.status().await;
                 unreachable!("never ready, see {}: {status}", self.log_path());
             }
@@ -111,7 +111,7 @@
 
     /// Returns what the host tells its operators; null while it does not answer.
     pub(crate) async fn status(&self) -> Value {
-        let answer = CallerClient::new(LIMIT)
+        let answer = CallerClient::new(WAIT_LIMIT)
             .call(
                 self.settings.operator_address,
                 &CallerRequest::new("GET", "/status"),
@@ -134,7 +134,7 @@
     }
 
     async fn operator_status(&self, path: &str) -> Option<u16> {
-        CallerClient::new(LIMIT)
+        CallerClient::new(WAIT_LIMIT)
             .call(
                 self.settings.operator_address,
                 &CallerRequest::new("GET", path),
--- a/tests/support/process_sockets.rs
+++ b/tests/support/process_sockets.rs
@@ -7,7 +7,7 @@
 ///
 /// A link uses it to treat the connections of one host apart: they all come from
 /// the loopback address, and only the kernel's tables tell them from each other.
-pub(crate) fn owner_of(client: SocketAddr, processes: &[u32]) -> Option<u32> {
+pub(crate) fn socket_owner(client: SocketAddr, processes: &[u32]) -> Option<u32> {
     let link = format!("socket:[{}]", socket_inode(client)?);
     processes
         .iter()
--- a/tests/support/raw_bytes.rs
+++ b/tests/support/raw_bytes.rs
@@ -13,7 +13,7 @@
 use async_std::task;
 use serde_json::Value;
 
-use super::LIMIT;
+use super::WAIT_LIMIT;
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
@@ -91,7 +91,7 @@
 
     async fn read_more(&mut self) -> Option<()> {
         let mut piece = [0; 4096];
-        let read = timeout(LIMIT, self.stream.read(&mut piece)).await;
+        let read = timeout(WAIT_LIMIT, self.stream.read(&mut piece)).await;
         let count = read.expect("the host says something in time").ok()?;
         self.buffer.extend_from_slice(&piece[..count]);
         (count > 0).then_some(())
--- a/tests/support/test_callers.rs
+++ b/tests/support/test_callers.rs
@@ -10,8 +10,8 @@
 use standins::CallerError;
 use standins::CallerRequest;
 
-use super::LIMIT;
 use super::TOKEN;
+use super::WAIT_LIMIT;
 
 /// A non-idempotent booking.
 pub(crate) fn booking(id: &str) -> CallerRequest {
@@ -39,7 +39,7 @@
     host: SocketAddr,
     request: &CallerRequest,
 ) -> Result<CallerAnswer, CallerError> {
-    call_within(LIMIT, host, request).await
+    call_within(WAIT_LIMIT, host, request).await
 }
 
 /// Calls on a fresh connection and gives up after `limit`.
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 
 /// The one limit for whatever a test waits for.
-pub(crate) const LIMIT: Duration = Duration::from_secs(30);
+pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(30);
 /// How often a condition is looked at.
 const POLL_PAUSE: Duration = Duration::from_millis(10);
 
@@ -23,7 +23,7 @@
 {
     let began = Instant::now();
     while !condition().await {
-        assert!(began.elapsed() < LIMIT, "waited in vain for {what}");
+        assert!(began.elapsed() < WAIT_LIMIT, "waited in vain for {what}");
         task::sleep(POLL_PAUSE).await;
     }
 }
