--- a/tests/process_operators.rs
+++ b/tests/process_operators.rs
@@ -46,7 +46,7 @@
     call(host, &nowhere).await.unwrap();
     let mut raw = RawCaller::open(host).await;
     raw.send(b"nonsense\r\n\r\n").await;
-    raw.answer().await.unwrap();
+    raw.read_answer().await.unwrap();
 
     let text = metrics(&fleet).await;
     for kind in ["malformed-message", "unknown-account", "unknown-class"] {
--- a/tests/support/raw_bytes.rs
+++ b/tests/support/raw_bytes.rs
@@ -46,12 +46,12 @@
     }
 
     /// Says that nothing more will be sent.
-    pub(crate) fn end_sending(&self) {
+    pub(crate) fn shutdown_write(&self) {
         self.stream.shutdown(Shutdown::Write).ok();
     }
 
     /// Reads one answer; `None` when the connection ends before it is whole.
-    pub(crate) async fn answer(&mut self) -> Option<RawAnswer> {
+    pub(crate) async fn read_answer(&mut self) -> Option<RawAnswer> {
         let head = self.read_head().await?;
         let length = head.lines().find_map(|line| {
             let (name, value) = line.split_once(':')?;
@@ -84,7 +84,7 @@
     }
 
     /// Reads all that comes until the host ends the connection.
-    pub(crate) async fn rest(&mut self) -> Vec<u8> {
+    pub(crate) async fn read_to_end(&mut self) -> Vec<u8> {
         while self.read_more().await.is_some() {}
         std::mem::take(&mut self.buffer)
     }
@@ -119,7 +119,7 @@
 pub(crate) async fn ask_raw(host: SocketAddr, bytes: &[u8]) -> Option<RawAnswer> {
     let mut caller = RawCaller::open(host).await;
     caller.send(bytes).await;
-    caller.answer().await
+    caller.read_answer().await
 }
 
 /// A target that answers any request with the same bytes and ends the connection.
--- a/tests/wire_requests/connections.rs
+++ b/tests/wire_requests/connections.rs
@@ -19,13 +19,13 @@
     slow.send(b"POST /v1/bookings HTTP/1.1\r\nHost").await;
 
     assert_serves(&fleet).await;
-    let answer = slow.answer().await.unwrap();
+    let answer = slow.read_answer().await.unwrap();
 
     assert_eq!(
         (answer.status, answer.kind().as_str()),
         (408, "slow-caller")
     );
-    assert_eq!(slow.rest().await, b"");
+    assert_eq!(slow.read_to_end().await, b"");
 }
 
 #[async_std::test]
@@ -44,15 +44,18 @@
     caller.send(bytes.as_bytes()).await;
 
     for id in &ids {
-        let answer = caller.answer().await.unwrap();
+        let answer = caller.read_answer().await.unwrap();
         assert_eq!(
             (answer.status, answer.header("request-id")),
             (200, id.as_str())
         );
         assert!(answer.body.contains(id.as_str()));
     }
-    assert_eq!(caller.answer().await.unwrap().kind(), "malformed-message");
-    assert_eq!(caller.rest().await, b"");
+    assert_eq!(
+        caller.read_answer().await.unwrap().kind(),
+        "malformed-message"
+    );
+    assert_eq!(caller.read_to_end().await, b"");
 }
 
 /// A caller reads the refusal of its `HEAD` request as the head of its next
@@ -67,7 +70,7 @@
     let mut caller = RawCaller::open(fleet.caller_address(0)).await;
     caller.send(request.as_bytes()).await;
     let head = caller.read_head().await.unwrap();
-    let rest = caller.rest().await;
+    let rest = caller.read_to_end().await;
 
     assert!(head.starts_with("HTTP/1.1 404"), "{head}");
     assert_eq!(String::from_utf8(rest).unwrap(), "");
@@ -86,7 +89,7 @@
     caller.send(booking_head(&id, &lines).as_bytes()).await;
     let interim = caller.read_head().await.unwrap();
     caller.send(body.as_bytes()).await;
-    let answer = caller.answer().await.unwrap();
+    let answer = caller.read_answer().await.unwrap();
 
     assert!(interim.starts_with("HTTP/1.1 100"), "{interim}");
     assert_eq!(
@@ -117,8 +120,8 @@
 
     let mut caller = RawCaller::open(fleet.caller_address(0)).await;
     caller.send(request.as_bytes()).await;
-    let answer = caller.answer().await.unwrap();
+    let answer = caller.read_answer().await.unwrap();
 
     assert_eq!((answer.status, answer.header("connection")), (200, "close"));
-    assert_eq!(caller.rest().await, b"");
+    assert_eq!(caller.read_to_end().await, b"");
 }
--- a/tests/wire_requests/fixture.rs
+++ b/tests/wire_requests/fixture.rs
@@ -92,9 +92,9 @@
     let mut caller = RawCaller::open(fleet.caller_address(0)).await;
     caller.send(&case.bytes).await;
     if case.ends {
-        caller.end_sending();
+        caller.shutdown_write();
     }
-    let answer = caller.answer().await;
+    let answer = caller.read_answer().await;
     answer.expect(case.name)
 }
 
