--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -28,7 +28,7 @@
 pub(crate) use raw_bytes::RawAnswer;
 pub(crate) use raw_bytes::RawCaller;
 pub(crate) use raw_bytes::RawTarget;
-pub(crate) use raw_bytes::ask_raw;
+pub(crate) use raw_bytes::send_raw;
 pub(crate) use test_callers::booking;
 pub(crate) use test_callers::booking_body;
 pub(crate) use test_callers::call;
--- a/tests/support/raw_bytes.rs
+++ b/tests/support/raw_bytes.rs
@@ -116,7 +116,7 @@
 }
 
 /// Sends bytes on a connection of their own and reads one answer.
-pub(crate) async fn ask_raw(host: SocketAddr, bytes: &[u8]) -> Option<RawAnswer> {
+pub(crate) async fn send_raw(host: SocketAddr, bytes: &[u8]) -> Option<RawAnswer> {
     let mut caller = RawCaller::open(host).await;
     caller.send(bytes).await;
     caller.read_answer().await
@@ -158,7 +158,7 @@
     }
 
     /// Returns how many `POST`s came with an id.
-    pub(crate) fn posts_of(&self, id: &str) -> usize {
+    pub(crate) fn post_count(&self, id: &str) -> usize {
         let posts = self.posts.lock().unwrap();
         posts.iter().filter(|known| *known == id).count()
     }
--- a/tests/wire_answers.rs
+++ b/tests/wire_answers.rs
@@ -97,7 +97,7 @@
         );
         assert_eq!(answer.outcome(), "unknown", "{name}");
         assert_eq!(answer.header("request-id"), Some(id.as_str()), "{name}");
-        assert_eq!(raw.target.posts_of(&id), 1, "{name}");
+        assert_eq!(raw.target.post_count(&id), 1, "{name}");
     }
     raw.assert_serves().await;
 }
@@ -211,7 +211,7 @@
         let answer = raw.call(&id, &bytes).await.unwrap();
 
         assert!(!answer.is_whole, "{name}: {}", answer.text());
-        assert_eq!(raw.target.posts_of(&id), 1, "{name}");
+        assert_eq!(raw.target.post_count(&id), 1, "{name}");
     }
     raw.assert_serves().await;
 }
@@ -294,7 +294,7 @@
             "{bytes}"
         );
         assert_eq!(answer.text(), body, "{bytes}");
-        assert_eq!(raw.target.posts_of(&id), 1, "{bytes}");
+        assert_eq!(raw.target.post_count(&id), 1, "{bytes}");
     }
     raw.assert_serves().await;
 }
--- a/tests/wire_requests/connections.rs
+++ b/tests/wire_requests/connections.rs
@@ -6,8 +6,8 @@
 use crate::fixture::with_id;
 use crate::support::RawCaller;
 use crate::support::TOKEN;
-use crate::support::ask_raw;
 use crate::support::booking_body;
+use crate::support::send_raw;
 use standins::new_request_id;
 
 /// A host has no connections left: callers send half a head and stay. Each gets
@@ -104,7 +104,7 @@
     let lines = "Expect: 100-continue\r\nContent-Length: 1000\r\n";
     let request = booking_head(&new_request_id(), lines).replace(TOKEN, "other");
 
-    let answer = ask_raw(fleet.caller_address(0), request.as_bytes()).await;
+    let answer = send_raw(fleet.caller_address(0), request.as_bytes()).await;
 
     assert_eq!(answer.unwrap().status, 401);
 }
