--- a/examples/demo/account.rs
+++ b/examples/demo/account.rs
@@ -71,7 +71,7 @@
 
 /// Returns what an answer says about whether its request ran.
 pub(crate) fn told(answer: &CallerAnswer) -> String {
-    match answer.is_whole {
+    match answer.is_complete {
         true => answer.outcome().to_owned(),
         false => "cut".to_owned(),
     }
--- a/examples/demo/scenes.rs
+++ b/examples/demo/scenes.rs
@@ -176,7 +176,10 @@
     let running = fleet.begin_running(2, LONG_BRIEFING, &id).await?;
     let (name, host) = fleet.hosts.remove(2);
     let (record, ()) = zip(running, host.stop()).await;
-    let whole = record.answer.as_ref().is_ok_and(|answer| answer.is_whole);
+    let whole = record
+        .answer
+        .as_ref()
+        .is_ok_and(|answer| answer.is_complete);
     let after = fleet.begin(0, BOOKING, &new_request_id()).await;
     print_calls(fleet, &[record, after]);
     tell(&format!(
--- a/standins/src/caller/answer_check.rs
+++ b/standins/src/caller/answer_check.rs
@@ -70,7 +70,7 @@
     if answer.status != 200 {
         return Err(AnswerFault::NotDone);
     }
-    if !answer.is_whole {
+    if !answer.is_complete {
         return Err(AnswerFault::Cut);
     }
     if answer
--- a/standins/src/caller/caller_answer.rs
+++ b/standins/src/caller/caller_answer.rs
@@ -14,7 +14,7 @@
     pub body: Vec<u8>,
     /// Whether the body came to the end that its framing declares. A body that
     /// declares none is not whole.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Whether the connection may be used again.
     pub keeps_alive: bool,
     /// The time from the send to the head.
--- a/standins/src/caller/caller_connection.rs
+++ b/standins/src/caller/caller_connection.rs
@@ -78,7 +78,7 @@
     pub async fn read_answer(&mut self, sent: Instant) -> Result<CallerAnswer, CallerError> {
         let mut answer = self.read_head(sent).await?;
         let framing = body_framing(&answer)?;
-        answer.is_whole = match framing {
+        answer.is_complete = match framing {
             BodyFraming::None => true,
             BodyFraming::Length(length) => self.read_length(&mut answer, length, sent).await,
             BodyFraming::Chunked => self.read_chunks(&mut answer, sent).await,
@@ -90,7 +90,7 @@
         let closes = answer
             .header("Connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"));
-        answer.keeps_alive = answer.is_whole && !closes;
+        answer.keeps_alive = answer.is_complete && !closes;
         Ok(answer)
     }
 
@@ -169,7 +169,7 @@
         status: parsed.code.ok_or(CallerError::Malformed)?,
         headers,
         body: Vec::new(),
-        is_whole: false,
+        is_complete: false,
         keeps_alive: false,
         head_after: sent.elapsed(),
         pieces_after: Vec::new(),
--- a/standins/src/engine/engine_handler.rs
+++ b/standins/src/engine/engine_handler.rs
@@ -211,7 +211,7 @@
 
 /// Waits for all tokens and answers them at once.
 async fn whole_reply(stream: &TokenStream, faults: &EngineFaults) -> http_types::Result<Response> {
-    while !stream.is_whole() {
+    while !stream.is_complete() {
         stream.reach_beyond(stream.produced()).await;
         if stream.is_cancelled() {
             return Err(http_types::format_err!("the stream was cancelled"));
--- a/standins/src/engine/generation.rs
+++ b/standins/src/engine/generation.rs
@@ -49,7 +49,7 @@
 /// Makes tokens at the pace that the batch allows.
 async fn decode(shared: &EngineShared, stream: &TokenStream) {
     let mut due = Instant::now();
-    while !stream.is_whole() && !stream.is_cancelled() {
+    while !stream.is_complete() && !stream.is_cancelled() {
         due += shared.batch.token_time(&shared.settings, shared.slow());
         task::sleep(due.saturating_duration_since(Instant::now())).await;
         stream.grow();
--- a/standins/src/engine/stream_table.rs
+++ b/standins/src/engine/stream_table.rs
@@ -18,7 +18,7 @@
     pub(crate) fn add(&mut self, stream: Arc<TokenStream>) {
         if self.streams.len() >= STREAM_BOUND {
             self.streams
-                .retain(|stream| !stream.is_whole() && !stream.is_cancelled());
+                .retain(|stream| !stream.is_complete() && !stream.is_cancelled());
         }
         self.streams.push(stream);
     }
--- a/standins/src/engine/token_stream.rs
+++ b/standins/src/engine/token_stream.rs
@@ -59,7 +59,7 @@
     }
 
     /// Tells whether all tokens are there.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.produced() >= self.max_tokens
     }
 
@@ -67,7 +67,7 @@
     pub(crate) async fn reach_beyond(&self, offset: u32) {
         loop {
             let grown = self.grown.listen();
-            if self.produced() > offset || self.is_whole() || self.is_cancelled() {
+            if self.produced() > offset || self.is_complete() || self.is_cancelled() {
                 return;
             }
             grown.await;
--- a/standins/src/load/load_caller.rs
+++ b/standins/src/load/load_caller.rs
@@ -135,7 +135,7 @@
     }
 
     fn judge_body(&self, answer: &CallerAnswer, record: &mut CallRecord) -> NextStep {
-        if !answer.is_whole {
+        if !answer.is_complete {
             // A cut body is no answer; the same request may have another host's.
             record.end = CallEnd::Unknown;
             return NextStep::Resend(RESEND_PAUSE);
--- a/standins/tests/binary.rs
+++ b/standins/tests/binary.rs
@@ -62,7 +62,7 @@
 
     let answer = call(link.address, &CallerRequest::new("GET", "/x")).await;
 
-    assert!(answer.unwrap().is_whole);
+    assert!(answer.unwrap().is_complete);
 }
 
 #[async_std::test]
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -111,7 +111,7 @@
     assert_eq!(fault, Err(AnswerFault::Cut));
     assert_eq!(offsets(&answer), [0, 1]);
     assert_eq!(offsets(&rest), [2, 3, 4]);
-    assert!(rest.is_whole);
+    assert!(rest.is_complete);
 }
 
 #[async_std::test]
@@ -219,7 +219,7 @@
     let cancel = CallerRequest::new("DELETE", &format!("/v1/streams/{ID}"));
     call(address, &cancel).await.unwrap();
 
-    assert!(!running.await.unwrap().is_whole);
+    assert!(!running.await.unwrap().is_complete);
     support::wait_for("the end", || engine.running() == 0).await;
     assert_eq!(engine.cancelled(), [ID]);
 }
--- a/standins/tests/link.rs
+++ b/standins/tests/link.rs
@@ -33,7 +33,7 @@
 
     let answer = call(link.address(), &request()).await.unwrap();
 
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
 }
 
 #[async_std::test]
--- a/tests/process_whole.rs
+++ b/tests/process_whole.rs
@@ -51,7 +51,7 @@
 
 /// Asserts that the answer is an error or incomplete, and that the call ran once.
 fn assert_not_passed_on(id: &str, answer: &CallerAnswer, fleet: &TestFleet) {
-    assert!(answer.status >= 500 || !answer.is_whole, "{answer:?}");
+    assert!(answer.status >= 500 || !answer.is_complete, "{answer:?}");
     assert_ne!(answer.outcome(), "not-run");
     assert_eq!(fleet.execution_count(id), 1);
 }
@@ -115,7 +115,7 @@
     })
     .await;
 
-    assert!(!answer.is_whole, "{}", answer.text());
+    assert!(!answer.is_complete, "{}", answer.text());
 }
 
 /// An engine answers with another request's id; no caller may get that answer.
--- a/tests/wire_answers.rs
+++ b/tests/wire_answers.rs
@@ -210,7 +210,7 @@
 
         let answer = raw.call(&id, &bytes).await.unwrap();
 
-        assert!(!answer.is_whole, "{name}: {}", answer.text());
+        assert!(!answer.is_complete, "{name}: {}", answer.text());
         assert_eq!(raw.target.post_count(&id), 1, "{name}");
     }
     raw.assert_serves().await;
