--- a/standins/src/load/load_caller.rs
+++ b/standins/src/load/load_caller.rs
@@ -76,7 +76,7 @@
             whole_after: Duration::ZERO,
             pieces_after: Vec::new(),
         };
-        for round in 0..self.plan.tries {
+        for round in 0..self.plan.max_sends {
             record.resends = u64::from(round);
             request.set_header("Request-Attempt", attempt);
             let answered = self.client.call(self.host(), &request).await;
--- a/standins/src/load/load_plan.rs
+++ b/standins/src/load/load_plan.rs
@@ -33,7 +33,7 @@
     /// The deadline that each request bears.
     pub deadline: Option<Duration>,
     /// How often a request is sent before its caller gives up.
-    pub tries: u32,
+    pub max_sends: u32,
     /// How long a caller waits for one answer.
     pub timeout: Duration,
 }
@@ -52,7 +52,7 @@
             max_tokens: 16,
             prompt_bytes: 64,
             deadline: None,
-            tries: 10,
+            max_sends: 10,
             timeout: Duration::from_secs(60),
         }
     }
--- a/standins/src/load/load_run.rs
+++ b/standins/src/load/load_run.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns how many requests have ended.
-    pub fn ended(&self) -> u64 {
+    pub fn completed_requests(&self) -> u64 {
         self.ended.load(Ordering::Relaxed)
     }
 
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -121,7 +121,7 @@
         max_tokens: load.max_tokens.unwrap_or(usual.max_tokens),
         prompt_bytes: load.prompt_bytes.unwrap_or(usual.prompt_bytes),
         deadline: load.deadline_ms.map(Duration::from_millis),
-        tries: usual.tries,
+        max_sends: usual.max_sends,
         timeout: usual.timeout,
     }
 }
--- a/tests/process_leaving.rs
+++ b/tests/process_leaving.rs
@@ -186,8 +186,8 @@
     let run = endless_load(&fleet);
 
     for index in 0..fleet.hosts.len() {
-        let before = run.ended();
-        wait_for("the load", || run.ended() > before + 20).await;
+        let before = run.completed_requests();
+        wait_for("the load", || run.completed_requests() > before + 20).await;
         fleet.hosts[index].process.terminate();
         assert!(fleet.hosts[index].process.wait_for_exit().await.success());
         fleet.restart_host(index);
@@ -211,13 +211,13 @@
     let mut gateways = fleet.caller_addresses();
     gateways.extend(new_hosts.iter().map(|host| host.process.caller_address()));
     let run = LoadRun::spawn(LoadPlan {
-        tries: 100,
+        max_sends: 100,
         ..endless_plan(gateways)
     });
 
     for host in new_hosts {
-        let before = run.ended();
-        wait_for("the load", || run.ended() > before + 20).await;
+        let before = run.completed_requests();
+        wait_for("the load", || run.completed_requests() > before + 20).await;
         let mut old = fleet.hosts.remove(0);
         fleet.hosts.push(host);
         fleet.publish_roster();
--- a/tests/process_resend.rs
+++ b/tests/process_resend.rs
@@ -139,7 +139,7 @@
         requests: 60,
         ..LoadPlan::default()
     });
-    wait_for("the load", || run.ended() > 50).await;
+    wait_for("the load", || run.completed_requests() > 50).await;
 
     fleet.hosts[0].process.kill();
     let report = run.finish().await;
@@ -194,13 +194,16 @@
         timeout: Duration::from_secs(2),
         ..LoadPlan::default()
     });
-    wait_for("the load", || run.ended() > 50).await;
+    wait_for("the load", || run.completed_requests() > 50).await;
 
     fleet.hosts[0].process.pause();
     task::sleep(LONG_PAUSE).await;
     fleet.hosts[0].process.resume();
-    let before = run.ended();
-    wait_for("the load after the pause", || run.ended() > before + 100).await;
+    let before = run.completed_requests();
+    wait_for("the load after the pause", || {
+        run.completed_requests() > before + 100
+    })
+    .await;
     run.stop();
     let report = run.finish().await;
 
--- a/tests/process_tiers.rs
+++ b/tests/process_tiers.rs
@@ -50,7 +50,7 @@
 async fn verdicts_are_never_refused_while_digests_run() {
     let fleet = small_fleet().await;
     let digests = load(&fleet, "digest", 40, 1_000, 100);
-    wait_for("the digests", || digests.ended() > 20).await;
+    wait_for("the digests", || digests.completed_requests() > 20).await;
 
     let report = load(&fleet, "verdict", 12, 5, 4).finish().await;
     digests.stop();
@@ -70,7 +70,7 @@
     })
     .await;
     let digests = load(&fleet, "digest", 40, 1_000, 100);
-    wait_for("the digests", || digests.ended() > 20).await;
+    wait_for("the digests", || digests.completed_requests() > 20).await;
 
     fleet.hosts[0].process.kill();
     fleet.hosts[1].process.kill();
