--- a/standins/src/platform/platform_server.rs
+++ b/standins/src/platform/platform_server.rs
@@ -136,7 +136,7 @@
     }
 
     /// Returns how many calls readers made, a waiting watch counting as one.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.shared.state().calls
     }
 }
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -65,7 +65,7 @@
     let platform = platform_with(7).await;
     let address = platform.address();
     let watching = task::spawn(async move { call(address, &watch(7, 30_000)).await });
-    support::wait_for("the watch", || platform.calls() == 1).await;
+    support::wait_for("the watch", || platform.call_count() == 1).await;
 
     platform.publish(SCOPE, &json!({"version": 8})).unwrap();
 
@@ -88,7 +88,7 @@
     let platform = platform_with(7).await;
     let address = platform.address();
     let watching = task::spawn(async move { call(address, &watch(7, 30_000)).await });
-    support::wait_for("the watch", || platform.calls() == 1).await;
+    support::wait_for("the watch", || platform.call_count() == 1).await;
 
     platform.set_mode(PlatformMode::Down);
 
--- a/tests/config_gossip_hosts.rs
+++ b/tests/config_gossip_hosts.rs
@@ -113,9 +113,9 @@
             .all(|member| member.refusal().contains("targets"))
     })
     .await;
-    let before = platform.calls();
+    let before = platform.call_count();
     task::sleep(Duration::from_secs(1)).await;
-    let calls = platform.calls() - before;
+    let calls = platform.call_count() - before;
     let versions: Vec<u64> = members.iter().map(FleetMember::version).collect();
     publish(&platform, &document(3, &members));
 
