--- a/src/cli/explain_command.rs
+++ b/src/cli/explain_command.rs
@@ -4,8 +4,8 @@
 
 use serde::Serialize;
 
-use crate::fleet::AccountView;
-use crate::fleet::ClassView;
+use crate::fleet::CompiledAccount;
+use crate::fleet::CompiledClass;
 use crate::fleet::FleetView;
 use crate::fleet::TargetExplanation;
 use crate::fleet::parse_document;
@@ -70,7 +70,7 @@
     Ok(CommandVerdict::Faulty)
 }
 
-fn find_account<'a>(view: &'a FleetView, name: &str) -> Result<&'a AccountView, CliError> {
+fn find_account<'a>(view: &'a FleetView, name: &str) -> Result<&'a CompiledAccount, CliError> {
     let names = view
         .accounts()
         .iter()
@@ -79,7 +79,7 @@
         .ok_or_else(|| unknown_name("--account", name, NOT_THERE, names))
 }
 
-fn find_class<'a>(view: &'a FleetView, flags: &Explain) -> Result<&'a ClassView, CliError> {
+fn find_class<'a>(view: &'a FleetView, flags: &Explain) -> Result<&'a CompiledClass, CliError> {
     match (&flags.class, &flags.method, &flags.path) {
         (Some(name), None, None) => {
             let names = view.classes().iter().map(|view| view.rule.name.as_str());
--- a/src/fleet/allowed_table.rs
+++ b/src/fleet/allowed_table.rs
@@ -5,9 +5,9 @@
 use crate::ids::TargetName;
 use crate::sorted::SortedMap;
 
-use super::compiled_parts::AccountView;
-use super::compiled_parts::ClassView;
-use super::compiled_parts::TargetView;
+use super::compiled_entries::CompiledAccount;
+use super::compiled_entries::CompiledClass;
+use super::compiled_entries::CompiledTarget;
 use super::reserved_labels::RequestLabels;
 
 /// The allowed targets of every class and account.
@@ -23,9 +23,9 @@
 impl AllowedTable {
     /// Works the table out; `targets` stand sorted by name.
     pub(super) fn build(
-        targets: &[TargetView],
-        classes: &[ClassView],
-        accounts: &[AccountView],
+        targets: &[CompiledTarget],
+        classes: &[CompiledClass],
+        accounts: &[CompiledAccount],
     ) -> Self {
         let rows = classes
             .iter()
@@ -53,11 +53,11 @@
 type SharedLists = SortedMap<AcceptMask, Arc<Vec<TargetName>>>;
 
 fn class_rows(
-    targets: &[TargetView],
-    class: &ClassView,
-    accounts: &[AccountView],
+    targets: &[CompiledTarget],
+    class: &CompiledClass,
+    accounts: &[CompiledAccount],
 ) -> Vec<Arc<Vec<TargetName>>> {
-    let reachable: Vec<&TargetView> = targets
+    let reachable: Vec<&CompiledTarget> = targets
         .iter()
         .filter(|target| class.targets.matches(&target.labels))
         .collect();
@@ -71,7 +71,11 @@
         .collect()
 }
 
-fn accept_mask(reachable: &[&TargetView], class: &ClassView, account: &AccountView) -> AcceptMask {
+fn accept_mask(
+    reachable: &[&CompiledTarget],
+    class: &CompiledClass,
+    account: &CompiledAccount,
+) -> AcceptMask {
     let request = RequestLabels::new(&class.rule, &account.account);
     reachable
         .iter()
@@ -82,7 +86,7 @@
 /// Names are copied only for the first account of each list.
 fn shared_list(
     mask: AcceptMask,
-    reachable: &[&TargetView],
+    reachable: &[&CompiledTarget],
     shared: &mut SharedLists,
 ) -> Arc<Vec<TargetName>> {
     if let Some(list) = shared.get(&mask) {
--- a/src/fleet/compiled_parts.rs
+++ b/src/fleet/compiled_entries.rs
@@ -9,7 +9,7 @@
 
 /// A target with its `accepts` selector parsed.
 #[derive(Clone, Debug)]
-pub struct TargetView {
+pub struct CompiledTarget {
     /// The target as the document has it.
     pub target: FleetTarget,
     pub(super) labels: LabelMap,
@@ -18,7 +18,7 @@
 
 /// A class with its `targets` selector parsed.
 #[derive(Clone, Debug)]
-pub struct ClassView {
+pub struct CompiledClass {
     /// The class as the document has it.
     pub rule: ClassRule,
     pub(super) targets: LabelSelector,
@@ -28,7 +28,7 @@
 
 /// A client account with its place in the table of allowed targets.
 #[derive(Clone, Debug)]
-pub struct AccountView {
+pub struct CompiledAccount {
     /// The account as the document has it.
     pub account: ClientAccount,
     pub(super) index: usize,
--- a/src/fleet/fleet_view.rs
+++ b/src/fleet/fleet_view.rs
@@ -8,9 +8,9 @@
 use super::FleetDocument;
 use super::TargetState;
 use super::allowed_table::AllowedTable;
-use super::compiled_parts::AccountView;
-use super::compiled_parts::ClassView;
-use super::compiled_parts::TargetView;
+use super::compiled_entries::CompiledAccount;
+use super::compiled_entries::CompiledClass;
+use super::compiled_entries::CompiledTarget;
 use super::fleet_digest::DocumentDigest;
 use super::fleet_digest::document_digest;
 use super::reserved_labels::RequestLabels;
@@ -34,9 +34,9 @@
     document: FleetDocument,
     digest: DocumentDigest,
     warnings: Vec<DocumentFault>,
-    targets: Vec<TargetView>,
-    classes: Vec<ClassView>,
-    accounts: Vec<AccountView>,
+    targets: Vec<CompiledTarget>,
+    classes: Vec<CompiledClass>,
+    accounts: Vec<CompiledAccount>,
     tokens: TokenTable,
     allowed: AllowedTable,
 }
@@ -94,22 +94,22 @@
     }
 
     /// Returns the targets, sorted by name.
-    pub fn targets(&self) -> &[TargetView] {
+    pub fn targets(&self) -> &[CompiledTarget] {
         &self.targets
     }
 
     /// Returns the classes, in the document's order.
-    pub fn classes(&self) -> &[ClassView] {
+    pub fn classes(&self) -> &[CompiledClass] {
         &self.classes
     }
 
     /// Returns the accounts, sorted by name.
-    pub fn accounts(&self) -> &[AccountView] {
+    pub fn accounts(&self) -> &[CompiledAccount] {
         &self.accounts
     }
 
     /// Returns the target of this name.
-    pub fn target(&self, name: &str) -> Option<&TargetView> {
+    pub fn target(&self, name: &str) -> Option<&CompiledTarget> {
         let index = self
             .targets
             .binary_search_by(|target| target.target.name.as_str().cmp(name))
@@ -118,12 +118,12 @@
     }
 
     /// Returns the class of this name.
-    pub fn class(&self, name: &str) -> Option<&ClassView> {
+    pub fn class(&self, name: &str) -> Option<&CompiledClass> {
         self.classes.iter().find(|class| class.rule.name == name)
     }
 
     /// Returns the account of this name.
-    pub fn account(&self, name: &str) -> Option<&AccountView> {
+    pub fn account(&self, name: &str) -> Option<&CompiledAccount> {
         let index = self
             .accounts
             .binary_search_by(|account| account.account.name.as_str().cmp(name))
@@ -134,7 +134,7 @@
     /// Returns the account whose bearer token this is.
     ///
     /// How long the look-up takes tells a caller that guesses tokens nothing.
-    pub fn account_by_token(&self, token: &str) -> Option<&AccountView> {
+    pub fn account_by_token(&self, token: &str) -> Option<&CompiledAccount> {
         self.accounts.get(self.tokens.find(token)?)
     }
 
@@ -147,7 +147,7 @@
         method: &str,
         path: &str,
         request_class: Option<&str>,
-    ) -> Option<&ClassView> {
+    ) -> Option<&CompiledClass> {
         let path = without_query(path);
         if is_ambiguous(path) {
             return None;
@@ -164,8 +164,8 @@
     /// and `account` must come from this view; of another one they get nothing.
     pub fn allowed_targets(
         &self,
-        class: &ClassView,
-        account: &AccountView,
+        class: &CompiledClass,
+        account: &CompiledAccount,
     ) -> Arc<Vec<TargetName>> {
         let is_own = self.owns_class(class) && self.owns_account(account);
         let row = self.allowed.row(class.index, account.index);
@@ -177,7 +177,11 @@
 
     /// Returns for every target whether the request may go there, or the first
     /// reason why not.
-    pub fn explain(&self, class: &ClassView, account: &AccountView) -> Vec<TargetExplanation> {
+    pub fn explain(
+        &self,
+        class: &CompiledClass,
+        account: &CompiledAccount,
+    ) -> Vec<TargetExplanation> {
         let request = RequestLabels::new(&class.rule, &account.account);
         self.targets
             .iter()
@@ -188,18 +192,18 @@
             .collect()
     }
 
-    fn owns_class(&self, class: &ClassView) -> bool {
+    fn owns_class(&self, class: &CompiledClass) -> bool {
         let own = self.classes.get(class.index);
         own.is_some_and(|own| own.rule.name == class.rule.name)
     }
 
-    fn owns_account(&self, account: &AccountView) -> bool {
+    fn owns_account(&self, account: &CompiledAccount) -> bool {
         let own = self.accounts.get(account.index);
         own.is_some_and(|own| own.account.name == account.account.name)
     }
 }
 
-impl ClassView {
+impl CompiledClass {
     fn takes(&self, method: &str, path: &str) -> bool {
         let mut routes = self.rule.routes.iter();
         routes.any(|route| route_matches(route, method, path))
@@ -207,8 +211,8 @@
 }
 
 fn exclusion(
-    target: &TargetView,
-    class: &ClassView,
+    target: &CompiledTarget,
+    class: &CompiledClass,
     request: &RequestLabels<'_>,
 ) -> Option<ExclusionReason> {
     if let Some(term) = class.targets.first_mismatch(&target.labels) {
@@ -225,11 +229,11 @@
 
 // Validation has parsed every selector, so the defaults below are never taken.
 
-fn compile_targets(document: &FleetDocument) -> Vec<TargetView> {
-    let mut targets: Vec<TargetView> = document
+fn compile_targets(document: &FleetDocument) -> Vec<CompiledTarget> {
+    let mut targets: Vec<CompiledTarget> = document
         .targets
         .iter()
-        .map(|target| TargetView {
+        .map(|target| CompiledTarget {
             labels: target_labels(target),
             accepts: target.accepts.parse().unwrap_or_default(),
             target: target.clone(),
@@ -239,12 +243,12 @@
     targets
 }
 
-fn compile_classes(document: &FleetDocument) -> Vec<ClassView> {
+fn compile_classes(document: &FleetDocument) -> Vec<CompiledClass> {
     document
         .classes
         .iter()
         .enumerate()
-        .map(|(index, rule)| ClassView {
+        .map(|(index, rule)| CompiledClass {
             targets: rule.targets.parse().unwrap_or_default(),
             rule: rule.clone(),
             index,
@@ -252,12 +256,12 @@
         .collect()
 }
 
-fn compile_accounts(document: &FleetDocument) -> Vec<AccountView> {
+fn compile_accounts(document: &FleetDocument) -> Vec<CompiledAccount> {
     let mut accounts = document.accounts.clone();
     accounts.sort_by(|left, right| left.name.cmp(&right.name));
     accounts
         .into_iter()
         .enumerate()
-        .map(|(index, account)| AccountView { account, index })
+        .map(|(index, account)| CompiledAccount { account, index })
         .collect()
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! The fleet document: what operators publish through the platform.
 
 mod allowed_table;
-mod compiled_parts;
+mod compiled_entries;
 mod fleet_digest;
 mod fleet_document;
 mod fleet_reading;
@@ -13,9 +13,9 @@
 mod validation;
 
 pub use crate::json::DocumentFault;
-pub use compiled_parts::AccountView;
-pub use compiled_parts::ClassView;
-pub use compiled_parts::TargetView;
+pub use compiled_entries::CompiledAccount;
+pub use compiled_entries::CompiledClass;
+pub use compiled_entries::CompiledTarget;
 pub use fleet_digest::DocumentDigest;
 pub use fleet_digest::document_digest;
 pub use fleet_document::ClassRule;
--- a/src/fleet/token_table.rs
+++ b/src/fleet/token_table.rs
@@ -5,7 +5,7 @@
 use subtle::ConditionallySelectable;
 use subtle::ConstantTimeEq;
 
-use super::compiled_parts::AccountView;
+use super::compiled_entries::CompiledAccount;
 
 /// What stands for "no account"; no table is that long.
 const NOT_FOUND: u64 = u64::MAX;
@@ -22,7 +22,7 @@
 
 impl TokenTable {
     /// Takes the hashes over; validation has seen 64 hexadecimal digits each.
-    pub(super) fn build(accounts: &[AccountView]) -> Self {
+    pub(super) fn build(accounts: &[CompiledAccount]) -> Self {
         let hashes = accounts
             .iter()
             .map(|view| hash_words(&decoded(&view.account.token_sha256)))
--- a/src/gateway/classify_filter.rs
+++ b/src/gateway/classify_filter.rs
@@ -5,8 +5,8 @@
 use crate::clock::boot_now;
 use crate::clock::unix_now;
 use crate::errors::ErrorKind;
-use crate::fleet::AccountView;
-use crate::fleet::ClassView;
+use crate::fleet::CompiledAccount;
+use crate::fleet::CompiledClass;
 use crate::fleet::FleetLimits;
 use crate::fleet::FleetView;
 use crate::http::RequestHead;
@@ -58,7 +58,7 @@
 /// `UnknownClass`, `BadRequestId`, `RequestIdOutOfWindow` or `BadRequestHeader`.
 pub(crate) fn classify_request(
     view: &FleetView,
-    account: &AccountView,
+    account: &CompiledAccount,
     head: RequestHead,
 ) -> Result<ClassifiedRequest, ErrorKind> {
     let class = view
@@ -93,7 +93,7 @@
 /// one could be granted a second time.
 fn read_id(
     head: &RequestHead,
-    class: &ClassView,
+    class: &CompiledClass,
     limits: &FleetLimits,
 ) -> Result<RequestId, ErrorKind> {
     let now = unix_now();
--- a/src/gateway/identify_filter.rs
+++ b/src/gateway/identify_filter.rs
@@ -1,7 +1,7 @@
 //! First filter: the client account that sent the request.
 
 use crate::errors::ErrorKind;
-use crate::fleet::AccountView;
+use crate::fleet::CompiledAccount;
 use crate::fleet::FleetView;
 use crate::http::RequestHead;
 
@@ -15,7 +15,7 @@
 pub(crate) fn identify_account<'v>(
     view: &'v FleetView,
     head: &RequestHead,
-) -> Result<&'v AccountView, ErrorKind> {
+) -> Result<&'v CompiledAccount, ErrorKind> {
     let credentials = head
         .header("authorization")
         .ok_or(ErrorKind::UnknownAccount)?;
