--- a/src/cli/explain_command.rs
+++ b/src/cli/explain_command.rs
@@ -87,7 +87,7 @@
                 .ok_or_else(|| unknown_name("--class", name, NOT_THERE, names))
         }
         (None, Some(method), Some(path)) => view
-            .class_for(method, path, flags.request_class.as_deref())
+            .class_for_request(method, path, flags.request_class.as_deref())
             .ok_or_else(|| {
                 let message = format!("no class matches {method} {path}; callers get 404");
                 CliError::Usage(message)
--- a/src/fleet/fleet_view.rs
+++ b/src/fleet/fleet_view.rs
@@ -142,7 +142,7 @@
     /// in the document that has a route for the method and path.
     ///
     /// A class that the request names must have such a route as well.
-    pub fn class_for(
+    pub fn class_for_request(
         &self,
         method: &str,
         path: &str,
--- a/src/gateway/classify_filter.rs
+++ b/src/gateway/classify_filter.rs
@@ -62,7 +62,7 @@
     head: RequestHead,
 ) -> Result<ClassifiedRequest, ErrorKind> {
     let class = view
-        .class_for(&head.method, &head.path, head.header("request-class"))
+        .class_for_request(&head.method, &head.path, head.header("request-class"))
         .ok_or(ErrorKind::UnknownClass)?;
     let rule = &class.rule;
     let id = read_id(&head, class, &view.document().limits)?;
--- a/tests/config_view.rs
+++ b/tests/config_view.rs
@@ -45,7 +45,7 @@
 fn class_is_the_named_one_or_the_first_with_the_route() {
     let view = sample_view();
     let name = |method, path, class| {
-        view.class_for(method, path, class)
+        view.class_for_request(method, path, class)
             .map(|class| class.rule.name.as_str())
     };
 
@@ -78,7 +78,10 @@
         "/book/..%2ffuel",
         "/book/..\\fuel",
     ] {
-        assert!(view.class_for("GET", path, None).is_none(), "{path}");
+        assert!(
+            view.class_for_request("GET", path, None).is_none(),
+            "{path}"
+        );
     }
 }
 
