--- a/src/backoff/retry_backoff.rs
+++ b/src/backoff/retry_backoff.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns the next wait: between half and the whole of the step, by `spread` in 0..=1.
-    pub(crate) fn next_wait(&mut self, spread: f64) -> Duration {
+    pub(crate) fn next_delay(&mut self, spread: f64) -> Duration {
         let step = self.next;
         self.next = (step * 2).min(self.longest);
         let share = 0.5 + 0.5 * spread.clamp(0.0, 1.0);
--- a/src/controllers/host_list_watch.rs
+++ b/src/controllers/host_list_watch.rs
@@ -57,7 +57,7 @@
                 let spread: f64 = rand::random();
                 task::sleep(POLL_PERIOD - SPREAD / 2 + SPREAD.mul_f64(spread)).await;
             }
-            Err(_) => task::sleep(backoff.next_wait(rand::random())).await,
+            Err(_) => task::sleep(backoff.next_delay(rand::random())).await,
         }
     }
 }
--- a/src/controllers/platform_watch.rs
+++ b/src/controllers/platform_watch.rs
@@ -58,7 +58,7 @@
         match end {
             NextStep::Continue => backoff.reset(),
             NextStep::BackOff(advice) => {
-                let wait = backoff.next_wait(rand::random());
+                let wait = backoff.next_delay(rand::random());
                 let advice = advice.unwrap_or_default().min(MAX_ADVISED_DELAY);
                 task::sleep(wait.max(advice)).await;
             }
--- a/src/edge/watch_controller.rs
+++ b/src/edge/watch_controller.rs
@@ -114,7 +114,7 @@
                     let reason = error.to_string();
                     state.log.write(&DecisionLine::StoreLost { reason });
                 }
-                task::sleep(backoff.next_wait(rand::random())).await;
+                task::sleep(backoff.next_delay(rand::random())).await;
             }
         }
     }
@@ -161,7 +161,7 @@
                 state.take_change(change, None);
             }
             // The watch writes down that the store is lost.
-            Err(_) => task::sleep(backoff.next_wait(rand::random())).await,
+            Err(_) => task::sleep(backoff.next_delay(rand::random())).await,
         }
     }
 }
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -192,7 +192,7 @@
         if link.connect_count.load(Ordering::Relaxed) > connect_count {
             backoff.reset();
         }
-        let wait = backoff.next_wait(rand::random());
+        let wait = backoff.next_delay(rand::random());
         let pause = task::sleep(wait);
         let stop = async {
             stopped.recv().await.ok();
