--- a/src/gateway/caller_service.rs
+++ b/src/gateway/caller_service.rs
@@ -72,7 +72,7 @@
 /// Refuses a caller beyond the limit; another host may have room.
 async fn refuse_caller(mut connection: CallerConnection, host: Arc<HostState>) {
     host.metrics.count_refused_caller();
-    connection.end_after_answer();
+    connection.close_after_answer();
     let kind = ErrorKind::TooManyCallers;
     if send_refusal(&mut connection, &host, kind, None)
         .await
@@ -105,13 +105,13 @@
     let _running = host.drain.track_request();
     // A leaving host closes the connection, so that the caller reconnects to another host.
     if host.drain.is_leaving() {
-        connection.end_after_answer();
+        connection.close_after_answer();
     }
     match open_answer(&mut request, host).await {
         Ok(reader) => send_answer(connection, host, reader).await,
         Err((kind, id)) => {
             // Part of the body may be unread.
-            connection.end_after_answer();
+            connection.close_after_answer();
             send_refusal(connection, host, kind, id).await
         }
     }
@@ -143,7 +143,7 @@
     reader: AnswerReader,
 ) -> io::Result<()> {
     let head = or(async { Some(reader.head().await) }, async {
-        connection.wait_gone().await;
+        connection.wait_closed().await;
         None
     });
     match head.await {
--- a/src/http/caller_connection.rs
+++ b/src/http/caller_connection.rs
@@ -154,7 +154,7 @@
     ///
     /// For a request whose body was not read: its bytes would be taken for
     /// the next request's head.
-    pub(crate) fn end_after_answer(&mut self) {
+    pub(crate) fn close_after_answer(&mut self) {
         self.reusable = false;
     }
 
@@ -215,7 +215,7 @@
     /// Waits until the caller has closed its side, or for ever.
     ///
     /// Bytes of a next request end the watch, since the caller is there.
-    pub(crate) async fn wait_gone(&self) {
+    pub(crate) async fn wait_closed(&self) {
         let mut byte = [0; 1];
         match self.stream.peek(&mut byte).await {
             Ok(0) | Err(_) => (),
--- a/src/operators/operator_service.rs
+++ b/src/operators/operator_service.rs
@@ -57,7 +57,7 @@
             return;
         };
         if request.has_body() {
-            connection.end_after_answer();
+            connection.close_after_answer();
         }
         let answer = answer_operator(&request.head.path, &host);
         if send(&mut connection, answer).await.is_err() {
