--- a/src/gateway/caller_service.rs
+++ b/src/gateway/caller_service.rs
@@ -127,7 +127,7 @@
     let classified = classify_request(&view, account, head).map_err(|kind| (kind, None))?;
     let id = classified.id;
     let refused = |kind| (kind, Some(id));
-    let bound = request.body_bound(classified.max_body_bytes);
+    let bound = request.max_body_len(classified.max_body_bytes);
     let permit = host
         .body_budget
         .take(bound)
--- a/src/http/caller_connection.rs
+++ b/src/http/caller_connection.rs
@@ -234,7 +234,7 @@
     }
 
     /// Returns the most bytes that the body may take, before it is read.
-    pub(crate) fn body_bound(&self, max_bytes: u64) -> usize {
+    pub(crate) fn max_body_len(&self, max_bytes: u64) -> usize {
         let bound = match self.framing {
             MessageFraming::Undeclared => 0,
             MessageFraming::Length(length) => length.min(max_bytes),
