--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -203,7 +203,7 @@
 async fn relay_buffered(run: &RequestRun, mut answer: TargetAnswer) -> Result<(), ErrorKind> {
     let mut body = Vec::new();
     let timeout = answer_timeout(run);
-    while let Some(piece) = answer.next_piece(timeout).await.map_err(kind_of)? {
+    while let Some(piece) = answer.next_chunk(timeout).await.map_err(kind_of)? {
         body.extend_from_slice(&piece);
         if body.len() > MAX_BUFFERED_BYTES {
             return Err(ErrorKind::TargetFault);
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -104,7 +104,7 @@
     }
 
     async fn relay_chunks(&mut self, answer: &mut TargetAnswer) -> Result<(), ExchangeError> {
-        while let Some(piece) = answer.next_piece(self.silence_timeout()).await? {
+        while let Some(piece) = answer.next_chunk(self.silence_timeout()).await? {
             let relayed = self.guard.take(&piece).map_err(|_| ExchangeError::Broken)?;
             if !relayed.is_empty() {
                 self.run.buffer.put_bytes(Bytes::from(relayed));
--- a/src/http/target_exchange.rs
+++ b/src/http/target_exchange.rs
@@ -191,7 +191,7 @@
     ///
     /// `Silent` when nothing came within `limit`, `Cut` when the body ended
     /// before its declared length or its last chunk.
-    pub(crate) async fn next_piece(
+    pub(crate) async fn next_chunk(
         &mut self,
         limit: Duration,
     ) -> Result<Option<Vec<u8>>, ExchangeError> {
