--- a/src/controllers/target_controller.rs
+++ b/src/controllers/target_controller.rs
@@ -294,8 +294,8 @@
     while let Some(piece) = answer.next_chunk(REPORT_TIMEOUT).await? {
         body.extend_from_slice(&piece);
         if body.len() > MAX_REPORT_BYTES {
-            return Err(ExchangeError::Broken);
+            return Err(ExchangeError::Malformed);
         }
     }
-    serde_json::from_slice(&body).map_err(|_| ExchangeError::Broken)
+    serde_json::from_slice(&body).map_err(|_| ExchangeError::Malformed)
 }
--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -161,7 +161,7 @@
     error: ExchangeError,
     target: &TargetName,
 ) -> Result<(), ErrorKind> {
-    if error == ExchangeError::Broken {
+    if error == ExchangeError::Malformed {
         return Err(ErrorKind::TargetFault);
     }
     let mut relay = StreamRelay::open(run, ticket, target);
@@ -281,8 +281,8 @@
 
 pub(super) fn kind_of(error: ExchangeError) -> ErrorKind {
     match error {
-        ExchangeError::Broken => ErrorKind::TargetFault,
-        ExchangeError::Silent => ErrorKind::TargetSilent,
-        ExchangeError::Unreachable | ExchangeError::Cut => ErrorKind::TargetLost,
+        ExchangeError::Malformed => ErrorKind::TargetFault,
+        ExchangeError::TimedOut => ErrorKind::TargetSilent,
+        ExchangeError::Unreachable | ExchangeError::Truncated => ErrorKind::TargetLost,
     }
 }
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -77,7 +77,7 @@
                     run.buffer.put_end(AnswerEnd::Complete);
                     return Ok(());
                 }
-                Some(Err(ExchangeError::Broken)) => return Err(ErrorKind::TargetFault),
+                Some(Err(ExchangeError::Malformed)) => return Err(ErrorKind::TargetFault),
                 Some(Err(_)) => (),
             }
             resumes = match self.guard.next_offset() > before {
@@ -99,13 +99,16 @@
         let answer = self.ask_engine("GET", Some(query)).await?;
         match answer.head.status {
             200 => Ok(answer),
-            _ => Err(ExchangeError::Cut),
+            _ => Err(ExchangeError::Truncated),
         }
     }
 
     async fn relay_chunks(&mut self, answer: &mut TargetAnswer) -> Result<(), ExchangeError> {
         while let Some(piece) = answer.next_chunk(self.silence_timeout()).await? {
-            let relayed = self.guard.take(&piece).map_err(|_| ExchangeError::Broken)?;
+            let relayed = self
+                .guard
+                .take(&piece)
+                .map_err(|_| ExchangeError::Malformed)?;
             if !relayed.is_empty() {
                 self.run.buffer.put_bytes(Bytes::from(relayed));
                 self.ticket.progressed(self.guard.next_offset());
@@ -115,7 +118,7 @@
         // The end of the body isn't enough: the engine's own end marker must be there.
         match self.guard.is_done() {
             true => Ok(()),
-            false => Err(ExchangeError::Cut),
+            false => Err(ExchangeError::Truncated),
         }
     }
 
--- a/src/http/target_exchange.rs
+++ b/src/http/target_exchange.rs
@@ -42,13 +42,13 @@
     Unreachable,
     /// The connection ended before the message did.
     #[display("the connection ended early")]
-    Cut,
+    Truncated,
     /// Nothing came for too long.
     #[display("the connection is silent")]
-    Silent,
+    TimedOut,
     /// The message breaks HTTP/1.1, or doesn't say where it ends.
     #[display("the answer is broken")]
-    Broken,
+    Malformed,
 }
 
 /// A connection on which nothing was sent yet.
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// `Cut` or `Silent`; in both cases the target may have run the request.
+    /// `Truncated` or `TimedOut`; in both cases the target may have run the request.
     pub(crate) async fn send(
         mut self,
         head: &RequestHead,
@@ -103,20 +103,23 @@
         let request = self.build_request(head, body)?;
         let encoder = Encoder::new(request);
         let sent = timeout(limit, io::copy(encoder, &mut self.stream)).await;
-        sent.map_err(|_| ExchangeError::Silent)?
-            .map_err(|_| ExchangeError::Cut)?;
-        self.stream.flush().await.map_err(|_| ExchangeError::Cut)?;
+        sent.map_err(|_| ExchangeError::TimedOut)?
+            .map_err(|_| ExchangeError::Truncated)?;
+        self.stream
+            .flush()
+            .await
+            .map_err(|_| ExchangeError::Truncated)?;
         Ok(TargetExchange {
             stream: self.stream,
         })
     }
 
     fn build_request(&self, head: &RequestHead, body: Vec<u8>) -> Result<Request, ExchangeError> {
-        let mut url =
-            Url::parse(&format!("http://{}", self.address)).map_err(|_| ExchangeError::Broken)?;
+        let mut url = Url::parse(&format!("http://{}", self.address))
+            .map_err(|_| ExchangeError::Malformed)?;
         url.set_path(&head.path);
         url.set_query(head.query.as_deref());
-        let method: Method = head.method.parse().map_err(|_| ExchangeError::Broken)?;
+        let method: Method = head.method.parse().map_err(|_| ExchangeError::Malformed)?;
         let mut request = Request::new(method, url);
         request.set_body(Body::from_bytes(body));
         request.remove_header("content-type");
@@ -133,7 +136,7 @@
     ///
     /// # Errors
     ///
-    /// `Silent` when no head came within `limit`, `Cut` or `Broken` otherwise.
+    /// `TimedOut` when no head came within `limit`, `Truncated` or `Malformed` otherwise.
     pub(crate) async fn read_answer(
         mut self,
         limit: Duration,
@@ -142,15 +145,15 @@
         let final_head = self.fill_final_head(&mut buffer);
         let head_bytes = timeout(limit, final_head)
             .await
-            .map_err(|_| ExchangeError::Silent)??;
-        let framing =
-            MessageFraming::of_head(buffer.head(head_bytes)).map_err(|_| ExchangeError::Broken)?;
+            .map_err(|_| ExchangeError::TimedOut)??;
+        let framing = MessageFraming::of_head(buffer.head(head_bytes))
+            .map_err(|_| ExchangeError::Malformed)?;
         let sent = field_names(buffer.head(head_bytes));
         let ready = buffer.take_message(head_bytes, u64::MAX);
         let io = GuardedIo::new(ready, u64::MAX, self.stream);
         let mut response = async_h1::client::decode(io)
             .await
-            .map_err(|_| ExchangeError::Broken)?;
+            .map_err(|_| ExchangeError::Malformed)?;
         // The parser adds fields of its own; the date that it adds has a line end
         // in it, which would end the head in the middle of the caller's answer.
         let mut headers = collect_headers(response.iter());
@@ -175,7 +178,9 @@
     async fn fill_final_head(&mut self, buffer: &mut HeadBuffer) -> Result<usize, ExchangeError> {
         loop {
             let filled = buffer.fill_head(&mut self.stream).await;
-            let head_bytes = filled.map_err(head_error)?.ok_or(ExchangeError::Cut)?;
+            let head_bytes = filled
+                .map_err(head_error)?
+                .ok_or(ExchangeError::Truncated)?;
             if !is_interim(buffer.head(head_bytes)) {
                 return Ok(head_bytes);
             }
@@ -189,7 +194,7 @@
     ///
     /// # Errors
     ///
-    /// `Silent` when nothing came within `limit`, `Cut` when the body ended
+    /// `TimedOut` when nothing came within `limit`, `Truncated` when the body ended
     /// before its declared length or its last chunk.
     pub(crate) async fn next_chunk(
         &mut self,
@@ -201,13 +206,15 @@
         let mut piece = vec![0; PIECE_BYTES];
         let read = timeout(limit, self.body.read(&mut piece)).await;
         let count = read
-            .map_err(|_| ExchangeError::Silent)?
-            .map_err(|_| ExchangeError::Cut)?;
+            .map_err(|_| ExchangeError::TimedOut)?
+            .map_err(|_| ExchangeError::Truncated)?;
         if count == 0 {
             // The parser takes an early end of a counted body for its end.
             return match self.framing {
                 MessageFraming::Chunked => Ok(None),
-                MessageFraming::Length(_) | MessageFraming::Undeclared => Err(ExchangeError::Cut),
+                MessageFraming::Length(_) | MessageFraming::Undeclared => {
+                    Err(ExchangeError::Truncated)
+                }
             };
         }
         self.received += count as u64;
@@ -231,8 +238,8 @@
 
 const fn head_error(kind: ErrorKind) -> ExchangeError {
     match kind {
-        ErrorKind::HeadTooLarge => ExchangeError::Broken,
-        _ => ExchangeError::Cut,
+        ErrorKind::HeadTooLarge => ExchangeError::Malformed,
+        _ => ExchangeError::Truncated,
     }
 }
 
@@ -252,6 +259,6 @@
         MessageFraming::Length(length) => Ok(Some(length)),
         MessageFraming::Chunked => Ok(None),
         MessageFraming::Undeclared if bodiless => Ok(Some(0)),
-        MessageFraming::Undeclared => Err(ExchangeError::Broken),
+        MessageFraming::Undeclared => Err(ExchangeError::Malformed),
     }
 }
