--- a/src/edge/caller_link.rs
+++ b/src/edge/caller_link.rs
@@ -167,7 +167,7 @@
             if !asked {
                 asked = true;
                 let go_on = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
-                go_on.await.map_err(|_| WireError::Cut)?;
+                go_on.await.map_err(|_| WireError::Truncated)?;
             }
             match timeout(BODY_PAUSE, self.input.fill(&self.stream)).await {
                 Ok(Ok(count)) if count > 0 => {}
--- a/src/edge/edge_refusal.rs
+++ b/src/edge/edge_refusal.rs
@@ -41,7 +41,9 @@
 impl From<WireError> for ErrorKind {
     fn from(error: WireError) -> Self {
         match error {
-            WireError::Malformed | WireError::Cut | WireError::TimedOut => Self::MalformedMessage,
+            WireError::Malformed | WireError::Truncated | WireError::TimedOut => {
+                Self::MalformedMessage
+            }
             WireError::HeadTooLarge => Self::HeadTooLarge,
             WireError::BodyTooLarge => Self::BodyTooLarge,
         }
--- a/src/wire/body_decoder.rs
+++ b/src/wire/body_decoder.rs
@@ -62,14 +62,14 @@
     ///
     /// # Errors
     ///
-    /// `Cut` where the body was to go on.
+    /// `Truncated` where the body was to go on.
     pub(crate) fn end_of_connection(&mut self) -> Result<(), WireError> {
         match self.state {
             DecoderState::UntilClose | DecoderState::Whole => {
                 self.state = DecoderState::Whole;
                 Ok(())
             }
-            _ => Err(WireError::Cut),
+            _ => Err(WireError::Truncated),
         }
     }
 
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -66,7 +66,7 @@
         .decode(&mut buffer_of(b"12345"), &mut Vec::new())
         .unwrap();
 
-    assert_eq!(counted.end_of_connection(), Err(WireError::Cut));
+    assert_eq!(counted.end_of_connection(), Err(WireError::Truncated));
     assert_eq!(unframed.end_of_connection(), Ok(()));
 }
 
--- a/src/wire/whole_answer.rs
+++ b/src/wire/whole_answer.rs
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// `Cut` when the connection ended or failed first, `TimedOut` behind a pause, `Malformed`,
+/// `Truncated` when the connection ended or failed first, `TimedOut` behind a pause, `Malformed`,
 /// or `BodyTooLarge`.
 pub(crate) async fn read_whole_answer(
     stream: &TcpStream,
@@ -52,7 +52,7 @@
             break head;
         }
         if fill_within(stream, input, patience).await? == 0 {
-            return Err(WireError::Cut);
+            return Err(WireError::Truncated);
         }
         patience = limits.pause;
     };
@@ -86,7 +86,7 @@
 ) -> Result<usize, WireError> {
     let filled = timeout(patience, input.fill(stream)).await;
     let filled = filled.map_err(|_| WireError::TimedOut)?;
-    filled.map_err(|_| WireError::Cut)
+    filled.map_err(|_| WireError::Truncated)
 }
 
 /// Tells whether the sender keeps the connection after this answer.
--- a/src/wire/wire_error.rs
+++ b/src/wire/wire_error.rs
@@ -17,7 +17,7 @@
     BodyTooLarge,
     /// The connection ended before the message did.
     #[display("cut")]
-    Cut,
+    Truncated,
     /// No byte came in the time given.
     #[display("no byte in time")]
     TimedOut,
