--- a/src/edge/caller_link.rs
+++ b/src/edge/caller_link.rs
@@ -14,10 +14,10 @@
 use crate::wire::BodyDecoder;
 use crate::wire::BodyFraming;
 use crate::wire::InputBuffer;
+use crate::wire::KeepaliveSettings;
 use crate::wire::RequestMessage;
-use crate::wire::SilenceBounds;
 use crate::wire::WireError;
-use crate::wire::bound_silence;
+use crate::wire::configure_keepalive;
 
 /// How long a body may pause; a caller that stops in the middle of one would hold
 /// its memory for ever.
@@ -33,10 +33,10 @@
 const MAX_LINGER_READS: usize = 64;
 /// After what silence a caller counts as gone: well within the time that targets
 /// work on for nobody.
-const SILENCE: SilenceBounds = SilenceBounds {
-    probe_after: Duration::from_secs(2),
-    probes: 3,
-    unacknowledged: Duration::from_secs(6),
+const SILENCE: KeepaliveSettings = KeepaliveSettings {
+    probe_interval: Duration::from_secs(2),
+    max_probes: 3,
+    user_timeout: Duration::from_secs(6),
 };
 
 /// A request that was read whole.
@@ -72,7 +72,7 @@
 impl CallerLink {
     /// Takes over an accepted stream.
     pub(crate) fn new(stream: TcpStream) -> Self {
-        bound_silence(&stream, SILENCE);
+        configure_keepalive(&stream, SILENCE);
         Self {
             stream,
             input: InputBuffer::default(),
--- a/src/edge/target_links.rs
+++ b/src/edge/target_links.rs
@@ -14,8 +14,8 @@
 use crate::sorted::SortedMap;
 use crate::wire::AnswerMessage;
 use crate::wire::InputBuffer;
-use crate::wire::SilenceBounds;
-use crate::wire::bound_silence;
+use crate::wire::KeepaliveSettings;
+use crate::wire::configure_keepalive;
 
 /// How long connecting may take. Within a region it takes some ms; a target whose
 /// queue of new connections is full drops the request to connect, and the system's
@@ -29,10 +29,10 @@
 /// How many idle connections to one target are kept.
 const MAX_IDLE: usize = 16;
 /// After what silence a target's connection counts as dead.
-const SILENCE: SilenceBounds = SilenceBounds {
-    probe_after: Duration::from_secs(1),
-    probes: 2,
-    unacknowledged: Duration::from_millis(2500),
+const SILENCE: KeepaliveSettings = KeepaliveSettings {
+    probe_interval: Duration::from_secs(1),
+    max_probes: 2,
+    user_timeout: Duration::from_millis(2500),
 };
 
 /// A connection to a target.
@@ -68,7 +68,7 @@
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
             .map_err(|_| std::io::ErrorKind::TimedOut)??;
-        bound_silence(&stream, SILENCE);
+        configure_keepalive(&stream, SILENCE);
         Ok(Self {
             stream,
             input: InputBuffer::default(),
--- a/src/wire/socket_options.rs
+++ b/src/wire/socket_options.rs
@@ -11,14 +11,14 @@
 
 /// How long a connection may be silent before it counts as dead.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SilenceBounds {
+pub(crate) struct KeepaliveSettings {
     /// How long it may be idle before the other end is asked for a sign, and how
     /// long between two questions.
-    pub(crate) probe_after: Duration,
+    pub(crate) probe_interval: Duration,
     /// How many questions may go unanswered.
-    pub(crate) probes: u32,
+    pub(crate) max_probes: u32,
     /// How long sent bytes may stay unacknowledged.
-    pub(crate) unacknowledged: Duration,
+    pub(crate) user_timeout: Duration,
 }
 
 /// Bounds a connection's silence, and lets small writes go out at once.
@@ -27,12 +27,12 @@
 /// power, or something in between forgot the connection. No read or write fails
 /// then; only unanswered probes show it. A system that lacks an option is left
 /// as it is: the time-outs of each exchange hold without it.
-pub(crate) fn bound_silence(stream: &TcpStream, bounds: SilenceBounds) {
+pub(crate) fn configure_keepalive(stream: &TcpStream, bounds: KeepaliveSettings) {
     stream.set_nodelay(true).ok();
     set_socket_keepalive(stream, true).ok();
-    set_tcp_keepidle(stream, bounds.probe_after).ok();
-    set_tcp_keepintvl(stream, bounds.probe_after).ok();
-    set_tcp_keepcnt(stream, bounds.probes).ok();
-    let unacknowledged = bounds.unacknowledged.as_millis() as u32;
+    set_tcp_keepidle(stream, bounds.probe_interval).ok();
+    set_tcp_keepintvl(stream, bounds.probe_interval).ok();
+    set_tcp_keepcnt(stream, bounds.max_probes).ok();
+    let unacknowledged = bounds.user_timeout.as_millis() as u32;
     set_tcp_user_timeout(stream, unacknowledged).ok();
 }
