--- a/src/wire/whole_answer.rs
+++ b/src/wire/complete_answer.rs
@@ -13,7 +13,7 @@
 
 /// An answer that was read to its proven end.
 #[derive(Debug)]
-pub(crate) struct WholeAnswer {
+pub(crate) struct CompleteAnswer {
     /// The head.
     pub(crate) head: AnswerMessage,
     /// The body.
@@ -40,12 +40,12 @@
 ///
 /// `Truncated` when the connection ended or failed first, `TimedOut` behind a pause, `Malformed`,
 /// or `BodyTooLarge`.
-pub(crate) async fn read_whole_answer(
+pub(crate) async fn read_complete_answer(
     stream: &TcpStream,
     input: &mut InputBuffer,
     method: &str,
     limits: AnswerLimits,
-) -> Result<WholeAnswer, WireError> {
+) -> Result<CompleteAnswer, WireError> {
     let mut patience = limits.first_byte;
     let head = loop {
         if let Some(head) = AnswerMessage::take(input)? {
@@ -71,7 +71,7 @@
             decoder.end_of_connection()?;
         }
     }
-    Ok(WholeAnswer {
+    Ok(CompleteAnswer {
         keeps_connection: keeps_connection(&head, framing),
         head,
         body,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -9,25 +9,25 @@
 mod answer_message;
 mod body_decoder;
 mod body_framing;
+mod complete_answer;
 mod input_buffer;
 mod message_headers;
 mod request_message;
 mod socket_options;
 #[cfg(test)]
 mod tests;
-mod whole_answer;
 mod wire_error;
 
 pub(crate) use answer_message::AnswerMessage;
 pub(crate) use body_decoder::BodyDecoder;
 pub(crate) use body_framing::BodyFraming;
+pub(crate) use complete_answer::AnswerLimits;
+pub(crate) use complete_answer::CompleteAnswer;
+pub(crate) use complete_answer::keeps_connection;
+pub(crate) use complete_answer::read_complete_answer;
 pub(crate) use input_buffer::InputBuffer;
 pub(crate) use message_headers::MessageHeaders;
 pub(crate) use request_message::RequestMessage;
 pub(crate) use socket_options::KeepaliveSettings;
 pub(crate) use socket_options::configure_keepalive;
-pub(crate) use whole_answer::AnswerLimits;
-pub(crate) use whole_answer::WholeAnswer;
-pub(crate) use whole_answer::keeps_connection;
-pub(crate) use whole_answer::read_whole_answer;
 pub(crate) use wire_error::WireError;
