--- a/src/edge/target_call.rs
+++ b/src/edge/target_call.rs
@@ -13,7 +13,7 @@
 use crate::wire::BodyDecoder;
 use crate::wire::BodyFraming;
 use crate::wire::WireError;
-use crate::wire::keeps_connection;
+use crate::wire::can_reuse_connection;
 
 /// What can go wrong once something was sent.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
@@ -73,7 +73,7 @@
         let head = or(write, read_own_head(&mut link, identity)).await?;
         let framing = BodyFraming::of_answer(&head.headers, head.status, identity.method)
             .map_err(|_| CallError::Broken)?;
-        let keeps = written && keeps_connection(&head, framing);
+        let keeps = written && can_reuse_connection(&head, framing);
         Ok(Self {
             link,
             decoder: BodyDecoder::new(framing),
--- a/src/wire/complete_answer.rs
+++ b/src/wire/complete_answer.rs
@@ -19,7 +19,7 @@
     /// The body.
     pub(crate) body: Vec<u8>,
     /// Whether another request may be sent on the connection.
-    pub(crate) keeps_connection: bool,
+    pub(crate) can_reuse_connection: bool,
 }
 
 /// What bounds the reading of an answer. How long all of it takes depends on its size and on
@@ -72,7 +72,7 @@
         }
     }
     Ok(CompleteAnswer {
-        keeps_connection: keeps_connection(&head, framing),
+        can_reuse_connection: can_reuse_connection(&head, framing),
         head,
         body,
     })
@@ -90,7 +90,7 @@
 }
 
 /// Tells whether the sender keeps the connection after this answer.
-pub(crate) fn keeps_connection(head: &AnswerMessage, framing: BodyFraming) -> bool {
+pub(crate) fn can_reuse_connection(head: &AnswerMessage, framing: BodyFraming) -> bool {
     framing != BodyFraming::UntilClose
         && !head.old_version
         && !head.headers.has_word("connection", "close")
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -23,7 +23,7 @@
 pub(crate) use body_framing::BodyFraming;
 pub(crate) use complete_answer::AnswerLimits;
 pub(crate) use complete_answer::CompleteAnswer;
-pub(crate) use complete_answer::keeps_connection;
+pub(crate) use complete_answer::can_reuse_connection;
 pub(crate) use complete_answer::read_complete_answer;
 pub(crate) use input_buffer::InputBuffer;
 pub(crate) use message_headers::MessageHeaders;
