--- a/src/wire/complete_answer.rs
+++ b/src/wire/complete_answer.rs
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnswerLimits {
     /// The largest body, in bytes.
-    pub(crate) body_bytes: usize,
+    pub(crate) max_body_bytes: usize,
     /// How long the first byte may take.
-    pub(crate) first_byte: Duration,
+    pub(crate) first_byte_timeout: Duration,
     /// The longest pause between bytes.
-    pub(crate) pause: Duration,
+    pub(crate) idle_timeout: Duration,
 }
 
 /// Reads the answer to a request of `method`.
@@ -46,7 +46,7 @@
     method: &str,
     limits: AnswerLimits,
 ) -> Result<CompleteAnswer, WireError> {
-    let mut patience = limits.first_byte;
+    let mut patience = limits.first_byte_timeout;
     let head = loop {
         if let Some(head) = AnswerMessage::take(input)? {
             break head;
@@ -54,20 +54,20 @@
         if fill_within(stream, input, patience).await? == 0 {
             return Err(WireError::Truncated);
         }
-        patience = limits.pause;
+        patience = limits.idle_timeout;
     };
     let framing = BodyFraming::of_answer(&head.headers, head.status, method)?;
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
     loop {
         decoder.decode(input, &mut body)?;
-        if body.len() > limits.body_bytes {
+        if body.len() > limits.max_body_bytes {
             return Err(WireError::BodyTooLarge);
         }
         if decoder.is_whole() {
             break;
         }
-        if fill_within(stream, input, limits.pause).await? == 0 {
+        if fill_within(stream, input, limits.idle_timeout).await? == 0 {
             decoder.end_of_connection()?;
         }
     }
