--- a/src/edge/caller_link.rs
+++ b/src/edge/caller_link.rs
@@ -161,7 +161,7 @@
             if body.len() > limits.body_bytes {
                 return Err(ErrorKind::BodyTooLarge);
             }
-            if decoder.is_whole() {
+            if decoder.is_complete() {
                 return Ok(body);
             }
             if !asked {
--- a/src/edge/target_call.rs
+++ b/src/edge/target_call.rs
@@ -90,7 +90,7 @@
     /// The body was cut or is broken.
     pub(crate) async fn read_body(&mut self, output: &mut Vec<u8>) -> Result<bool, CallError> {
         self.decode(output)?;
-        if self.decoder.is_whole() {
+        if self.decoder.is_complete() {
             return Ok(true);
         }
         if !output.is_empty() {
@@ -98,18 +98,18 @@
         }
         match self.link.input.fill(&self.link.stream).await {
             Ok(0) => {
-                let ended = self.decoder.end_of_connection();
+                let ended = self.decoder.finish_at_eof();
                 ended.map_err(|_| CallError::Cut)?;
             }
             Ok(_) => self.decode(output)?,
             Err(_) => return Err(CallError::Cut),
         }
-        Ok(self.decoder.is_whole())
+        Ok(self.decoder.is_complete())
     }
 
     /// Returns the connection if it may carry another request.
     pub(crate) fn into_kept(self) -> Option<(TargetLink, AnswerMessage)> {
-        let kept = self.keeps && self.decoder.is_whole();
+        let kept = self.keeps && self.decoder.is_complete();
         kept.then_some((self.link, self.head))
     }
 
@@ -168,7 +168,7 @@
             .decode(&mut link.input, &mut dropped)
             .map_err(|_: WireError| CallError::Broken)?;
         dropped.clear();
-        if decoder.is_whole() {
+        if decoder.is_complete() {
             return Ok(());
         }
         match link.input.fill(&link.stream).await {
--- a/src/wire/body_decoder.rs
+++ b/src/wire/body_decoder.rs
@@ -40,7 +40,7 @@
     }
 
     /// Tells whether the body came to its proven end.
-    pub(crate) const fn is_whole(&self) -> bool {
+    pub(crate) const fn is_complete(&self) -> bool {
         matches!(self.state, DecoderState::Whole)
     }
 
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// `Truncated` where the body was to go on.
-    pub(crate) fn end_of_connection(&mut self) -> Result<(), WireError> {
+    pub(crate) fn finish_at_eof(&mut self) -> Result<(), WireError> {
         match self.state {
             DecoderState::UntilClose | DecoderState::Whole => {
                 self.state = DecoderState::Whole;
--- a/src/wire/complete_answer.rs
+++ b/src/wire/complete_answer.rs
@@ -64,11 +64,11 @@
         if body.len() > limits.max_body_bytes {
             return Err(WireError::BodyTooLarge);
         }
-        if decoder.is_whole() {
+        if decoder.is_complete() {
             break;
         }
         if fill_within(stream, input, limits.idle_timeout).await? == 0 {
-            decoder.end_of_connection()?;
+            decoder.finish_at_eof()?;
         }
     }
     Ok(CompleteAnswer {
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -30,7 +30,7 @@
 
     decoder.decode(&mut input, &mut body).unwrap();
 
-    assert!(decoder.is_whole());
+    assert!(decoder.is_complete());
     assert_eq!(body, b"hello");
     assert_eq!(input.bytes(), b"GET / HTTP/1.1\r\n");
 }
@@ -49,7 +49,7 @@
             rest = &rest[count..];
             decoder.decode(&mut input, &mut body).unwrap();
         }
-        assert!(decoder.is_whole());
+        assert!(decoder.is_complete());
         assert_eq!(body, b"abc0123456789");
         Ok(())
     });
@@ -66,8 +66,8 @@
         .decode(&mut buffer_of(b"12345"), &mut Vec::new())
         .unwrap();
 
-    assert_eq!(counted.end_of_connection(), Err(WireError::Truncated));
-    assert_eq!(unframed.end_of_connection(), Ok(()));
+    assert_eq!(counted.finish_at_eof(), Err(WireError::Truncated));
+    assert_eq!(unframed.finish_at_eof(), Ok(()));
 }
 
 #[test]
