--- a/src/edge/answer_writer.rs
+++ b/src/edge/answer_writer.rs
@@ -25,7 +25,7 @@
 /// Returns a target's head as the caller gets it.
 pub(crate) fn relayed_head(head: &AnswerMessage, framing: AnswerFraming, close: bool) -> Vec<u8> {
     let mut headers = head.headers.clone();
-    headers.drop_hop_by_hop();
+    headers.remove_hop_by_hop();
     head_bytes(head.status, &headers, framing, close)
 }
 
--- a/src/edge/caller_link.rs
+++ b/src/edge/caller_link.rs
@@ -105,7 +105,7 @@
         let Some(message) = message else {
             return Ok(None);
         };
-        if message.headers.has_word("connection", "close") || message.old_version {
+        if message.headers.has_token("connection", "close") || message.old_version {
             self.reusable = false;
         }
         match self.read_body(&message, limits).await {
@@ -155,7 +155,7 @@
         }
         let mut decoder = BodyDecoder::new(framing);
         let mut body = Vec::new();
-        let mut asked = !message.headers.has_word("expect", "100-continue");
+        let mut asked = !message.headers.has_token("expect", "100-continue");
         loop {
             decoder.decode(&mut self.input, &mut body)?;
             if body.len() > limits.body_bytes {
--- a/src/edge/route_filter.rs
+++ b/src/edge/route_filter.rs
@@ -255,7 +255,7 @@
 fn prepare_headers(state: &EdgeState, request: &mut CallerRequest, account: &str) {
     let dialect = &state.dialect;
     let headers = &mut request.message.headers;
-    headers.drop_hop_by_hop();
+    headers.remove_hop_by_hop();
     headers.retain(|name| {
         let reserved = dialect.reserved.iter();
         !name.eq_ignore_ascii_case("authorization")
--- a/src/wire/complete_answer.rs
+++ b/src/wire/complete_answer.rs
@@ -93,5 +93,5 @@
 pub(crate) fn can_reuse_connection(head: &AnswerMessage, framing: BodyFraming) -> bool {
     framing != BodyFraming::UntilClose
         && !head.old_version
-        && !head.headers.has_word("connection", "close")
+        && !head.headers.has_token("connection", "close")
 }
--- a/src/wire/message_headers.rs
+++ b/src/wire/message_headers.rs
@@ -46,7 +46,7 @@
     }
 
     /// Tells whether one of the comma-separated words of `name` is `word`.
-    pub(crate) fn has_word(&self, name: &str, word: &str) -> bool {
+    pub(crate) fn has_token(&self, name: &str, word: &str) -> bool {
         self.all(name)
             .filter_map(|value| std::str::from_utf8(value).ok())
             .flat_map(|value| value.split(','))
@@ -65,7 +65,7 @@
 
     /// Drops what concerns only one connection (RFC 9110 section 7.6.1), also
     /// what the `Connection` line names; the framing is written anew.
-    pub(crate) fn drop_hop_by_hop(&mut self) {
+    pub(crate) fn remove_hop_by_hop(&mut self) {
         let named: Vec<String> = self
             .all("connection")
             .filter_map(|value| std::str::from_utf8(value).ok())
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -127,7 +127,7 @@
         ("X-Model", "m"),
     ]);
 
-    headers.drop_hop_by_hop();
+    headers.remove_hop_by_hop();
 
     assert_eq!(headers, headers_of(&[("X-Model", "m")]));
 }
