--- a/src/edge/answer_writer.rs
+++ b/src/edge/answer_writer.rs
@@ -86,7 +86,7 @@
 
 /// Returns the framing of a stream towards the caller of `request`.
 pub(crate) const fn stream_framing(request: &RequestMessage) -> AnswerFraming {
-    match request.old_version {
+    match request.is_http10 {
         true => AnswerFraming::UntilClose,
         false => AnswerFraming::Chunked,
     }
--- a/src/edge/caller_link.rs
+++ b/src/edge/caller_link.rs
@@ -105,7 +105,7 @@
         let Some(message) = message else {
             return Ok(None);
         };
-        if message.headers.has_token("connection", "close") || message.old_version {
+        if message.headers.has_token("connection", "close") || message.is_http10 {
             self.reusable = false;
         }
         match self.read_body(&message, limits).await {
--- a/src/wire/answer_message.rs
+++ b/src/wire/answer_message.rs
@@ -14,7 +14,7 @@
     /// The status.
     pub(crate) status: u16,
     /// Whether the sender speaks HTTP/1.0, and so keeps no connection.
-    pub(crate) old_version: bool,
+    pub(crate) is_http10: bool,
     /// The header lines.
     pub(crate) headers: MessageHeaders,
 }
@@ -51,7 +51,7 @@
         };
         let message = Self {
             status,
-            old_version: version == 0,
+            is_http10: version == 0,
             headers: MessageHeaders::of_parsed(parsed.headers),
         };
         input.consume(used);
--- a/src/wire/complete_answer.rs
+++ b/src/wire/complete_answer.rs
@@ -92,6 +92,6 @@
 /// Tells whether the sender keeps the connection after this answer.
 pub(crate) fn can_reuse_connection(head: &AnswerMessage, framing: BodyFraming) -> bool {
     framing != BodyFraming::UntilClose
-        && !head.old_version
+        && !head.is_http10
         && !head.headers.has_token("connection", "close")
 }
--- a/src/wire/request_message.rs
+++ b/src/wire/request_message.rs
@@ -15,7 +15,7 @@
     /// Path and query, as sent.
     pub(crate) target: String,
     /// Whether the caller speaks HTTP/1.0, and so knows no chunks.
-    pub(crate) old_version: bool,
+    pub(crate) is_http10: bool,
     /// The header lines.
     pub(crate) headers: MessageHeaders,
 }
@@ -50,7 +50,7 @@
         let message = Self {
             method: method.to_owned(),
             target: target.to_owned(),
-            old_version: version == 0,
+            is_http10: version == 0,
             headers: MessageHeaders::of_parsed(parsed.headers),
         };
         input.consume(used);
