--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -107,7 +107,7 @@
         while let Some(piece) = answer.next_chunk(self.silence_timeout()).await? {
             let relayed = self
                 .guard
-                .take(&piece)
+                .accept(&piece)
                 .map_err(|_| ExchangeError::Malformed)?;
             if !relayed.is_empty() {
                 self.run.buffer.put_bytes(Bytes::from(relayed));
--- a/src/stream/stream_guard.rs
+++ b/src/stream/stream_guard.rs
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// A [`StreamFault`]; nothing may be passed on after it.
-    pub(crate) fn take(&mut self, bytes: &[u8]) -> Result<Vec<u8>, StreamFault> {
+    pub(crate) fn accept(&mut self, bytes: &[u8]) -> Result<Vec<u8>, StreamFault> {
         self.pending.extend_from_slice(bytes);
         let mut passed = Vec::new();
         while let Some(event) = self.next_event() {
--- a/src/stream/tests.rs
+++ b/src/stream/tests.rs
@@ -18,7 +18,7 @@
 
     let mut passed = Vec::new();
     for piece in text.as_bytes().chunks(7) {
-        passed.extend(guard.take(piece).unwrap());
+        passed.extend(guard.accept(piece).unwrap());
     }
 
     assert_eq!(passed, text.as_bytes());
@@ -30,12 +30,12 @@
 #[test]
 fn overlap_after_a_resume_is_dropped() {
     let mut guard = StreamGuard::default();
-    guard.take((event(0) + &event(1)).as_bytes()).unwrap();
-    guard.take(b"data: {\"offset\":2,\"te").unwrap();
+    guard.accept((event(0) + &event(1)).as_bytes()).unwrap();
+    guard.accept(b"data: {\"offset\":2,\"te").unwrap();
 
     guard.resume();
     let resumed = event(1) + &event(2) + &end(3);
-    let passed = guard.take(resumed.as_bytes()).unwrap();
+    let passed = guard.accept(resumed.as_bytes()).unwrap();
 
     assert_eq!(passed, (event(2) + &end(3)).as_bytes());
     assert_eq!(guard.next_offset(), 3);
@@ -46,10 +46,10 @@
 #[test]
 fn gap_after_a_resume_is_a_fault() {
     let mut guard = StreamGuard::default();
-    guard.take(event(0).as_bytes()).unwrap();
+    guard.accept(event(0).as_bytes()).unwrap();
 
     guard.resume();
-    let fault = guard.take(event(2).as_bytes());
+    let fault = guard.accept(event(2).as_bytes());
 
     assert_eq!(fault, Err(StreamFault::TokenGap));
 }
@@ -57,9 +57,12 @@
 #[test]
 fn end_with_another_count_is_a_fault() {
     let mut guard = StreamGuard::default();
-    guard.take(event(0).as_bytes()).unwrap();
+    guard.accept(event(0).as_bytes()).unwrap();
 
-    assert_eq!(guard.take(end(2).as_bytes()), Err(StreamFault::WrongCount));
+    assert_eq!(
+        guard.accept(end(2).as_bytes()),
+        Err(StreamFault::WrongCount)
+    );
 }
 
 #[test]
@@ -67,5 +70,5 @@
     let mut guard = StreamGuard::default();
     let endless = vec![b'x'; 1 << 20];
 
-    assert_eq!(guard.take(&endless), Err(StreamFault::BrokenEvent));
+    assert_eq!(guard.accept(&endless), Err(StreamFault::BrokenEvent));
 }
