--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -239,7 +239,7 @@
             return;
         }
         self.expired_before = before;
-        self.entries.remove_below(&RequestId::first_at(before));
+        self.entries.remove_below(&RequestId::min_at(before));
         self.holders.retain(|_, record| record.latest >= before);
     }
 }
--- a/src/ids/request_id.rs
+++ b/src/ids/request_id.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the lowest value with this time; it bounds ids and is none itself.
-    pub const fn first_at(time: UnixMillis) -> Self {
+    pub const fn min_at(time: UnixMillis) -> Self {
         Self((time as u128) << BITS_BELOW_TIME)
     }
 
