--- a/examples/replay_patterns.rs
+++ b/examples/replay_patterns.rs
@@ -10,7 +10,7 @@
 use cardamomgw::replay::ReplayTrace;
 use cardamomgw::replay::TraceDeployment;
 use cardamomgw::replay::generate_trace;
-use cardamomgw::replay::play;
+use cardamomgw::replay::replay_trace;
 use cardamomgw::replay::report_table;
 
 fn main() {
@@ -30,7 +30,7 @@
             if word(4) == "own" {
                 options.policies.truncate(1);
             }
-            let report = play(&trace, &options);
+            let report = replay_trace(&trace, &options);
             if word(4) == "trace" {
                 print!("{}", trace.to_lines().unwrap_or_default());
                 continue;
@@ -52,7 +52,7 @@
         policies: vec![PolicyKind::Current],
         ..ReplayOptions::default()
     };
-    for policy in &play(&alone, &options).policies {
+    for policy in &replay_trace(&alone, &options).policies {
         let first = &policy.classes[0].first_token_ms;
         println!("alone: urgent first token p99 {:.1} ms", first.p99);
     }
--- a/src/cli/replay_command.rs
+++ b/src/cli/replay_command.rs
@@ -6,7 +6,7 @@
 use crate::replay::ReplayOptions;
 use crate::replay::ReplayReport;
 use crate::replay::ReplayTrace;
-use crate::replay::play;
+use crate::replay::replay_trace;
 use crate::replay::report_table;
 
 use super::cli_error::CliError;
@@ -27,7 +27,7 @@
             return Ok(CommandVerdict::Faulty);
         }
     };
-    let report = play(&trace, &options);
+    let report = replay_trace(&trace, &options);
     require_all(&report, &options)?;
     if flags.json {
         print_json(&report, output)?;
--- a/src/replay/replay_options.rs
+++ b/src/replay/replay_options.rs
@@ -32,13 +32,13 @@
 ///
 /// # Errors
 /// Fails when the file can't be read or is no trace.
-pub fn run(path: &Path, options: &ReplayOptions) -> Result<ReplayReport, TraceError> {
+pub fn replay_file(path: &Path, options: &ReplayOptions) -> Result<ReplayReport, TraceError> {
     let trace = ReplayTrace::open(path)?;
-    Ok(play(&trace, options))
+    Ok(replay_trace(&trace, options))
 }
 
 /// Plays a trace; each policy on a thread of its own.
-pub fn play(trace: &ReplayTrace, options: &ReplayOptions) -> ReplayReport {
+pub fn replay_trace(trace: &ReplayTrace, options: &ReplayOptions) -> ReplayReport {
     let bound = offline_bound(trace);
     let seed = options.seed;
     let policies = std::thread::scope(|scope| {
--- a/tests/process_trace.rs
+++ b/tests/process_trace.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use cardamomgw::replay::ReplayOptions;
-use cardamomgw::replay::run;
+use cardamomgw::replay::replay_file;
 use standins::new_request_id;
 use support::FleetPlan;
 use support::TestFleet;
@@ -39,7 +39,7 @@
             .count()
     };
     wait_for("the trace", || lines() == 1 + 2 * REQUESTS).await;
-    let report = run(path.as_ref(), &ReplayOptions::default()).unwrap();
+    let report = replay_file(path.as_ref(), &ReplayOptions::default()).unwrap();
     let own = &report.policies[0];
     let offered: usize = own.tiers.iter().map(|tier| tier.offered).sum();
     let useful: usize = own.tiers.iter().map(|tier| tier.useful).sum();
--- a/tests/replay_format.rs
+++ b/tests/replay_format.rs
@@ -11,9 +11,9 @@
 use cardamomgw::replay::TraceError;
 use cardamomgw::replay::generate_trace;
 use cardamomgw::replay::jain_index;
-use cardamomgw::replay::play;
+use cardamomgw::replay::replay_file;
+use cardamomgw::replay::replay_trace;
 use cardamomgw::replay::report_table;
-use cardamomgw::replay::run;
 
 fn short_trace(pattern: LoadPattern) -> ReplayTrace {
     generate_trace(
@@ -38,8 +38,8 @@
     let trace = short_trace(LoadPattern::Burst);
     let options = ReplayOptions::default();
 
-    let first = serde_json::to_string(&play(&trace, &options)).unwrap();
-    let second = serde_json::to_string(&play(&trace, &options)).unwrap();
+    let first = serde_json::to_string(&replay_trace(&trace, &options)).unwrap();
+    let second = serde_json::to_string(&replay_trace(&trace, &options)).unwrap();
 
     assert_eq!(first, second);
 }
@@ -48,7 +48,7 @@
 fn every_request_ends_once_and_nothing_beats_the_bound() {
     let trace = short_trace(LoadPattern::Saturation);
 
-    let report = play(&trace, &ReplayOptions::default());
+    let report = replay_trace(&trace, &ReplayOptions::default());
 
     for policy in &report.policies {
         for tier in &policy.tiers {
@@ -75,7 +75,7 @@
 fn the_sample_trace_plays() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("resources/sample-trace.jsonl");
 
-    let report = run(&path, &ReplayOptions::default()).unwrap();
+    let report = replay_file(&path, &ReplayOptions::default()).unwrap();
 
     let policy = report.policy(PolicyKind::Current).unwrap();
     assert_eq!(policy.tiers[0].useful, policy.tiers[0].offered);
--- a/tests/replay_patterns.rs
+++ b/tests/replay_patterns.rs
@@ -13,7 +13,7 @@
 use cardamomgw::replay::ReplayTrace;
 use cardamomgw::replay::TraceDeployment;
 use cardamomgw::replay::generate_trace;
-use cardamomgw::replay::play;
+use cardamomgw::replay::replay_trace;
 
 const DEPLOYMENTS: [TraceDeployment; 2] = [TraceDeployment::Harmattan, TraceDeployment::Vaalkloof];
 const LENGTH: Duration = Duration::from_secs(45);
@@ -27,7 +27,7 @@
         policies: policies.to_vec(),
         seed: 1,
     };
-    play(trace, &options)
+    replay_trace(trace, &options)
 }
 
 fn current(report: &ReplayReport) -> &PolicyReport {
