--- a/examples/replay_patterns.rs
+++ b/examples/replay_patterns.rs
@@ -32,7 +32,7 @@
             }
             let report = replay_trace(&trace, &options);
             if word(4) == "trace" {
-                print!("{}", trace.to_lines().unwrap_or_default());
+                print!("{}", trace.to_json_lines().unwrap_or_default());
                 continue;
             }
             print_idle(&trace);
--- a/src/replay/replay_trace.rs
+++ b/src/replay/replay_trace.rs
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// Fails only where a value can't be written as JSON.
-    pub fn to_lines(&self) -> Result<String, serde_json::Error> {
+    pub fn to_json_lines(&self) -> Result<String, serde_json::Error> {
         let mut text = serde_json::to_string(&self.header)?;
         text.push('\n');
         for arrival in &self.arrivals {
--- a/tests/cli_commands.rs
+++ b/tests/cli_commands.rs
@@ -259,7 +259,7 @@
         std::time::Duration::from_secs(20),
         1,
     );
-    let path = write_file("trace.jsonl", &trace.to_lines().unwrap());
+    let path = write_file("trace.jsonl", &trace.to_json_lines().unwrap());
 
     let table = run(&["replay", &path, "--policy", "round-robin"]);
     let json = run(&[
--- a/tests/replay_format.rs
+++ b/tests/replay_format.rs
@@ -28,7 +28,7 @@
 fn trace_survives_writing_and_reading() {
     let trace = short_trace(LoadPattern::Partition);
 
-    let read = ReplayTrace::parse(&trace.to_lines().unwrap()).unwrap();
+    let read = ReplayTrace::parse(&trace.to_json_lines().unwrap()).unwrap();
 
     assert_eq!(read, trace);
 }
@@ -61,7 +61,7 @@
 
 #[test]
 fn broken_traces_are_refused_with_their_line() {
-    let mut lines = short_trace(LoadPattern::Steady).to_lines().unwrap();
+    let mut lines = short_trace(LoadPattern::Steady).to_json_lines().unwrap();
     lines.push_str("{\"at_us\": \"soon\"}\n");
     let count = lines.lines().count();
 
