--- a/src/replay/replay_trace.rs
+++ b/src/replay/replay_trace.rs
@@ -27,7 +27,7 @@
     Unreadable(io::Error),
     /// A line is no header or arrival.
     #[display("line {line}: {source}")]
-    BadLine {
+    InvalidLine {
         /// The line's number, from 1.
         line: usize,
         /// What is wrong with it.
@@ -35,13 +35,13 @@
     },
     /// The trace has another format.
     #[display("the trace has format {format}, this build reads {TRACE_FORMAT}")]
-    BadFormat {
+    UnsupportedFormat {
         /// The format found.
         format: u32,
     },
     /// The file is empty.
     #[display("the trace has no header line")]
-    NoHeader,
+    MissingHeader,
     /// An arrival names something that the header does not list.
     #[display("arrival {arrival} names {name}, which the header does not list")]
     UnknownName {
@@ -71,10 +71,10 @@
             .lines()
             .enumerate()
             .filter(|(_, line)| !line.trim().is_empty());
-        let (index, line) = lines.next().ok_or(TraceError::NoHeader)?;
+        let (index, line) = lines.next().ok_or(TraceError::MissingHeader)?;
         let header: TraceHeader = parse_line(index, line)?;
         if header.format != TRACE_FORMAT {
-            return Err(TraceError::BadFormat {
+            return Err(TraceError::UnsupportedFormat {
                 format: header.format,
             });
         }
@@ -133,7 +133,7 @@
 }
 
 fn parse_line<'a, T: serde::Deserialize<'a>>(index: usize, line: &'a str) -> Result<T, TraceError> {
-    serde_json::from_str(line).map_err(|source| TraceError::BadLine {
+    serde_json::from_str(line).map_err(|source| TraceError::InvalidLine {
         line: index + 1,
         source,
     })
--- a/tests/replay_format.rs
+++ b/tests/replay_format.rs
@@ -67,8 +67,11 @@
 
     let error = ReplayTrace::parse(&lines).unwrap_err();
 
-    assert!(matches!(error, TraceError::BadLine { line, .. } if line == count));
-    assert!(matches!(ReplayTrace::parse(""), Err(TraceError::NoHeader)));
+    assert!(matches!(error, TraceError::InvalidLine { line, .. } if line == count));
+    assert!(matches!(
+        ReplayTrace::parse(""),
+        Err(TraceError::MissingHeader)
+    ));
 }
 
 #[test]
