--- a/src/fleet/allowed_table.rs
+++ b/src/fleet/allowed_table.rs
@@ -1,4 +1,4 @@
-//! The allowed targets of every class and account, worked out once a document.
+//! Precomputed table of the allowed targets of each class and account.
 
 use std::sync::Arc;
 
@@ -10,18 +10,18 @@
 use super::compiled_entries::CompiledTarget;
 use super::reserved_labels::RequestLabels;
 
-/// The allowed targets of every class and account.
+/// The allowed targets for each combination of class and account.
 ///
-/// Equal lists of a class are shared: with 2,100 accounts that the selectors
-/// treat alike there is one list a class, and a pointer an account.
+/// Accounts with identical lists share one allocation per class: 2,100 accounts
+/// that the selectors treat alike need one list per class and one pointer per account.
 #[derive(Clone, Debug)]
 pub(super) struct AllowedTable {
     rows: Vec<Arc<Vec<TargetName>>>,
-    accounts: usize,
+    account_count: usize,
 }
 
 impl AllowedTable {
-    /// Works the table out; `targets` stand sorted by name.
+    /// Computes the table; `targets` must be sorted by name.
     pub(super) fn build(
         targets: &[CompiledTarget],
         classes: &[CompiledClass],
@@ -33,68 +33,68 @@
             .collect();
         Self {
             rows,
-            accounts: accounts.len(),
+            account_count: accounts.len(),
         }
     }
 
-    /// Returns the row of a class and an account by their places.
+    /// Returns the allowed targets for a class index and an account index.
     pub(super) fn row(&self, class: usize, account: usize) -> Option<&Arc<Vec<TargetName>>> {
-        if account >= self.accounts {
+        if account >= self.account_count {
             return None;
         }
-        self.rows.get(class * self.accounts + account)
+        self.rows.get(class * self.account_count + account)
     }
 }
 
-/// Which of a class's reachable targets accept a request.
+/// One flag per target that the class selects: whether it accepts the request.
 type AcceptMask = Vec<bool>;
 
-/// The lists that a class's accounts share, by the targets that are in them.
-type SharedLists = SortedMap<AcceptMask, Arc<Vec<TargetName>>>;
+/// The distinct target lists of one class, by accept mask.
+type ListsByMask = SortedMap<AcceptMask, Arc<Vec<TargetName>>>;
 
 fn class_rows(
     targets: &[CompiledTarget],
     class: &CompiledClass,
     accounts: &[CompiledAccount],
 ) -> Vec<Arc<Vec<TargetName>>> {
-    let reachable: Vec<&CompiledTarget> = targets
+    let selected: Vec<&CompiledTarget> = targets
         .iter()
         .filter(|target| class.targets.matches(&target.labels))
         .collect();
-    let mut shared = SharedLists::new();
+    let mut lists = ListsByMask::new();
     accounts
         .iter()
         .map(|account| {
-            let mask = accept_mask(&reachable, class, account);
-            shared_list(mask, &reachable, &mut shared)
+            let mask = accept_mask(&selected, class, account);
+            list_for_mask(mask, &selected, &mut lists)
         })
         .collect()
 }
 
 fn accept_mask(
-    reachable: &[&CompiledTarget],
+    selected: &[&CompiledTarget],
     class: &CompiledClass,
     account: &CompiledAccount,
 ) -> AcceptMask {
     let request = RequestLabels::new(&class.rule, &account.account);
-    reachable
+    selected
         .iter()
-        .map(|target| request.match_all(&target.accepts))
+        .map(|target| request.matches(&target.accepts))
         .collect()
 }
 
-/// Names are copied only for the first account of each list.
-fn shared_list(
+/// Returns the list for `mask`; names are cloned only when the list is first needed.
+fn list_for_mask(
     mask: AcceptMask,
-    reachable: &[&CompiledTarget],
-    shared: &mut SharedLists,
+    selected: &[&CompiledTarget],
+    lists: &mut ListsByMask,
 ) -> Arc<Vec<TargetName>> {
-    if let Some(list) = shared.get(&mask) {
+    if let Some(list) = lists.get(&mask) {
         return Arc::clone(list);
     }
-    let accepting = reachable.iter().zip(&mask).filter(|(_, accepts)| **accepts);
+    let accepting = selected.iter().zip(&mask).filter(|(_, accepts)| **accepts);
     let names = accepting.map(|(target, _)| target.target.name.clone());
     let list = Arc::new(names.collect());
-    shared.insert(mask, Arc::clone(&list));
+    lists.insert(mask, Arc::clone(&list));
     list
 }
--- a/src/fleet/compiled_entries.rs
+++ b/src/fleet/compiled_entries.rs
@@ -1,4 +1,4 @@
-//! The parts of a fleet view: a document's entries with their selectors parsed.
+//! The entries of a fleet view: targets, classes and accounts with parsed selectors.
 
 use crate::selector::LabelSelector;
 
@@ -7,29 +7,30 @@
 use super::FleetTarget;
 use super::LabelMap;
 
-/// A target with its `accepts` selector parsed.
+/// A target with its parsed `accepts` selector.
 #[derive(Clone, Debug)]
 pub struct CompiledTarget {
-    /// The target as the document has it.
+    /// The target as declared in the document.
     pub target: FleetTarget,
+    /// The declared labels and the reserved ones.
     pub(super) labels: LabelMap,
     pub(super) accepts: LabelSelector,
 }
 
-/// A class with its `targets` selector parsed.
+/// A class with its parsed `targets` selector.
 #[derive(Clone, Debug)]
 pub struct CompiledClass {
-    /// The class as the document has it.
+    /// The class as declared in the document.
     pub rule: ClassRule,
     pub(super) targets: LabelSelector,
-    /// The class's place in the document and in the table of allowed targets.
+    /// The class's index in the document and in the table of allowed targets.
     pub(super) index: usize,
 }
 
-/// A client account with its place in the table of allowed targets.
+/// A client account with its index in the table of allowed targets.
 #[derive(Clone, Debug)]
 pub struct CompiledAccount {
-    /// The account as the document has it.
+    /// The account as declared in the document.
     pub account: ClientAccount,
     pub(super) index: usize,
 }
--- a/src/fleet/fleet_document.rs
+++ b/src/fleet/fleet_document.rs
@@ -1,4 +1,4 @@
-//! The typed form of the fleet document, as JSON writes it.
+//! The typed form of the fleet document's JSON.
 
 use std::net::SocketAddr;
 
@@ -16,42 +16,42 @@
 use crate::ids::ZoneName;
 use crate::sorted::SortedMap;
 
-/// The operators' labels of a host, target, class or account.
+/// Operator-defined labels of a target, class or account.
 pub type LabelMap = SortedMap<String, String>;
 
-/// Everything that operators publish for one fleet, as one value.
+/// The complete configuration of one fleet, published by its operators.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetDocument {
-    /// Rises with each edit; a lower version is never put in force.
+    /// Increases with each edit; a lower version is never put in force.
     pub version: FleetVersion,
-    /// The version that the editor started from, when the editor says so.
+    /// The version that this edit is based on, if the editor states it.
     #[serde(default)]
     pub edited_from: Option<FleetVersion>,
     /// The entry hosts that hold seats.
     pub roster: SeatRoster,
-    /// The roster that `roster` replaces; absent when the document founds a fleet.
+    /// The roster that `roster` replaces; absent in the first document of a fleet.
     #[serde(default)]
     pub former: Option<SeatRoster>,
-    /// Says that every seat of `former` is gone for good, by the operator's word.
+    /// The operator's statement that every seat of `former` is permanently lost.
     #[serde(default)]
     pub former_lost: bool,
     /// The engines and services.
     pub targets: Vec<FleetTarget>,
-    /// The request classes, in the order in which routes are tried.
+    /// The request classes, in the order in which their routes are matched.
     pub classes: Vec<ClassRule>,
     /// The client accounts.
     pub accounts: Vec<ClientAccount>,
-    /// Limits of the fleet as a whole.
+    /// Fleet-wide limits.
     #[serde(default)]
     pub limits: FleetLimits,
 }
 
-/// A numbered set of seats.
+/// A numbered set of seats, the hosts that vote on claims.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SeatRoster {
-    /// Rises with each change of the seats.
+    /// Increases with each change of the seats.
     pub number: RosterNumber,
     /// The seats.
     pub seats: Vec<SeatAddress>,
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SeatAddress {
-    /// The host that holds the seat; a replaced host has a new name.
+    /// The host that holds the seat; a replacement host has a new name.
     pub host: HostName,
     /// Where peers reach the host.
     pub address: SocketAddr,
@@ -69,91 +69,91 @@
     pub availability_zone: ZoneName,
 }
 
-/// What a target is.
+/// The kind of a back end.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetKind {
-    /// A model engine: batches continuously, streams tokens, resumes and cancels.
+    /// A model engine: continuous batching, token streaming, resumption and cancellation.
     Engine,
-    /// A plain service: one answer a call.
+    /// A plain service: one answer per call.
     Service,
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetState {
-    /// Takes new work.
+    /// Accepts new work.
     #[default]
     Live,
-    /// Finishes what runs and takes nothing new.
+    /// Finishes running work and accepts nothing new.
     Leaving,
 }
 
-/// A back end that requests may go to.
+/// A back end that serves requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetTarget {
     /// The target's name.
     pub name: TargetName,
-    /// What the target is.
+    /// The kind of back end.
     pub kind: TargetKind,
-    /// Where the target listens.
+    /// The address that the target listens on.
     pub address: SocketAddr,
     /// The target's availability zone.
     pub availability_zone: ZoneName,
-    /// The operators' labels, such as `model`, `generation` or `lot`.
+    /// Operator-defined labels, such as `model`, `generation` or `lot`.
     #[serde(default)]
     pub labels: LabelMap,
-    /// How many requests may run at once over all hosts.
+    /// The maximum number of concurrent requests, over all hosts.
     pub slots: u32,
     /// Whether the target takes new work.
     #[serde(default)]
     pub state: TargetState,
-    /// A selector over a request's labels (of its class and its account, and
-    /// `class`, `account`, `tier`); only what matches may come here.
+    /// A selector over a request's labels (those of its class and account, and
+    /// `class`, `account`, `tier`); only matching requests may use the target.
     #[serde(default)]
     pub accepts: String,
 }
 
-/// How a request is recognised as one of a class.
+/// A method and path that assign a request to a class.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRule {
     /// The HTTP method.
     pub method: String,
-    /// The path, or its beginning when it ends in `/*`.
+    /// The exact path, or a prefix if it ends in `/*`.
     pub path: String,
 }
 
-/// A class of requests and where it may go.
+/// A class of requests and the targets that may serve it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassRule {
-    /// The class's name; a caller picks it with `Request-Class` where several
-    /// classes share a route, and the first in order is taken otherwise.
+    /// The class's name. Where several classes share a route, a caller selects one
+    /// with `Request-Class`; without the header the first in order applies.
     pub name: ClassName,
-    /// The operators' labels.
+    /// Operator-defined labels.
     #[serde(default)]
     pub labels: LabelMap,
     /// The routes of the class.
     pub routes: Vec<RouteRule>,
     /// A selector over the targets' labels (and `kind`, `name`,
-    /// `availability_zone`); only targets that match serve the class.
+    /// `availability_zone`); only matching targets serve the class.
     pub targets: String,
-    /// The tier: 0 is the highest.
+    /// The priority tier; 0 is the highest.
     pub tier: TierRank,
-    /// Whether a call of the class may safely run again.
+    /// Whether a call of the class may safely run more than once.
     pub idempotent: bool,
-    /// The time for the whole answer, in milliseconds.
+    /// The deadline for the complete answer, in milliseconds.
     pub deadline_ms: u64,
-    /// The expected prompt length, in tokens, where the body does not tell.
+    /// The expected prompt length in tokens, used where the body doesn't state it.
     #[serde(default)]
     pub expected_prompt_tokens: TokenCount,
-    /// The expected length of the answer, in tokens.
+    /// The expected answer length in tokens.
     #[serde(default)]
     pub expected_output_tokens: TokenCount,
-    /// The largest body, in bytes.
+    /// The maximum body size in bytes.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: u64,
 }
@@ -162,24 +162,24 @@
     1 << 20
 }
 
-/// A caller's account.
+/// A client account.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
     /// The account's name.
     pub name: AccountName,
-    /// SHA-256 of the bearer token, in hexadecimal; the token itself is nowhere.
+    /// The SHA-256 of the bearer token in hexadecimal; the token itself is not stored.
     pub token_sha256: String,
-    /// The operators' labels.
+    /// Operator-defined labels.
     #[serde(default)]
     pub labels: LabelMap,
-    /// The account's weight in the fair queue; 1 when absent.
+    /// The account's weight in the fair queue; 1 if absent.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// The most requests a second over all hosts; no limit when absent.
+    /// The maximum request rate per second over all hosts; unlimited if absent.
     #[serde(default)]
     pub requests_per_second: Option<u32>,
-    /// The largest burst above the rate, in requests; the rate when absent.
+    /// The maximum burst above the rate, in requests; equal to the rate if absent.
     #[serde(default)]
     pub burst: Option<u32>,
 }
@@ -188,17 +188,17 @@
     1
 }
 
-/// Limits of the fleet as a whole.
+/// Fleet-wide limits.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetLimits {
-    /// How long seats remember a request id, in milliseconds.
+    /// How long seats retain a request id, in milliseconds.
     pub claim_window_ms: u64,
-    /// How far two clocks may differ, in milliseconds.
+    /// The maximum tolerated difference between two clocks, in milliseconds.
     pub clock_skew_ms: u64,
-    /// The most requests that may wait on one host.
+    /// The maximum number of requests queued on one host.
     pub max_waiting: u32,
-    /// How many bytes of answers a host keeps for resends.
+    /// The maximum size of the answers that a host caches for resends, in bytes.
     pub kept_answer_bytes: u64,
 }
 
--- a/src/fleet/fleet_view.rs
+++ b/src/fleet/fleet_view.rs
@@ -15,20 +15,20 @@
 use super::fleet_digest::document_digest;
 use super::reserved_labels::RequestLabels;
 use super::reserved_labels::target_labels;
-use super::route_match::is_ambiguous;
-use super::route_match::route_matches;
-use super::route_match::without_query;
+use super::route_matcher::has_ambiguous_segment;
+use super::route_matcher::route_matches;
+use super::route_matcher::without_query;
 use super::target_explanation::ExclusionReason;
 use super::target_explanation::TargetExplanation;
 use super::token_table::TokenTable;
 use super::validation::document_warnings;
 use super::validation::validate_document;
 
-/// A fleet document that was found sound, with its selectors parsed and the
-/// allowed targets of each class and account worked out.
+/// A validated fleet document with parsed selectors and the precomputed allowed
+/// targets of each class and account.
 ///
-/// It never changes: the request path reads it through `arc-swap`, and a new
-/// document makes a new view.
+/// It is immutable: the request path reads it through `arc-swap`, and each new
+/// document is compiled into a new view.
 #[derive(Clone, Debug)]
 pub struct FleetView {
     document: FleetDocument,
@@ -42,11 +42,11 @@
 }
 
 impl FleetView {
-    /// Checks a document as a whole and compiles it.
+    /// Validates a document and compiles it.
     ///
     /// # Errors
     ///
-    /// Every fault at once; a document with one fault is refused whole.
+    /// Returns every fault. A single fault rejects the whole document.
     pub fn compile(document: FleetDocument) -> Result<Self, Vec<DocumentFault>> {
         let faults = validate_document(&document);
         if !faults.is_empty() {
@@ -74,7 +74,7 @@
         &self.document
     }
 
-    /// Tells whether a host holds a seat of the document's roster.
+    /// Returns whether a host holds a seat in the document's roster.
     pub fn has_seat(&self, host: &str) -> bool {
         self.document
             .roster
@@ -88,7 +88,7 @@
         &self.digest
     }
 
-    /// Returns what is allowed and yet most likely a mistake.
+    /// Returns warnings about entries that are valid but probably a mistake.
     pub fn warnings(&self) -> &[DocumentFault] {
         &self.warnings
     }
@@ -98,7 +98,7 @@
         &self.targets
     }
 
-    /// Returns the classes, in the document's order.
+    /// Returns the classes in document order.
     pub fn classes(&self) -> &[CompiledClass] {
         &self.classes
     }
@@ -108,7 +108,7 @@
         &self.accounts
     }
 
-    /// Returns the target of this name.
+    /// Returns the target with this name.
     pub fn target(&self, name: &str) -> Option<&CompiledTarget> {
         let index = self
             .targets
@@ -117,12 +117,12 @@
         self.targets.get(index)
     }
 
-    /// Returns the class of this name.
+    /// Returns the class with this name.
     pub fn class(&self, name: &str) -> Option<&CompiledClass> {
         self.classes.iter().find(|class| class.rule.name == name)
     }
 
-    /// Returns the account of this name.
+    /// Returns the account with this name.
     pub fn account(&self, name: &str) -> Option<&CompiledAccount> {
         let index = self
             .accounts
@@ -131,17 +131,18 @@
         self.accounts.get(index)
     }
 
-    /// Returns the account whose bearer token this is.
+    /// Returns the account that a bearer token belongs to.
     ///
-    /// How long the look-up takes tells a caller that guesses tokens nothing.
+    /// The duration of the lookup reveals nothing to a caller that guesses tokens.
     pub fn account_by_token(&self, token: &str) -> Option<&CompiledAccount> {
         self.accounts.get(self.tokens.find(token)?)
     }
 
-    /// Returns the class of a request: the one that it names, or else the first
-    /// in the document that has a route for the method and path.
+    /// Returns the class of a request: the first in document order with a route that
+    /// matches the method and path.
     ///
-    /// A class that the request names must have such a route as well.
+    /// If `request_class` is given, only the class of that name is considered; its
+    /// routes must match as well.
     pub fn class_for_request(
         &self,
         method: &str,
@@ -149,19 +150,19 @@
         request_class: Option<&str>,
     ) -> Option<&CompiledClass> {
         let path = without_query(path);
-        if is_ambiguous(path) {
+        if has_ambiguous_segment(path) {
             return None;
         }
         self.classes
             .iter()
             .filter(|class| request_class.is_none_or(|name| class.rule.name == name))
-            .find(|class| class.takes(method, path))
+            .find(|class| class.has_route(method, path))
     }
 
-    /// Returns the sorted names of the targets that a request may go to.
+    /// Returns the sorted names of the targets that may serve a request.
     ///
-    /// Whether a target is there and takes new work is not told here. `class`
-    /// and `account` must come from this view; of another one they get nothing.
+    /// The list doesn't reflect whether a target is reachable or accepts new work.
+    /// `class` and `account` must come from this view; the list is empty otherwise.
     pub fn allowed_targets(
         &self,
         class: &CompiledClass,
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Returns for every target whether the request may go there, or the first
-    /// reason why not.
+    /// Returns for every target whether it may serve the request, or the first
+    /// reason that excludes it.
     pub fn explain(
         &self,
         class: &CompiledClass,
@@ -187,7 +188,7 @@
             .iter()
             .map(|target| TargetExplanation {
                 target: target.target.name.clone(),
-                excluded: exclusion(target, class, &request),
+                excluded: exclusion_reason(target, class, &request),
             })
             .collect()
     }
@@ -204,13 +205,13 @@
 }
 
 impl CompiledClass {
-    fn takes(&self, method: &str, path: &str) -> bool {
+    fn has_route(&self, method: &str, path: &str) -> bool {
         let mut routes = self.rule.routes.iter();
         routes.any(|route| route_matches(route, method, path))
     }
 }
 
-fn exclusion(
+fn exclusion_reason(
     target: &CompiledTarget,
     class: &CompiledClass,
     request: &RequestLabels<'_>,
@@ -227,7 +228,7 @@
     }
 }
 
-// Validation has parsed every selector, so the defaults below are never taken.
+// Validation has already parsed every selector, so the defaults below are never used.
 
 fn compile_targets(document: &FleetDocument) -> Vec<CompiledTarget> {
     let mut targets: Vec<CompiledTarget> = document
--- a/src/fleet/reserved_labels.rs
+++ b/src/fleet/reserved_labels.rs
@@ -1,4 +1,4 @@
-//! The labels that selectors see beside the operators' own.
+//! Reserved labels, which the gateway adds to the operator-defined ones for selectors.
 
 use crate::selector::LabelSelector;
 use crate::selector::SelectorTerm;
@@ -9,13 +9,13 @@
 use super::LabelMap;
 use super::TargetKind;
 
-/// The keys that every target has; no operator's label may use them.
-pub(crate) const TARGET_KEYS: &[&str] = &["availability_zone", "kind", "name"];
+/// The reserved label keys of targets; operator-defined labels must not use them.
+pub(crate) const RESERVED_TARGET_KEYS: &[&str] = &["availability_zone", "kind", "name"];
 
-/// The keys that every request has; no operator's label may use them.
-pub(crate) const REQUEST_KEYS: &[&str] = &["account", "class", "tier"];
+/// The reserved label keys of requests; operator-defined labels must not use them.
+pub(crate) const RESERVED_REQUEST_KEYS: &[&str] = &["account", "class", "tier"];
 
-/// Returns what a class's `targets` selector sees of a target.
+/// Returns the labels that a class's `targets` selector is evaluated against.
 pub(crate) fn target_labels(target: &FleetTarget) -> LabelMap {
     let kind = match target.kind {
         TargetKind::Engine => "engine",
@@ -31,8 +31,8 @@
     labels
 }
 
-/// What a target's `accepts` selector sees of a request; it borrows the labels,
-/// since it is made for each class and account of a document.
+/// The labels that a target's `accepts` selector is evaluated against. They are
+/// borrowed, since a value is created for each class and account of a document.
 #[derive(Debug)]
 pub(crate) struct RequestLabels<'a> {
     class: &'a ClassRule,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns the first condition that the request does not meet.
+    /// Returns the first requirement that the request doesn't meet.
     pub(crate) fn first_mismatch<'s>(
         &self,
         selector: &'s LabelSelector,
@@ -57,21 +57,21 @@
         selector.first_mismatch_by(|key| self.value(key))
     }
 
-    /// Tells whether the request meets every condition.
-    pub(crate) fn match_all(&self, selector: &LabelSelector) -> bool {
+    /// Returns whether the request meets every requirement.
+    pub(crate) fn matches(&self, selector: &LabelSelector) -> bool {
         self.first_mismatch(selector).is_none()
     }
 
-    /// A key that stands on both the class and the account is refused by
-    /// validation where a selector asks for it, so the order decides nothing.
+    /// The order of the two look-ups doesn't matter: validation rejects a selector
+    /// over a key that both the class and the account have.
     fn value(&self, key: &str) -> Option<&str> {
         match key {
             "account" => Some(&self.account.name),
             "class" => Some(&self.class.name),
             "tier" => Some(&self.tier),
             _ => {
-                let own = self.class.labels.get(key);
-                let value = own.or_else(|| self.account.labels.get(key));
+                let class_label = self.class.labels.get(key);
+                let value = class_label.or_else(|| self.account.labels.get(key));
                 value.map(String::as_str)
             }
         }
--- a/src/fleet/token_table.rs
+++ b/src/fleet/token_table.rs
@@ -1,4 +1,4 @@
-//! The look-up of an account by its bearer token.
+//! Constant-time lookup of an account by its bearer token.
 
 use sha2::Digest;
 use sha2::Sha256;
@@ -7,33 +7,33 @@
 
 use super::compiled_entries::CompiledAccount;
 
-/// What stands for "no account"; no table is that long.
+/// Marks that no account was found; no table is that long.
 const NOT_FOUND: u64 = u64::MAX;
 
-/// A SHA-256 as four words: comparing words takes a tenth of the time that
-/// comparing 32 bytes takes.
+/// A SHA-256 as four words: comparing words takes a tenth of the time of comparing
+/// 32 bytes.
 type TokenHash = [u64; 4];
 
-/// The hashes of every account's token, in the order of the accounts.
+/// The token hashes of all accounts, in the order of the accounts.
 #[derive(Clone, Debug)]
 pub(super) struct TokenTable {
     hashes: Vec<TokenHash>,
 }
 
 impl TokenTable {
-    /// Takes the hashes over; validation has seen 64 hexadecimal digits each.
+    /// Decodes the hashes; validation has checked that each has 64 hexadecimal digits.
     pub(super) fn build(accounts: &[CompiledAccount]) -> Self {
         let hashes = accounts
             .iter()
-            .map(|view| hash_words(&decoded(&view.account.token_sha256)))
+            .map(|view| hash_words(&decode_hash(&view.account.token_sha256)))
             .collect();
         Self { hashes }
     }
 
-    /// Returns the place of the account whose token this is.
+    /// Returns the index of the account that the token belongs to.
     ///
-    /// Every hash is compared, each in constant time: neither how far a hash
-    /// agrees nor which account was meant shows in the time that it takes.
+    /// Every hash is compared, each in constant time, so the duration reveals neither
+    /// the length of a matching prefix nor which account matched.
     pub(super) fn find(&self, token: &str) -> Option<usize> {
         let presented = hash_words(&Sha256::digest(token.as_bytes()).into());
         let mut found = NOT_FOUND;
@@ -48,16 +48,16 @@
     }
 }
 
-/// Returns 0 where the hashes are equal, without a branch.
+/// Returns 0 if the hashes are equal, without branching.
 fn difference(left: &TokenHash, right: &TokenHash) -> u64 {
     let pairs = left.iter().zip(right);
     pairs.fold(0, |bits, (left, right)| bits | (left ^ right))
 }
 
-fn decoded(digits: &str) -> [u8; 32] {
+fn decode_hash(digits: &str) -> [u8; 32] {
     let mut hash = [0; 32];
-    // An account whose hash can't be read would be found by no token's hash
-    // but all zeros, which no token is known to have.
+    // An account whose hash can't be decoded is never found: no token is known to
+    // hash to all zeros.
     let _ = hex::decode_to_slice(digits, &mut hash);
     hash
 }
--- a/src/fleet/validation/account_checks.rs
+++ b/src/fleet/validation/account_checks.rs
@@ -1,8 +1,8 @@
-//! The client accounts.
+//! Validation of the client accounts.
 
 use crate::fleet::ClientAccount;
 use crate::fleet::FleetDocument;
-use crate::fleet::reserved_labels::REQUEST_KEYS;
+use crate::fleet::reserved_labels::RESERVED_REQUEST_KEYS;
 use crate::json::DocumentFault;
 
 use super::name_checks::check_labels;
@@ -10,9 +10,10 @@
 use super::name_checks::check_unique;
 
 /// The number of hexadecimal digits of a SHA-256.
-const HASH_DIGITS: usize = 64;
+const HASH_HEX_DIGITS: usize = 64;
 
-/// SHA-256 of nothing: who presents an empty token would be the account.
+/// The SHA-256 of the empty string. An account with this hash would be open to any
+/// caller that presents an empty token.
 const EMPTY_TOKEN_HASH: &str = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
 
 /// Checks every account.
@@ -42,10 +43,10 @@
     check_labels(
         &format!("{path}.labels"),
         &account.labels,
-        REQUEST_KEYS,
+        RESERVED_REQUEST_KEYS,
         faults,
     );
-    if let Some(message) = hash_fault(&account.token_sha256) {
+    if let Some(message) = hash_error(&account.token_sha256) {
         faults.push(DocumentFault::new(format!("{path}.token_sha256"), message));
     }
     if account.weight == 0 {
@@ -72,9 +73,9 @@
     faults.push(DocumentFault::new(format!("{path}.burst"), message));
 }
 
-fn hash_fault(hash: &str) -> Option<&'static str> {
-    let is_hash =
-        hash.len() == HASH_DIGITS && hash.chars().all(|character| character.is_ascii_hexdigit());
+fn hash_error(hash: &str) -> Option<&'static str> {
+    let is_hash = hash.len() == HASH_HEX_DIGITS
+        && hash.chars().all(|character| character.is_ascii_hexdigit());
     if !is_hash {
         return Some("must be the 64 hexadecimal digits of the token's SHA-256");
     }
--- a/src/fleet/validation/class_checks.rs
+++ b/src/fleet/validation/class_checks.rs
@@ -1,10 +1,10 @@
-//! The request classes and their routes.
+//! Validation of the request classes and their routes.
 
 use crate::fleet::ClassRule;
 use crate::fleet::FleetDocument;
 use crate::fleet::RouteRule;
-use crate::fleet::reserved_labels::REQUEST_KEYS;
-use crate::fleet::route_match::is_ambiguous;
+use crate::fleet::reserved_labels::RESERVED_REQUEST_KEYS;
+use crate::fleet::route_matcher::has_ambiguous_segment;
 use crate::json::DocumentFault;
 
 use super::name_checks::check_labels;
@@ -26,7 +26,7 @@
     check_labels(
         &format!("{path}.labels"),
         &class.labels,
-        REQUEST_KEYS,
+        RESERVED_REQUEST_KEYS,
         faults,
     );
     check_selector(&format!("{path}.targets"), &class.targets, faults);
@@ -39,7 +39,7 @@
     if class.routes.is_empty() {
         faults.push(DocumentFault::new(
             format!("{path}.routes"),
-            "must not be empty: no request could be of the class",
+            "must not be empty: no request would match the class",
         ));
     }
     for (index, route) in class.routes.iter().enumerate() {
@@ -64,27 +64,27 @@
             .chars()
             .all(|character| character.is_ascii_uppercase());
     if !is_method {
-        let message = format!("`{}` is no method; write it in capitals", route.method);
+        let message = format!("`{}` is not a method in upper case", route.method);
         faults.push(DocumentFault::new(format!("{path}.method"), message));
     }
-    if let Some(message) = path_fault(&route.path) {
+    if let Some(message) = path_error(&route.path) {
         faults.push(DocumentFault::new(format!("{path}.path"), message));
     }
 }
 
-fn path_fault(path: &str) -> Option<&'static str> {
+fn path_error(path: &str) -> Option<&'static str> {
     if !path.starts_with('/') {
         return Some("must begin with `/`");
     }
-    let beginning = path.strip_suffix("/*").unwrap_or(path);
-    if beginning.contains('*') {
-        return Some("may hold `*` only as its last part, as in `/v1/*`");
+    let prefix = path.strip_suffix("/*").unwrap_or(path);
+    if prefix.contains('*') {
+        return Some("may contain `*` only as its last segment, as in `/v1/*`");
     }
     if path.contains(['?', '#', ' ']) {
-        return Some("must hold no query, fragment or blank: it would match nothing");
+        return Some("must not contain a query, fragment or space: it would match nothing");
     }
-    if is_ambiguous(path) {
-        return Some("must hold no `.` or `..` part: it would match nothing");
+    if has_ambiguous_segment(path) {
+        return Some("must not contain a `.` or `..` segment: it would match nothing");
     }
     None
 }
--- a/src/fleet/validation/document_checks.rs
+++ b/src/fleet/validation/document_checks.rs
@@ -1,4 +1,4 @@
-//! The version and the limits.
+//! Validation of the document's version and limits.
 
 use crate::fleet::FleetDocument;
 use crate::json::DocumentFault;
@@ -13,13 +13,13 @@
     if document.version == 0 {
         faults.push(DocumentFault::new("version", "must be 1 or more"));
     }
-    let is_backward = document
+    let is_based_on_later = document
         .edited_from
         .is_some_and(|edited_from| edited_from >= document.version);
-    if is_backward {
+    if is_based_on_later {
         faults.push(DocumentFault::new(
             "edited_from",
-            "must be below `version`, since a version only rises",
+            "must be below `version`, since versions only increase",
         ));
     }
 }
@@ -29,13 +29,13 @@
     if limits.claim_window_ms == 0 {
         faults.push(DocumentFault::new(
             "limits.claim_window_ms",
-            "must be 1 or more: seats would remember no request",
+            "must be 1 or more: seats would not retain any request id",
         ));
     }
     if limits.clock_skew_ms >= limits.claim_window_ms {
         faults.push(DocumentFault::new(
             "limits.clock_skew_ms",
-            "must be below `claim_window_ms`: every request id would be out of the window",
+            "must be below `claim_window_ms`: every request id would be outside the window",
         ));
     }
     if limits.max_waiting == 0 {
--- a/src/fleet/validation/mod.rs
+++ b/src/fleet/validation/mod.rs
@@ -1,4 +1,4 @@
-//! Whether a fleet document makes sense: every fault and every warning at once.
+//! Validation of fleet documents: reports every fault and every warning.
 
 mod account_checks;
 mod class_checks;
@@ -12,7 +12,7 @@
 
 use super::FleetDocument;
 
-/// Returns everything for which the document is refused.
+/// Returns the faults for which the document is rejected.
 pub(super) fn validate_document(document: &FleetDocument) -> Vec<DocumentFault> {
     let mut faults = Vec::new();
     document_checks::check(document, &mut faults);
@@ -23,7 +23,7 @@
     faults
 }
 
-/// Returns what is most likely a mistake in a document that is not refused.
+/// Returns the probable mistakes in a valid document.
 pub(super) fn document_warnings(document: &FleetDocument) -> Vec<DocumentFault> {
     reach_warnings::warnings(document)
 }
--- a/src/fleet/validation/name_checks.rs
+++ b/src/fleet/validation/name_checks.rs
@@ -1,4 +1,4 @@
-//! Names, labels, addresses and selectors: what every entry has.
+//! Validation of names, labels, addresses and selectors, shared by all entries.
 
 use std::net::SocketAddr;
 
@@ -7,50 +7,53 @@
 use crate::selector::LabelSelector;
 use crate::selector::is_label_char;
 
-/// The longest name, key or value, in characters: they travel in headers,
-/// metrics and every peer's digest.
+/// The maximum length of a name, key or value in characters: they are sent in
+/// headers, metrics and every peer's digest.
 const MAX_NAME_LENGTH: usize = 128;
 
-/// Checks that a name can stand in a selector.
+/// Checks that a name can be used in a selector.
 pub(super) fn check_name(path: &str, name: &str, faults: &mut Vec<DocumentFault>) {
-    if let Some(message) = name_fault(name) {
+    if let Some(message) = name_error(name) {
         faults.push(DocumentFault::new(path, message));
     }
 }
 
-fn name_fault(name: &str) -> Option<String> {
+fn name_error(name: &str) -> Option<String> {
     if name.is_empty() {
         return Some(String::from("must not be empty"));
     }
     if name.chars().count() > MAX_NAME_LENGTH {
         return Some(format!("is longer than {MAX_NAME_LENGTH} characters"));
     }
-    let odd = name.chars().find(|character| !is_label_char(*character))?;
+    let invalid = name.chars().find(|character| !is_label_char(*character))?;
     Some(format!(
-        "may hold letters, digits and `_ - . / :`, but not {odd:?}"
+        "may contain letters, digits and `_ - . / :`, but not {invalid:?}"
     ))
 }
 
-/// Checks that no name stands twice; `path` makes the path of an entry.
+/// Checks that names are unique; `path` returns the path of the entry at an index.
 pub(super) fn check_unique<'a>(
     names: impl Iterator<Item = &'a str>,
     path: impl Fn(usize) -> String,
     faults: &mut Vec<DocumentFault>,
 ) {
-    let mut places: Vec<(&str, usize)> = names.enumerate().map(|(at, name)| (name, at)).collect();
-    places.sort_unstable();
-    for pair in places.windows(2) {
+    let mut indexed: Vec<(&str, usize)> = names
+        .enumerate()
+        .map(|(index, name)| (name, index))
+        .collect();
+    indexed.sort_unstable();
+    for pair in indexed.windows(2) {
         let [(name, first), (next, second)] = pair else {
             continue;
         };
         if name == next && !name.is_empty() {
-            let message = format!("`{name}` stands at {} as well", path(*first));
+            let message = format!("`{name}` is already used at {}", path(*first));
             faults.push(DocumentFault::new(path(*second), message));
         }
     }
 }
 
-/// Checks labels; `reserved` are the keys that the gateway fills in itself.
+/// Checks labels; `reserved` are the keys that the gateway sets itself.
 pub(super) fn check_labels(
     path: &str,
     labels: &LabelMap,
@@ -59,20 +62,20 @@
 ) {
     for (key, value) in labels.iter() {
         let label_path = format!("{path}.{key}");
-        if let Some(message) = name_fault(key) {
+        if let Some(message) = name_error(key) {
             faults.push(DocumentFault::new(
                 &label_path,
                 format!("the key {message}"),
             ));
         }
-        if let Some(message) = name_fault(value) {
+        if let Some(message) = name_error(value) {
             faults.push(DocumentFault::new(
                 &label_path,
                 format!("the value {message}"),
             ));
         }
         if reserved.contains(&key.as_str()) {
-            let message = format!("`{key}` is filled in by the gateway; pick another key");
+            let message = format!("`{key}` is reserved: the gateway sets it; use another key");
             faults.push(DocumentFault::new(&label_path, message));
         }
     }
@@ -81,12 +84,12 @@
 /// Checks that an address can be connected to.
 pub(super) fn check_address(path: &str, address: SocketAddr, faults: &mut Vec<DocumentFault>) {
     if address.port() == 0 || address.ip().is_unspecified() {
-        let message = format!("`{address}` is no address to connect to");
+        let message = format!("`{address}` is not an address to connect to");
         faults.push(DocumentFault::new(path, message));
     }
 }
 
-/// Parses a selector, and notes where it is none.
+/// Parses a selector and reports a syntax error.
 pub(super) fn check_selector(
     path: &str,
     text: &str,
--- a/src/fleet/validation/reach_warnings.rs
+++ b/src/fleet/validation/reach_warnings.rs
@@ -1,26 +1,26 @@
-//! What can't be reached or is hidden: allowed, yet most likely a mistake.
+//! Warnings about unreachable or shadowed entries, which are valid but probably mistakes.
 
 use crate::fleet::ClassRule;
 use crate::fleet::FleetDocument;
 use crate::fleet::LabelMap;
 use crate::fleet::reserved_labels::RequestLabels;
 use crate::fleet::reserved_labels::target_labels;
-use crate::fleet::route_match::route_covers;
+use crate::fleet::route_matcher::route_covers;
 use crate::json::DocumentFault;
 use crate::selector::LabelSelector;
 
 /// Returns every warning.
 pub(super) fn warnings(document: &FleetDocument) -> Vec<DocumentFault> {
     let mut warnings = Vec::new();
-    warn_of_empty_lists(document, &mut warnings);
-    warn_of_idle_selectors(document, &mut warnings);
-    warn_of_closed_targets(document, &mut warnings);
-    warn_of_hidden_routes(document, &mut warnings);
-    warn_of_long_deadlines(document, &mut warnings);
+    warn_about_empty_lists(document, &mut warnings);
+    warn_about_unmatched_selectors(document, &mut warnings);
+    warn_about_unused_targets(document, &mut warnings);
+    warn_about_shadowed_routes(document, &mut warnings);
+    warn_about_long_deadlines(document, &mut warnings);
     warnings
 }
 
-fn warn_of_empty_lists(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
+fn warn_about_empty_lists(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
     let lists = [
         ("targets", document.targets.is_empty()),
         ("classes", document.classes.is_empty()),
@@ -34,8 +34,8 @@
     }
 }
 
-/// Warns of classes whose selector no target meets.
-fn warn_of_idle_selectors(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
+/// Warns about classes whose selector matches no target.
+fn warn_about_unmatched_selectors(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
     let labels: Vec<LabelMap> = document.targets.iter().map(target_labels).collect();
     for (index, class) in document.classes.iter().enumerate() {
         let selector = parsed(&class.targets);
@@ -52,8 +52,8 @@
     }
 }
 
-/// Warns of targets that accept no request of any class and account.
-fn warn_of_closed_targets(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
+/// Warns about targets that accept no request of any class and account.
+fn warn_about_unused_targets(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
     for (index, target) in document.targets.iter().enumerate() {
         let accepts = parsed(&target.accepts);
         let is_accepting = accepts.terms().is_empty() || accepts_any(document, &accepts);
@@ -69,28 +69,30 @@
 fn accepts_any(document: &FleetDocument, accepts: &LabelSelector) -> bool {
     document.classes.iter().any(|class| {
         let mut accounts = document.accounts.iter();
-        accounts.any(|account| RequestLabels::new(class, account).match_all(accepts))
+        accounts.any(|account| RequestLabels::new(class, account).matches(accepts))
     })
 }
 
-fn warn_of_hidden_routes(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
+fn warn_about_shadowed_routes(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
     for (index, class) in document.classes.iter().enumerate() {
-        for (place, route) in class.routes.iter().enumerate() {
-            let path = format!("classes[{index}].routes[{place}]");
+        for (route_index, route) in class.routes.iter().enumerate() {
+            let path = format!("classes[{index}].routes[{route_index}]");
             for earlier in &document.classes[..index] {
                 let cover = earlier.routes.iter().find(|wide| route_covers(wide, route));
                 if let Some(cover) = cover {
-                    warn_of_cover(&path, class, earlier, cover.path != route.path, warnings);
+                    warn_about_cover(&path, class, earlier, cover.path != route.path, warnings);
                 }
             }
         }
     }
 }
 
-/// Classes may share a route, and callers then name one with `Request-Class`.
-/// It is most likely a mistake where the earlier route is the wider one, and
-/// where a caller may pick whether its call may run twice.
-fn warn_of_cover(
+/// Warns about a route that a route of an earlier class covers.
+///
+/// Classes may share a route; callers then select one with `Request-Class`. It is
+/// probably a mistake if the earlier route is wider, or if the classes differ in
+/// `idempotent`, so that callers select whether a call may run twice.
+fn warn_about_cover(
     path: &str,
     class: &ClassRule,
     earlier: &ClassRule,
@@ -106,15 +108,16 @@
     }
     if earlier.idempotent != class.idempotent {
         let message = format!(
-            "is shared with class `{}`, which differs in `idempotent`: callers pick by `Request-Class` whether a call may run twice",
+            "is shared with class `{}`, which differs in `idempotent`: callers select by `Request-Class` whether a call may run twice",
             earlier.name
         );
         warnings.push(DocumentFault::new(path, message));
     }
 }
 
-/// A resend later than the window is refused, so its answer is lost to the caller.
-fn warn_of_long_deadlines(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
+/// Warns about deadlines beyond the claim window: a resend after the window is
+/// rejected, so the caller can't get the answer.
+fn warn_about_long_deadlines(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
     let window = document.limits.claim_window_ms;
     for (index, class) in document.classes.iter().enumerate() {
         if class.deadline_ms > window {
@@ -128,21 +131,21 @@
 }
 
 fn parsed(text: &str) -> LabelSelector {
-    // Validation has refused what does not parse.
+    // Validation has already rejected selectors that don't parse.
     text.parse().unwrap_or_default()
 }
 
-/// Offers the closest key or value for the first condition that no target meets.
+/// Suggests the closest key or value for the first requirement that no target meets.
 fn with_key_suggestion(
     warning: DocumentFault,
     selector: &LabelSelector,
     labels: &[LabelMap],
 ) -> DocumentFault {
-    let idle = selector
+    let unmatched = selector
         .terms()
         .iter()
         .find(|term| !labels.iter().any(|labels| term.matches(labels)));
-    let Some(term) = idle else {
+    let Some(term) = unmatched else {
         return warning;
     };
     let keys: Vec<&str> = labels
--- a/src/fleet/validation/roster_checks.rs
+++ b/src/fleet/validation/roster_checks.rs
@@ -1,4 +1,4 @@
-//! The seats, and the roster that they replace.
+//! Validation of the roster and of the former one that it replaces.
 
 use crate::fleet::FleetDocument;
 use crate::fleet::SeatRoster;
@@ -8,16 +8,16 @@
 use super::name_checks::check_name;
 use super::name_checks::check_unique;
 
-/// The most seats of a cell: a claim asks a majority of them, so each further
+/// The maximum number of seats: a claim asks a majority of them, so each additional
 /// seat adds messages to every request.
 pub(crate) const MAX_SEATS: usize = 8;
 
-/// Checks the roster and the one before.
+/// Checks the roster and the former one.
 pub(super) fn check(document: &FleetDocument, faults: &mut Vec<DocumentFault>) {
     check_roster("roster", &document.roster, faults);
     match &document.former {
         Some(former) => check_former(document, former, faults),
-        None => check_founding(document, faults),
+        None => check_initial(document, faults),
     }
 }
 
@@ -25,18 +25,18 @@
     check_roster("former", former, faults);
     if former.number >= document.roster.number {
         let message = format!(
-            "must be below `roster.number` ({}), since a number only rises",
+            "must be below `roster.number` ({}), since roster numbers only increase",
             document.roster.number
         );
         faults.push(DocumentFault::new("former.number", message));
     }
 }
 
-fn check_founding(document: &FleetDocument, faults: &mut Vec<DocumentFault>) {
+fn check_initial(document: &FleetDocument, faults: &mut Vec<DocumentFault>) {
     if document.former_lost {
         faults.push(DocumentFault::new(
             "former_lost",
-            "says that the former roster is lost, but `former` is absent",
+            "states that the former roster is lost, but `former` is absent",
         ));
     }
 }
@@ -50,7 +50,7 @@
     }
     let count = roster.seats.len();
     if !(1..=MAX_SEATS).contains(&count) {
-        let message = format!("has {count} seats; a cell has 1 to {MAX_SEATS}");
+        let message = format!("has {count} seats, but must have 1 to {MAX_SEATS}");
         faults.push(DocumentFault::new(format!("{path}.seats"), message));
     }
     for (index, seat) in roster.seats.iter().enumerate() {
--- a/src/fleet/validation/target_checks.rs
+++ b/src/fleet/validation/target_checks.rs
@@ -1,8 +1,8 @@
-//! The targets.
+//! Validation of the targets.
 
 use crate::fleet::FleetDocument;
 use crate::fleet::FleetTarget;
-use crate::fleet::reserved_labels::TARGET_KEYS;
+use crate::fleet::reserved_labels::RESERVED_TARGET_KEYS;
 use crate::json::DocumentFault;
 use crate::selector::LabelSelector;
 
@@ -39,18 +39,19 @@
     check_labels(
         &format!("{path}.labels"),
         &target.labels,
-        TARGET_KEYS,
+        RESERVED_TARGET_KEYS,
         faults,
     );
     if target.slots == 0 {
         faults.push(DocumentFault::new(
             format!("{path}.slots"),
-            "must be 1 or more; a target that takes no work is `\"state\": \"leaving\"`",
+            "must be 1 or more; use `\"state\": \"leaving\"` for a target without new work",
         ));
     }
 }
 
-/// Two targets at one address would let twice its slots run there.
+/// Checks that addresses are unique: two targets with the same address would run
+/// twice its slots there.
 fn check_unique_addresses(document: &FleetDocument, faults: &mut Vec<DocumentFault>) {
     let addresses: Vec<String> = document
         .targets
@@ -64,8 +65,9 @@
     );
 }
 
-/// The platform's list of hosts has one space of names for targets and entry
-/// hosts: one that leaves would take the other one with it.
+/// Checks that no seat's host has the target's name. Targets and entry hosts share
+/// one namespace in the platform's host list, so one that leaves would mark the
+/// other as leaving too.
 fn check_host_name(
     path: &str,
     document: &FleetDocument,
@@ -74,13 +76,13 @@
 ) {
     let mut seats = document.roster.seats.iter();
     if seats.any(|seat| seat.host == target.name) {
-        let message = format!("`{}` is the name of a seat's host as well", target.name);
+        let message = format!("`{}` is also the name of a seat's host", target.name);
         faults.push(DocumentFault::new(format!("{path}.name"), message));
     }
 }
 
-/// Refuses a selector over a key that both classes and accounts bear: which of
-/// the two values it means can't be told.
+/// Rejects a selector over a key that both classes and accounts have, since it is
+/// ambiguous which of the two values it refers to.
 fn check_ambiguous_keys(
     path: &str,
     document: &FleetDocument,
@@ -98,7 +100,7 @@
             .find(|account| account.labels.contains_key(&term.key));
         if let (Some(class), Some(account)) = (class, account) {
             let message = format!(
-                "label `{}` stands on class `{}` and on account `{}`; give one of them another key",
+                "label `{}` is set on class `{}` and on account `{}`; use another key for one of them",
                 term.key, class.name, account.name
             );
             faults.push(DocumentFault::new(path, message));
