--- a/src/fleet/fleet_view.rs
+++ b/src/fleet/fleet_view.rs
@@ -216,11 +216,11 @@
     class: &CompiledClass,
     request: &RequestLabels<'_>,
 ) -> Option<ExclusionReason> {
-    if let Some(term) = class.targets.first_mismatch(&target.labels) {
-        return Some(ExclusionReason::ClassSelector(term.to_string()));
+    if let Some(requirement) = class.targets.first_mismatch(&target.labels) {
+        return Some(ExclusionReason::ClassSelector(requirement.to_string()));
     }
-    if let Some(term) = request.first_mismatch(&target.accepts) {
-        return Some(ExclusionReason::TargetSelector(term.to_string()));
+    if let Some(requirement) = request.first_mismatch(&target.accepts) {
+        return Some(ExclusionReason::TargetSelector(requirement.to_string()));
     }
     match target.target.state {
         TargetState::Leaving => Some(ExclusionReason::TargetLeaving),
--- a/src/fleet/reserved_labels.rs
+++ b/src/fleet/reserved_labels.rs
@@ -1,7 +1,7 @@
 //! Reserved labels, which the gateway adds to the operator-defined ones for selectors.
 
 use crate::selector::LabelSelector;
-use crate::selector::SelectorTerm;
+use crate::selector::SelectorRequirement;
 
 use super::ClassRule;
 use super::ClientAccount;
@@ -53,7 +53,7 @@
     pub(crate) fn first_mismatch<'s>(
         &self,
         selector: &'s LabelSelector,
-    ) -> Option<&'s SelectorTerm> {
+    ) -> Option<&'s SelectorRequirement> {
         selector.first_mismatch_by(|key| self.value(key))
     }
 
--- a/src/fleet/validation/reach_warnings.rs
+++ b/src/fleet/validation/reach_warnings.rs
@@ -56,7 +56,7 @@
 fn warn_about_unused_targets(document: &FleetDocument, warnings: &mut Vec<DocumentFault>) {
     for (index, target) in document.targets.iter().enumerate() {
         let accepts = parsed(&target.accepts);
-        let is_accepting = accepts.terms().is_empty() || accepts_any(document, &accepts);
+        let is_accepting = accepts.requirements().is_empty() || accepts_any(document, &accepts);
         if is_accepting {
             continue;
         }
@@ -142,25 +142,25 @@
     labels: &[LabelMap],
 ) -> DocumentFault {
     let unmatched = selector
-        .terms()
+        .requirements()
         .iter()
-        .find(|term| !labels.iter().any(|labels| term.matches(labels)));
-    let Some(term) = unmatched else {
+        .find(|requirement| !labels.iter().any(|labels| requirement.matches(labels)));
+    let Some(requirement) = unmatched else {
         return warning;
     };
     let keys: Vec<&str> = labels
         .iter()
         .flat_map(|labels| labels.iter().map(|(key, _)| key.as_str()))
         .collect();
-    if !keys.contains(&term.key.as_str()) {
-        return warning.suggest(&term.key, keys);
+    if !keys.contains(&requirement.key.as_str()) {
+        return warning.suggest(&requirement.key, keys);
     }
     let values = labels
         .iter()
-        .filter_map(|labels| labels.get(&term.key))
+        .filter_map(|labels| labels.get(&requirement.key))
         .map(String::as_str);
-    match &term.test {
-        crate::selector::LabelTest::OneOf(wanted) => match wanted.first() {
+    match &requirement.condition {
+        crate::selector::LabelCondition::In(wanted) => match wanted.first() {
             Some(value) => warning.suggest(value, values),
             None => warning,
         },
--- a/src/fleet/validation/target_checks.rs
+++ b/src/fleet/validation/target_checks.rs
@@ -89,19 +89,19 @@
     accepts: &LabelSelector,
     faults: &mut Vec<DocumentFault>,
 ) {
-    for term in accepts.terms() {
+    for requirement in accepts.requirements() {
         let class = document
             .classes
             .iter()
-            .find(|class| class.labels.contains_key(&term.key));
+            .find(|class| class.labels.contains_key(&requirement.key));
         let account = document
             .accounts
             .iter()
-            .find(|account| account.labels.contains_key(&term.key));
+            .find(|account| account.labels.contains_key(&requirement.key));
         if let (Some(class), Some(account)) = (class, account) {
             let message = format!(
                 "label `{}` is set on class `{}` and on account `{}`; use another key for one of them",
-                term.key, class.name, account.name
+                requirement.key, class.name, account.name
             );
             faults.push(DocumentFault::new(path, message));
         }
--- a/src/selector/label_selector.rs
+++ b/src/selector/label_selector.rs
@@ -6,42 +6,44 @@
 use crate::fleet::LabelMap;
 
 use super::SelectorError;
-use super::SelectorTerm;
-use super::selector_parser::parse_terms;
+use super::SelectorRequirement;
+use super::selector_parser::parse_requirements;
 
-/// Conditions over labels which must all hold; without conditions it matches everything.
+/// Requirements on labels, all of which must be met. An empty selector matches everything.
 ///
-/// The text is that of Kubernetes: `model=polar, generation in (g3, g4), tier!=2, !canary, spare`.
+/// The syntax is that of Kubernetes: `model=polar, generation in (g3, g4), tier!=2, !canary, spare`.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct LabelSelector {
-    terms: Vec<SelectorTerm>,
+    requirements: Vec<SelectorRequirement>,
 }
 
 impl LabelSelector {
-    /// Tells whether `labels` meet every condition.
+    /// Returns whether `labels` meet every requirement.
     pub fn matches(&self, labels: &LabelMap) -> bool {
         self.first_mismatch(labels).is_none()
     }
 
-    /// Returns the first condition that `labels` do not meet.
-    pub fn first_mismatch(&self, labels: &LabelMap) -> Option<&SelectorTerm> {
-        self.terms.iter().find(|term| !term.matches(labels))
+    /// Returns the first requirement that `labels` don't meet.
+    pub fn first_mismatch(&self, labels: &LabelMap) -> Option<&SelectorRequirement> {
+        self.requirements
+            .iter()
+            .find(|requirement| !requirement.matches(labels))
     }
 
-    /// Returns the first condition that the values which `value_of` gives for the
-    /// keys do not meet; for labels that are not gathered in a map.
+    /// Returns the first requirement that isn't met by the values that `value_of`
+    /// returns for the keys. For labels that are not stored in one map.
     pub fn first_mismatch_by<'a>(
         &self,
         value_of: impl Fn(&str) -> Option<&'a str>,
-    ) -> Option<&SelectorTerm> {
-        self.terms
+    ) -> Option<&SelectorRequirement> {
+        self.requirements
             .iter()
-            .find(|term| !term.matches_value(value_of(&term.key)))
+            .find(|requirement| !requirement.matches_value(value_of(&requirement.key)))
     }
 
-    /// Returns the conditions in the order in which they were written.
-    pub fn terms(&self) -> &[SelectorTerm] {
-        &self.terms
+    /// Returns the requirements in the order in which they were written.
+    pub fn requirements(&self) -> &[SelectorRequirement] {
+        &self.requirements
     }
 }
 
@@ -49,18 +51,18 @@
     type Err = SelectorError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let terms = parse_terms(text)?;
-        Ok(Self { terms })
+        let requirements = parse_requirements(text)?;
+        Ok(Self { requirements })
     }
 }
 
 impl fmt::Display for LabelSelector {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, term) in self.terms.iter().enumerate() {
+        for (index, requirement) in self.requirements.iter().enumerate() {
             if index > 0 {
                 formatter.write_str(", ")?;
             }
-            term.fmt(formatter)?;
+            requirement.fmt(formatter)?;
         }
         Ok(())
     }
--- a/src/selector/selector_error.rs
+++ b/src/selector/selector_error.rs
@@ -1,14 +1,14 @@
-//! Why a text is no selector.
+//! Syntax errors of selectors.
 
 use derive_more::Display;
 use derive_more::Error;
 
-/// Why and where a text is no selector.
+/// A syntax error in a selector.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[display("at character {position}: {message}")]
 pub struct SelectorError {
-    /// The place in the text, counted in characters from 1.
+    /// The position in the text in characters, starting at 1.
     pub position: usize,
-    /// What was expected there.
+    /// The expected and the found text.
     pub message: String,
 }
--- a/src/selector/selector_parser.rs
+++ b/src/selector/selector_parser.rs
@@ -1,32 +1,32 @@
-//! The text of a selector, read from left to right.
+//! Recursive-descent parser for selectors.
 
-use super::LabelTest;
+use super::LabelCondition;
 use super::SelectorError;
-use super::SelectorTerm;
+use super::SelectorRequirement;
 
-/// Tells whether a label's key or value may hold `character`.
+/// Returns whether a label's key or value may contain `character`.
 pub(crate) fn is_label_char(character: char) -> bool {
     character.is_ascii_alphanumeric() || matches!(character, '_' | '-' | '.' | '/' | ':')
 }
 
-/// Reads every condition of `text`; a blank text has none.
-pub(super) fn parse_terms(text: &str) -> Result<Vec<SelectorTerm>, SelectorError> {
+/// Parses all requirements of `text`; a blank text has none.
+pub(super) fn parse_requirements(text: &str) -> Result<Vec<SelectorRequirement>, SelectorError> {
     let mut parser = SelectorParser::new(text);
-    let mut terms = Vec::new();
+    let mut requirements = Vec::new();
     parser.skip_blanks();
     if parser.peek().is_none() {
-        return Ok(terms);
+        return Ok(requirements);
     }
     loop {
-        terms.push(parser.term()?);
+        requirements.push(parser.requirement()?);
         if parser.peek().is_none() {
-            return Ok(terms);
+            return Ok(requirements);
         }
         parser.expect(',')?;
     }
 }
 
-/// The characters of a selector and how far they were read.
+/// The characters of a selector and the current position.
 struct SelectorParser {
     characters: Vec<char>,
     position: usize,
@@ -40,41 +40,41 @@
         }
     }
 
-    fn term(&mut self) -> Result<SelectorTerm, SelectorError> {
+    fn requirement(&mut self) -> Result<SelectorRequirement, SelectorError> {
         if self.take('!') {
             let key = self.word("a label's key after `!`")?;
-            let test = LabelTest::Absent;
-            return Ok(SelectorTerm { key, test });
+            let condition = LabelCondition::DoesNotExist;
+            return Ok(SelectorRequirement { key, condition });
         }
         let key = self.word("a label's key")?;
-        let test = self.test()?;
-        Ok(SelectorTerm { key, test })
+        let condition = self.condition()?;
+        Ok(SelectorRequirement { key, condition })
     }
 
-    fn test(&mut self) -> Result<LabelTest, SelectorError> {
+    fn condition(&mut self) -> Result<LabelCondition, SelectorError> {
         match self.peek() {
-            None | Some(',') => Ok(LabelTest::Present),
+            None | Some(',') => Ok(LabelCondition::Exists),
             Some('!') => {
                 self.position += 1;
                 self.expect('=')?;
-                Ok(LabelTest::NoneOf(vec![self.word("a value")?]))
+                Ok(LabelCondition::NotIn(vec![self.word("a value")?]))
             }
             Some('=') => {
                 self.position += 1;
-                // `==` is the same as `=`, as Kubernetes has it.
+                // `==` is a synonym of `=`, as in Kubernetes.
                 self.take('=');
-                Ok(LabelTest::OneOf(vec![self.word("a value")?]))
+                Ok(LabelCondition::In(vec![self.word("a value")?]))
             }
-            Some(_) => self.set_test(),
+            Some(_) => self.set_based_condition(),
         }
     }
 
-    fn set_test(&mut self) -> Result<LabelTest, SelectorError> {
+    fn set_based_condition(&mut self) -> Result<LabelCondition, SelectorError> {
         let start = self.position;
         let operator = self.word("`=`, `!=`, `in`, `notin` or `,`")?;
         match operator.as_str() {
-            "in" => Ok(LabelTest::OneOf(self.values()?)),
-            "notin" => Ok(LabelTest::NoneOf(self.values()?)),
+            "in" => Ok(LabelCondition::In(self.values()?)),
+            "notin" => Ok(LabelCondition::NotIn(self.values()?)),
             _ => {
                 self.position = start;
                 Err(self.error("`=`, `!=`, `in`, `notin` or `,`"))
