--- a/src/cli/cli_error.rs
+++ b/src/cli/cli_error.rs
@@ -66,5 +66,5 @@
     names: impl Iterator<Item = &'a str>,
 ) -> CliError {
     let fault = DocumentFault::new(flag, format!("`{name}` {message}"));
-    CliError::Usage(fault.suggest(name, names).to_string())
+    CliError::Usage(fault.with_suggestion(name, names).to_string())
 }
--- a/src/fleet/validation/reach_warnings.rs
+++ b/src/fleet/validation/reach_warnings.rs
@@ -153,7 +153,7 @@
         .flat_map(|labels| labels.iter().map(|(key, _)| key.as_str()))
         .collect();
     if !keys.contains(&requirement.key.as_str()) {
-        return warning.suggest(&requirement.key, keys);
+        return warning.with_suggestion(&requirement.key, keys);
     }
     let values = labels
         .iter()
@@ -161,7 +161,7 @@
         .map(String::as_str);
     match &requirement.condition {
         crate::selector::LabelCondition::In(wanted) => match wanted.first() {
-            Some(value) => warning.suggest(value, values),
+            Some(value) => warning.with_suggestion(value, values),
             None => warning,
         },
         _ => warning,
--- a/src/json/document_fault.rs
+++ b/src/json/document_fault.rs
@@ -1,28 +1,28 @@
-//! One fault in a document, told so that its author can mend it.
+//! Faults of a document, reported so that its author can fix them.
 
 use std::fmt;
 
 use derive_more::Error;
 use serde::Serialize;
 
-/// Names closer than this (Jaro-Winkler, 0 to 1) are offered as suggestions.
-/// Below it the offers are more often wrong than right for short field names.
-const SUGGESTION_SCORE: f64 = 0.8;
+/// The minimum Jaro-Winkler similarity (0 to 1) of a suggested name. Suggestions
+/// below it are more often wrong than right for short field names.
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.8;
 
-/// What is wrong at one place of a JSON document.
+/// A fault at one path of a JSON document.
 #[derive(Clone, Debug, Eq, Error, PartialEq, Serialize)]
 pub struct DocumentFault {
-    /// The JSON path, such as `targets[3].accepts`; `.` is the whole document.
+    /// The JSON path, such as `targets[3].accepts`; `.` denotes the whole document.
     pub path: String,
-    /// What is wrong.
+    /// The description of the fault.
     pub message: String,
-    /// The name that was probably meant.
+    /// The name that was probably intended.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub suggestion: Option<String>,
 }
 
 impl DocumentFault {
-    /// Makes a fault without a suggestion.
+    /// Creates a fault without a suggestion.
     pub fn new(path: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             path: path.into(),
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Adds the candidate that is closest to `name`, if any is close.
-    pub fn suggest<'a>(
+    /// Adds the candidate most similar to `name` as a suggestion, if any is similar enough.
+    pub fn with_suggestion<'a>(
         mut self,
         name: &str,
         candidates: impl IntoIterator<Item = &'a str>,
@@ -52,12 +52,14 @@
     }
 }
 
-/// Returns the candidate that is closest to `name`, if any is close.
+/// Returns the candidate most similar to `name`, if any is similar enough.
 fn closest<'a>(name: &str, candidates: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     candidates
         .into_iter()
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
-        .filter(|(score, candidate)| *score >= SUGGESTION_SCORE && *candidate != name)
+        .filter(|(similarity, candidate)| {
+            *similarity >= MIN_SUGGESTION_SIMILARITY && *candidate != name
+        })
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, candidate)| candidate)
 }
--- a/src/json/document_reader.rs
+++ b/src/json/document_reader.rs
@@ -1,4 +1,4 @@
-//! Text to a typed document, with every fault of form.
+//! Deserialization of JSON documents with a report of all schema faults.
 
 use std::io::Read;
 
@@ -9,11 +9,11 @@
 use super::DocumentFault;
 use super::fault_collector::collect_faults;
 
-/// Replaces comments by blanks, so that lines and columns stay as written.
+/// Replaces comments with spaces, so that lines and columns are preserved.
 ///
 /// # Errors
 ///
-/// A comment that is opened and never closed is a fault.
+/// Returns a fault for an unterminated comment.
 pub(crate) fn strip_comments(text: &str) -> Result<String, DocumentFault> {
     let mut stripped = String::with_capacity(text.len());
     StripComments::new(text.as_bytes())
@@ -22,12 +22,12 @@
     Ok(stripped)
 }
 
-/// Reads a typed document.
+/// Deserializes a typed document.
 ///
 /// # Errors
 ///
-/// A fault of syntax stands alone; faults of form (unknown and missing fields,
-/// wrong types) come all at once.
+/// Returns either one syntax error or all schema faults (unknown and missing fields,
+/// wrong types).
 pub(crate) fn read_document<T: DeserializeOwned>(text: &str) -> Result<T, Vec<DocumentFault>> {
     let deserializer = &mut serde_json::Deserializer::from_str(text);
     let error = match serde_path_to_error::deserialize(&mut *deserializer) {
@@ -38,19 +38,18 @@
     if error.inner().classify() != Category::Data {
         return Err(vec![first]);
     }
-    // The syntax may be broken further on, and is then the fault to mend first.
+    // A syntax error further on in the text has to be fixed first.
     let value = serde_json::from_str(text)
         .map_err(|error| vec![DocumentFault::new(".", error.to_string())])?;
     let faults = collect_faults::<T>(value);
-    // A field that stands twice is lost in the untyped value: only the first
-    // reading sees it.
+    // The untyped value drops duplicate fields, so only the first pass detects them.
     if faults.is_empty() || first.message.starts_with("duplicate field") {
         return Err([vec![first], faults].concat());
     }
     Err(faults)
 }
 
-/// Refuses text behind the document, which is most often a second document.
+/// Rejects text after the document, which is usually a second document.
 fn require_end<'a, T>(
     deserializer: &mut serde_json::Deserializer<serde_json::de::StrRead<'a>>,
     document: T,
--- a/src/json/fault_collector.rs
+++ b/src/json/fault_collector.rs
@@ -1,9 +1,9 @@
-//! Every fault of form at once, although the deserializer stops at the first.
+//! Collects all schema faults of a value, although the deserializer stops at the first.
 //!
-//! Each fault is noted and taken out of the untyped value, and the value is read
-//! again. A field that was taken out may then be missed, and so may the field
-//! that a misspelt one was meant to be: the object that misses it is taken out in
-//! turn, without a second note.
+//! After each fault the element in question is removed from the untyped value, and
+//! the value is deserialized again. This may report the removed field as missing, or
+//! the field that a misspelt one was meant to be. Such a follow-up fault is not
+//! reported; the object that lacks the field is removed instead.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -11,35 +11,35 @@
 
 use super::DocumentFault;
 
-/// How many faults are looked for; more help nobody.
+/// The maximum number of reported faults; a longer list would not help the author.
 const MAX_FAULTS: usize = 100;
 
-/// One step from a value to a part of it.
+/// One step on the path from a value to one of its elements.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum PathStep {
     Field(String),
     Index(usize),
 }
 
-/// A part that was taken out, by its place in the value as it was written.
-type TakenPart = Vec<PathStep>;
+/// The path of an element in the original value.
+type ElementPath = Vec<PathStep>;
 
-/// Returns every fault of form that stands between `value` and a `T`.
+/// Returns every schema fault that prevents deserializing `value` as a `T`.
 pub(super) fn collect_faults<T: DeserializeOwned>(mut value: Value) -> Vec<DocumentFault> {
     let mut faults = Vec::new();
-    let mut taken: Vec<TakenPart> = Vec::new();
-    let mut expected: Vec<TakenPart> = Vec::new();
+    let mut removed: Vec<ElementPath> = Vec::new();
+    let mut expected_missing: Vec<ElementPath> = Vec::new();
     while faults.len() < MAX_FAULTS {
         let Err(error) = serde_path_to_error::deserialize::<_, T>(&value) else {
             break;
         };
         let message = error.inner().to_string();
         let steps = path_steps(error.path());
-        let written = as_written(&steps, &taken);
+        let original = original_path(&steps, &removed);
         let is_missing = message.starts_with("missing field");
-        if !is_missing || !follows_from(&written, &message, &expected) {
-            let fault = form_fault(&written, &message);
-            expected.extend(missed_fields(&written, &fault));
+        if !is_missing || !is_expected_missing(&original, &message, &expected_missing) {
+            let fault = schema_fault(&original, &message);
+            expected_missing.extend(expected_missing_fields(&original, &fault));
             faults.push(fault);
         }
         let part = if is_missing {
@@ -47,10 +47,10 @@
         } else {
             steps
         };
-        if !take_out(&mut value, &part) {
+        if !remove_element(&mut value, &part) {
             break;
         }
-        taken.push(as_written(&part, &taken));
+        removed.push(original_path(&part, &removed));
     }
     faults
 }
@@ -65,54 +65,59 @@
         .collect()
 }
 
-/// Translates a place in the thinned value to the place as it was written.
-fn as_written(steps: &[PathStep], taken: &[TakenPart]) -> Vec<PathStep> {
-    let mut written: Vec<PathStep> = Vec::with_capacity(steps.len());
+/// Translates a path in the value without the removed elements to the original path.
+fn original_path(steps: &[PathStep], removed: &[ElementPath]) -> Vec<PathStep> {
+    let mut original: Vec<PathStep> = Vec::with_capacity(steps.len());
     for step in steps {
         let step = match step {
             PathStep::Field(_) => step.clone(),
-            PathStep::Index(index) => PathStep::Index(written_index(*index, &written, taken)),
+            PathStep::Index(index) => PathStep::Index(original_index(*index, &original, removed)),
         };
-        written.push(step);
+        original.push(step);
     }
-    written
+    original
 }
 
-/// Counts the elements before `index` that were taken out of the array at `array`.
-fn written_index(index: usize, array: &[PathStep], taken: &[TakenPart]) -> usize {
-    let mut gone: Vec<usize> = taken
+/// Returns the original index of an element: `index` plus the number of elements removed
+/// before it from the array at `array`.
+fn original_index(index: usize, array: &[PathStep], removed: &[ElementPath]) -> usize {
+    let mut removed_indices: Vec<usize> = removed
         .iter()
         .filter_map(|part| match part.split_last() {
             Some((PathStep::Index(index), parent)) if parent == array => Some(*index),
             _ => None,
         })
         .collect();
-    gone.sort_unstable();
-    gone.into_iter().fold(
+    removed_indices.sort_unstable();
+    removed_indices.into_iter().fold(
         index,
-        |index, removed| {
-            if removed <= index { index + 1 } else { index }
+        |index, position| {
+            if position <= index { index + 1 } else { index }
         },
     )
 }
 
-/// Returns the fields that will be missed once the part at `steps` is taken out:
-/// the part itself, and the field that it was probably meant to be.
-fn missed_fields(steps: &[PathStep], fault: &DocumentFault) -> Vec<TakenPart> {
-    let mut missed = vec![steps.to_vec()];
+/// Returns the fields that will be reported as missing once the element at `steps` is
+/// removed: the element itself, and the field that it was probably meant to be.
+fn expected_missing_fields(steps: &[PathStep], fault: &DocumentFault) -> Vec<ElementPath> {
+    let mut missing = vec![steps.to_vec()];
     if let (Some(name), Some((_, object))) = (&fault.suggestion, steps.split_last()) {
         let field = PathStep::Field(name.clone());
-        missed.push([object, &[field]].concat());
+        missing.push([object, &[field]].concat());
     }
-    missed
+    missing
 }
 
-/// Tells whether a missing field follows from a fault that was noted before.
-fn follows_from(object: &[PathStep], message: &str, expected: &[TakenPart]) -> bool {
+/// Returns whether a missing field results from a fault that is already reported.
+fn is_expected_missing(
+    object: &[PathStep],
+    message: &str,
+    expected_missing: &[ElementPath],
+) -> bool {
     let Some(field) = quoted_names(message).next() else {
         return false;
     };
-    expected.iter().any(|part| match part.split_last() {
+    expected_missing.iter().any(|part| match part.split_last() {
         Some((PathStep::Field(name), parent)) => parent == object && name == field,
         _ => false,
     })
@@ -129,7 +134,7 @@
     }
 }
 
-fn take_out(value: &mut Value, part: &[PathStep]) -> bool {
+fn remove_element(value: &mut Value, part: &[PathStep]) -> bool {
     let Some((last, parents)) = part.split_last() else {
         return false;
     };
@@ -147,20 +152,21 @@
     }
 }
 
-/// Words one fault; the deserializer lists the known names, so the closest is offered.
-fn form_fault(steps: &[PathStep], message: &str) -> DocumentFault {
+/// Creates a fault from the deserializer's message. For an unknown name the message
+/// lists the known ones, and the closest becomes the suggestion.
+fn schema_fault(steps: &[PathStep], message: &str) -> DocumentFault {
     let fault = DocumentFault::new(path_text(steps), message);
     if !message.starts_with("unknown") {
         return fault;
     }
     let mut names = quoted_names(message);
     match names.next() {
-        Some(name) => fault.suggest(name, names),
+        Some(name) => fault.with_suggestion(name, names),
         None => fault,
     }
 }
 
-/// Returns what stands between backticks.
+/// Returns the texts between backticks.
 fn quoted_names(message: &str) -> impl Iterator<Item = &str> {
     message.split('`').skip(1).step_by(2)
 }
--- a/src/json/mod.rs
+++ b/src/json/mod.rs
@@ -1,4 +1,4 @@
-//! Reading of JSON documents that people write: comments, paths and suggestions.
+//! Reading of hand-written JSON documents, with comments, fault paths and suggestions.
 
 mod document_fault;
 mod document_reader;
