--- a/src/settings/host_settings.rs
+++ b/src/settings/host_settings.rs
@@ -1,4 +1,4 @@
-//! The typed form of a host's settings, as JSON writes them.
+//! The typed form of a host's settings file.
 
 use std::net::SocketAddr;
 
@@ -8,16 +8,16 @@
 use crate::ids::HostName;
 use crate::ids::ZoneName;
 
-/// The commented default settings, as `cardamomgw settings` prints them.
+/// The commented default settings, printed by `cardamomgw settings`.
 pub const DEFAULT_SETTINGS: &str = include_str!("../../resources/host.json");
 
-/// Which log lines are written.
+/// The minimum severity of written log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
     /// Faults only.
     Error,
-    /// Faults and what may become one.
+    /// Faults and conditions that may lead to one.
     Warn,
     /// Changes of state.
     #[default]
@@ -26,33 +26,34 @@
     Debug,
 }
 
-/// Everything that one process must be told before it can read the platform.
+/// The settings that a process needs before it can read its configuration from the
+/// platform.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostSettings {
-    /// The host's name; its seat in the roster bears the same one.
+    /// The host's name; its seat in the roster has the same name.
     pub host: HostName,
     /// The host's availability zone.
     pub availability_zone: ZoneName,
-    /// Where callers connect.
+    /// The listening address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers connect.
+    /// The listening address for peers.
     pub peer_address: SocketAddr,
-    /// Where operators connect (`/metrics`, `/status`, `/ready`).
+    /// The listening address for operators (`/metrics`, `/status`, `/ready`).
     pub operator_address: SocketAddr,
     /// The platform's addresses, tried in order.
     pub platform_addresses: Vec<SocketAddr>,
     /// The name of the fleet document at the platform.
     pub scope: String,
-    /// Seats to ask before the first document is known; may be empty.
+    /// Addresses of seats to contact before the first document is known; may be empty.
     #[serde(default)]
     pub peer_addresses: Vec<SocketAddr>,
-    /// The key that the system's own processes prove to each other.
+    /// The shared key by which the system's processes authenticate to each other.
     pub peer_key: String,
-    /// Which log lines are written.
+    /// The minimum severity of written log lines.
     #[serde(default)]
     pub log_level: LogLevel,
-    /// Where a trace for `replay` is written; nothing is recorded when absent.
+    /// The file that receives a trace for `replay`; nothing is recorded if absent.
     #[serde(default)]
     pub trace_file: Option<String>,
 }
--- a/src/settings/settings_checks.rs
+++ b/src/settings/settings_checks.rs
@@ -1,4 +1,4 @@
-//! Whether settings make sense.
+//! Validation of settings.
 
 use std::net::SocketAddr;
 
@@ -6,23 +6,23 @@
 
 use super::HostSettings;
 
-/// The key in the printed default; everyone knows it.
+/// The key in the default settings, which is public.
 const DEFAULT_PEER_KEY: &str = "change-me";
 
-/// Returns everything for which the settings are refused.
+/// Returns the faults for which the settings are rejected.
 pub(super) fn check_settings(settings: &HostSettings) -> Vec<DocumentFault> {
     let mut faults = Vec::new();
     check_texts(settings, &mut faults);
     check_platform(settings, &mut faults);
-    check_own_addresses(settings, &mut faults);
+    check_listen_addresses(settings, &mut faults);
     faults
 }
 
-/// Returns what is most likely a mistake in settings that are not refused.
+/// Returns the probable mistakes in valid settings.
 pub fn settings_warnings(settings: &HostSettings) -> Vec<DocumentFault> {
     let mut warnings = Vec::new();
     if settings.peer_key == DEFAULT_PEER_KEY {
-        let message = "is the default, which everyone knows";
+        let message = "is the default, which is public";
         warnings.push(DocumentFault::new("peer_key", message));
     }
     warnings
@@ -42,14 +42,14 @@
         }
     }
     if settings.scope.contains(['/', '?', '#', ' ']) {
-        let message = "must be one part of a path, without `/`, `?`, `#` or blanks";
+        let message = "must be a single path segment without `/`, `?`, `#` or spaces";
         faults.push(DocumentFault::new("scope", message));
     }
 }
 
 fn check_platform(settings: &HostSettings, faults: &mut Vec<DocumentFault>) {
     if settings.platform_addresses.is_empty() {
-        let message = "must not be empty: the host would never learn its fleet";
+        let message = "must not be empty: the host could not read the fleet document";
         faults.push(DocumentFault::new("platform_addresses", message));
     }
     let remote = [
@@ -59,23 +59,23 @@
     for (list, addresses) in remote {
         for (index, address) in addresses.iter().enumerate() {
             if address.port() == 0 || address.ip().is_unspecified() {
-                let message = format!("`{address}` is no address to connect to");
+                let message = format!("`{address}` is not an address to connect to");
                 faults.push(DocumentFault::new(format!("{list}[{index}]"), message));
             }
         }
     }
 }
 
-/// Two listeners on one address would leave the second one without a port, or
-/// show operators' pages to callers.
-fn check_own_addresses(settings: &HostSettings, faults: &mut Vec<DocumentFault>) {
-    let own = [
+/// Checks that the listening addresses differ: of two listeners on one address the
+/// second would fail to bind, or operators' pages would be exposed to callers.
+fn check_listen_addresses(settings: &HostSettings, faults: &mut Vec<DocumentFault>) {
+    let listen = [
         ("caller_address", settings.caller_address),
         ("peer_address", settings.peer_address),
         ("operator_address", settings.operator_address),
     ];
-    for (index, (path, address)) in own.iter().enumerate() {
-        for (earlier_path, earlier) in &own[..index] {
+    for (index, (path, address)) in listen.iter().enumerate() {
+        for (earlier_path, earlier) in &listen[..index] {
             if overlap(*earlier, *address) {
                 let message = format!("`{address}` overlaps `{earlier_path}` ({earlier})");
                 faults.push(DocumentFault::new(*path, message));
@@ -84,9 +84,10 @@
     }
 }
 
-/// Port 0 asks for any free port, so it overlaps nothing.
+/// Returns whether two listening addresses overlap. Port 0 requests any free port, so
+/// it never overlaps.
 fn overlap(left: SocketAddr, right: SocketAddr) -> bool {
-    let is_same_host =
+    let is_same_ip =
         left.ip() == right.ip() || left.ip().is_unspecified() || right.ip().is_unspecified();
-    left.port() != 0 && left.port() == right.port() && is_same_host
+    left.port() != 0 && left.port() == right.port() && is_same_ip
 }
--- a/src/settings/settings_parser.rs
+++ b/src/settings/settings_parser.rs
@@ -1,4 +1,4 @@
-//! A settings file to settings.
+//! Parsing of settings files.
 
 use std::fs;
 use std::path::Path;
@@ -10,11 +10,11 @@
 use super::HostSettings;
 use super::settings_checks::check_settings;
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Every fault at once; a file that can't be read is one fault at `.`.
+/// Returns every fault; an unreadable file is one fault at `.`.
 pub fn read_settings(path: &Path) -> Result<HostSettings, Vec<DocumentFault>> {
     let text = fs::read_to_string(path).map_err(|error| {
         let message = format!("can't read {}: {error}", path.display());
@@ -23,11 +23,11 @@
     parse_settings(&text)
 }
 
-/// Reads and checks the text of settings, which may hold comments.
+/// Parses and validates the text of a settings file, which may contain comments.
 ///
 /// # Errors
 ///
-/// Every fault of form at once, or else every fault of meaning at once.
+/// Returns every schema fault or, if there is none, every semantic fault.
 pub fn parse_settings(text: &str) -> Result<HostSettings, Vec<DocumentFault>> {
     let stripped = strip_comments(text).map_err(|fault| vec![fault])?;
     let settings: HostSettings = read_document(&stripped)?;
