--- a/src/documents/document_client.rs
+++ b/src/documents/document_client.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform, each bounded in time.
+//! Client for the platform's documents; every read has a timeout.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,65 +12,66 @@
 use super::DocumentError;
 use super::HostList;
 use super::http_exchange;
-use super::http_exchange::WholeAnswer;
+use super::http_exchange::CompleteAnswer;
 use super::http_exchange::malformed;
 use crate::ids::FleetVersion;
 use crate::peers::RawDocument;
 
-/// How long one watch waits at the platform. 320 daemons with one watch each
-/// make 64 calls a second of the 2,000, and a watch whose connection went
-/// silent is given up after this and [`READ_TIMEOUT`].
+/// How long the platform may hold one watch. 320 daemons with one watch each make 64
+/// calls per second of the 2,000 that are allowed. A watch whose connection has become
+/// unresponsive is abandoned after this time plus [`READ_TIMEOUT`].
 pub const WATCH_WAIT: Duration = Duration::from_secs(5);
-/// How long a read may take beyond what it waits for; the platform answers in milliseconds.
+/// The timeout of a read, in addition to a watch's wait; the platform answers within
+/// milliseconds.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WatchAnswer {
-    /// A newer document stands.
+    /// A newer document is available.
     Newer(RawDocument),
-    /// No newer document came while the watch waited.
+    /// No newer document became available during the watch.
     Unchanged,
 }
 
-/// Reads one scope of the platform at any of its addresses.
+/// Reads one scope from any of the platform's addresses.
 #[derive(Debug)]
 pub struct DocumentClient {
     addresses: Vec<SocketAddr>,
     scope: String,
-    /// Which address to try first; moves on with each failure.
-    next: AtomicUsize,
+    /// The current address, modulo their number; incremented after each failure.
+    address_index: AtomicUsize,
     calls: AtomicU64,
 }
 
 impl DocumentClient {
-    /// Makes a client for the document `scope`; opens nothing yet.
+    /// Creates a client for the document `scope` without opening a connection.
     pub const fn new(addresses: Vec<SocketAddr>, scope: String) -> Self {
         Self {
             addresses,
             scope,
-            next: AtomicUsize::new(0),
+            address_index: AtomicUsize::new(0),
             calls: AtomicU64::new(0),
         }
     }
 
-    /// Returns how many calls were made; a waiting watch counts as one.
+    /// Returns the number of calls made; a watch counts as one.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Reads the document as it stands.
+    /// Reads the current document.
     ///
     /// # Errors
     ///
-    /// The platform can't be reached, refuses, or answers malformed.
+    /// The platform is unreachable, refuses the request or sends a malformed answer.
     pub async fn read_document(&self) -> Result<RawDocument, DocumentError> {
         let path = format!("/v1/documents/{}", self.scope);
         let answer = self.get(&path, READ_TIMEOUT).await?;
         document_from(answer)
     }
 
-    /// Waits until a document above `after` stands, for at most [`WATCH_WAIT`].
+    /// Waits at most [`WATCH_WAIT`] for a document with a version above `after`.
     ///
     /// # Errors
     ///
@@ -98,33 +99,34 @@
         serde_json::from_slice(&answer.body).map_err(malformed)
     }
 
-    /// Gets `path` from the current address; after a failure the next one is tried.
-    async fn get(&self, path: &str, timeout: Duration) -> Result<WholeAnswer, DocumentError> {
-        let turn = self.next.load(Ordering::Relaxed);
+    /// Requests `path` from the current address; after a failure the next call uses the
+    /// next address.
+    async fn get(&self, path: &str, timeout: Duration) -> Result<CompleteAnswer, DocumentError> {
+        let index = self.address_index.load(Ordering::Relaxed);
         let address = self
             .addresses
-            .get(turn % self.addresses.len().max(1))
-            .ok_or_else(|| malformed("the settings name no platform address"))?;
+            .get(index % self.addresses.len().max(1))
+            .ok_or_else(|| malformed("the settings contain no platform address"))?;
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let result = in_time(timeout, http_exchange::get(*address, path)).await;
+        let result = with_timeout(timeout, http_exchange::get(*address, path)).await;
         let result = result.and_then(check_status);
         if result.is_err() {
-            self.next.fetch_add(1, Ordering::Relaxed);
+            self.address_index.fetch_add(1, Ordering::Relaxed);
         }
         result
     }
 }
 
-async fn in_time<T>(
+async fn with_timeout<T>(
     timeout: Duration,
-    work: impl Future<Output = Result<T, DocumentError>>,
+    read: impl Future<Output = Result<T, DocumentError>>,
 ) -> Result<T, DocumentError> {
-    future::timeout(timeout, work)
+    future::timeout(timeout, read)
         .await
         .unwrap_or(Err(DocumentError::TimedOut))
 }
 
-fn check_status(answer: WholeAnswer) -> Result<WholeAnswer, DocumentError> {
+fn check_status(answer: CompleteAnswer) -> Result<CompleteAnswer, DocumentError> {
     match answer.status {
         200 | 304 => Ok(answer),
         404 => Err(DocumentError::UnknownScope),
@@ -139,11 +141,11 @@
     }
 }
 
-fn document_from(answer: WholeAnswer) -> Result<RawDocument, DocumentError> {
+fn document_from(answer: CompleteAnswer) -> Result<RawDocument, DocumentError> {
     let version = answer
         .document_version
         .and_then(|text| text.parse().ok())
-        .ok_or_else(|| malformed("no Document-Version"))?;
+        .ok_or_else(|| malformed("missing or invalid Document-Version header"))?;
     Ok(RawDocument {
         version,
         body: answer.body,
--- a/src/documents/document_error.rs
+++ b/src/documents/document_error.rs
@@ -1,43 +1,43 @@
-//! Why the platform gave no usable answer.
+//! Errors of platform reads.
 
 use std::time::Duration;
 
 use derive_more::Display;
 use derive_more::Error;
 
-/// Why a read of the platform failed.
+/// The reason that a read from the platform failed.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum DocumentError {
-    /// No connection, or it ended early.
+    /// The connection failed or was closed early.
     #[display("unreachable: {reason}")]
     Unreachable {
-        /// What the system said.
+        /// The message of the I/O error.
         reason: String,
     },
-    /// No whole answer came in time.
+    /// No complete answer arrived before the timeout.
     #[display("no answer in time")]
     TimedOut,
-    /// The platform is over its limit or down.
+    /// The platform is rate-limiting or unavailable.
     #[display("refused with status {status}")]
     Refused {
         /// The HTTP status: 429 or 5xx.
         status: u16,
-        /// How long the platform asks to wait.
+        /// The delay before the next attempt that the platform asks for.
         retry_after: Option<Duration>,
     },
-    /// The platform has no document of this scope.
+    /// The platform has no document for this scope.
     #[display("the platform has no such document")]
     UnknownScope,
-    /// The body is shorter or longer than declared, or not framed at all.
+    /// The body is shorter or longer than declared, or its length is not declared at all.
     #[display("the body does not match its declared length")]
-    WrongLength,
-    /// The body is larger than the platform's values may be.
-    #[display("the body is larger than the bound")]
+    LengthMismatch,
+    /// The body exceeds the maximum size of a value on the platform.
+    #[display("the body is larger than the limit")]
     BodyTooLarge,
-    /// The answer breaks HTTP or the platform's format.
+    /// The answer violates HTTP or the platform's format.
     #[display("malformed answer: {reason}")]
     Malformed {
-        /// What is wrong with it.
+        /// The violation.
         reason: String,
     },
 }
--- a/src/documents/host_list.rs
+++ b/src/documents/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of hosts.
+//! The platform's list of hosts, which lags behind their actual states.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,20 +6,20 @@
 use crate::fleet::TargetState;
 use crate::ids::UnixMillis;
 
-/// What the platform knew of hosts at one moment, which may lie well in the past.
+/// A snapshot of the host states known to the platform, possibly well out of date.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HostList {
-    /// When the list was taken.
+    /// The time of the snapshot.
     pub taken_ms: UnixMillis,
-    /// Entry hosts and targets by name.
+    /// The entry hosts and targets.
     pub hosts: Vec<ListedHost>,
 }
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListedHost {
     /// The name of a target or an entry host.
     pub name: String,
-    /// What the platform says of it.
+    /// The state reported by the platform.
     pub state: TargetState,
 }
--- a/src/documents/http_exchange.rs
+++ b/src/documents/http_exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 GET, bounded and checked.
+//! A single HTTP/1.1 GET with a bounded and validated answer.
 
 use std::net::SocketAddr;
 use std::panic::AssertUnwindSafe;
@@ -15,45 +15,45 @@
 
 use super::DocumentError;
 
-/// The largest value that the platform holds, in bytes.
+/// The maximum size of a value on the platform, in bytes.
 pub const MAX_BODY_BYTES: u64 = 1 << 20;
 
 /// The status of an answer without a body.
 const NOT_MODIFIED: u16 = 304;
 
-/// An answer that was read whole.
+/// A completely read answer.
 #[derive(Debug)]
-pub(super) struct WholeAnswer {
+pub(super) struct CompleteAnswer {
     pub(super) status: u16,
     pub(super) document_version: Option<String>,
     pub(super) retry_after: Option<String>,
     pub(super) body: Bytes,
 }
 
-/// Sends a GET for `path` on a connection of its own and reads the whole answer.
-pub(super) async fn get(address: SocketAddr, path: &str) -> Result<WholeAnswer, DocumentError> {
+/// Sends a GET for `path` on a new connection and reads the complete answer.
+pub(super) async fn get(address: SocketAddr, path: &str) -> Result<CompleteAnswer, DocumentError> {
     let url = Url::parse(&format!("http://{address}{path}")).map_err(malformed)?;
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let exchange = async_h1::connect(stream, Request::get(url));
-    // async-h1 2.3.4 panics on a header value outside ASCII: without this guard
-    // such an answer would end the task that follows the configuration, for good.
+    // async-h1 2.3.4 panics on a non-ASCII header value. Without this guard such an
+    // answer would permanently end the task that watches the configuration.
     let response = AssertUnwindSafe(exchange)
         .catch_unwind()
         .await
-        .map_err(|_| malformed("a header that can't be read"))?
+        .map_err(|_| malformed("unreadable header"))?
         .map_err(malformed)?;
     read_answer(response).await
 }
 
-async fn read_answer(mut response: Response) -> Result<WholeAnswer, DocumentError> {
+async fn read_answer(mut response: Response) -> Result<CompleteAnswer, DocumentError> {
     let status = u16::from(response.status());
     let body = if status == NOT_MODIFIED {
         Bytes::new()
     } else {
         read_body(&mut response).await?
     };
-    Ok(WholeAnswer {
+    Ok(CompleteAnswer {
         status,
         document_version: header(&response, "Document-Version"),
         retry_after: header(&response, "Retry-After"),
@@ -61,9 +61,9 @@
     })
 }
 
-/// Reads the body and holds it against its framing: async-h1 2.3.4 reads a body
-/// that was cut short as complete, and one without framing as empty. Half a
-/// document could still parse when the cut falls well, so both are errors.
+/// Reads the body and checks it against its framing: async-h1 2.3.4 reports a
+/// truncated body as complete, and one without framing as empty. Both are errors,
+/// since a truncated document could still parse.
 async fn read_body(response: &mut Response) -> Result<Bytes, DocumentError> {
     let declared = declared_length(response)?;
     if declared.is_some_and(|length| length > MAX_BODY_BYTES) {
@@ -80,27 +80,27 @@
         return Err(DocumentError::BodyTooLarge);
     }
     if declared.is_some_and(|declared| declared != length) {
-        return Err(DocumentError::WrongLength);
+        return Err(DocumentError::LengthMismatch);
     }
     Ok(body.into())
 }
 
-/// Returns the declared length, or nothing for a chunked body, which tells its own end.
+/// Returns the declared length, or `None` for a chunked body, which marks its own end.
 fn declared_length(response: &Response) -> Result<Option<u64>, DocumentError> {
     let Some(values) = response.header(CONTENT_LENGTH) else {
         return match response.header(TRANSFER_ENCODING) {
             Some(_) => Ok(None),
-            None => Err(DocumentError::WrongLength),
+            None => Err(DocumentError::LengthMismatch),
         };
     };
     let first = values.get(0).map_or("", |value| value.as_str());
     if values.iter().any(|value| value.as_str() != first) {
-        return Err(DocumentError::WrongLength);
+        return Err(DocumentError::LengthMismatch);
     }
     first
         .parse()
         .map(Some)
-        .map_err(|_| DocumentError::WrongLength)
+        .map_err(|_| DocumentError::LengthMismatch)
 }
 
 fn header(response: &Response, name: &str) -> Option<String> {
--- a/src/documents/mod.rs
+++ b/src/documents/mod.rs
@@ -1,7 +1,8 @@
-//! The platform's read-and-watch service: the only module that knows its wire format.
+//! Client for the platform's read-and-watch service, the only module that knows its
+//! wire format.
 //!
-//! Everything here only reads. Each answer is bounded and checked against its
-//! declared length before anything believes it.
+//! All operations are reads. The size of each answer is limited and checked against
+//! the declared length before the answer is used.
 
 mod document_client;
 mod document_error;
--- a/tests/document_client.rs
+++ b/tests/document_client.rs
@@ -76,7 +76,7 @@
 
     assert_eq!(
         client.read_document().await,
-        Err(DocumentError::WrongLength)
+        Err(DocumentError::LengthMismatch)
     );
 }
 
@@ -90,11 +90,11 @@
 
     assert_eq!(
         client.read_document().await,
-        Err(DocumentError::WrongLength)
+        Err(DocumentError::LengthMismatch)
     );
     assert_eq!(
         client.read_document().await,
-        Err(DocumentError::WrongLength)
+        Err(DocumentError::LengthMismatch)
     );
 }
 
