--- a/src/cli/check_command.rs
+++ b/src/cli/check_command.rs
@@ -1,4 +1,4 @@
-//! `check`: every fault of a file.
+//! `check`: prints every fault of a file.
 
 use std::io::Write;
 
@@ -10,24 +10,24 @@
 
 use super::cli_error::CliError;
 use super::command_flags::Check;
-use super::command_output::CommandVerdict;
+use super::command_output::CommandOutcome;
 use super::command_output::read_file;
 use super::file_kind::FileKind;
 
-/// What was found in a file.
+/// The faults and warnings of a file.
 struct CheckReport {
     title: &'static str,
     faults: Vec<DocumentFault>,
     warnings: Vec<DocumentFault>,
 }
 
-/// Checks a settings file or a fleet document, and prints what was found.
-pub(super) fn check(flags: &Check, output: &mut dyn Write) -> Result<CommandVerdict, CliError> {
+/// Checks a settings file or a fleet document and prints the faults and warnings.
+pub(super) fn check(flags: &Check, output: &mut dyn Write) -> Result<CommandOutcome, CliError> {
     let text = read_file(&flags.file)?;
-    let report = match FileKind::recognise(&text) {
+    let report = match FileKind::detect(&text) {
         Some(FileKind::Settings) => check_settings(&text),
         Some(FileKind::Fleet) => check_fleet(&text),
-        None => unrecognised(),
+        None => unknown_file_report(),
     };
     print_report(&flags.file.display().to_string(), &report, output)
 }
@@ -56,8 +56,8 @@
     }
 }
 
-fn unrecognised() -> CheckReport {
-    let message = "is neither settings (`host`, `caller_address`, …) nor a fleet document (`roster`, `targets`, …)";
+fn unknown_file_report() -> CheckReport {
+    let message = "is neither a settings file (`host`, `caller_address`, …) nor a fleet document (`roster`, `targets`, …)";
     CheckReport {
         title: "unknown file",
         faults: vec![DocumentFault::new(".", message)],
@@ -69,7 +69,7 @@
     file: &str,
     report: &CheckReport,
     output: &mut dyn Write,
-) -> Result<CommandVerdict, CliError> {
+) -> Result<CommandOutcome, CliError> {
     for fault in &report.faults {
         writeln!(output, "fault: {fault}")?;
     }
@@ -84,8 +84,8 @@
         report.warnings.len()
     )?;
     if report.faults.is_empty() {
-        Ok(CommandVerdict::Clean)
+        Ok(CommandOutcome::Success)
     } else {
-        Ok(CommandVerdict::Faulty)
+        Ok(CommandOutcome::Faulty)
     }
 }
--- a/src/cli/cli_error.rs
+++ b/src/cli/cli_error.rs
@@ -1,4 +1,4 @@
-//! Why a command ended without its answer.
+//! Errors of commands.
 
 use std::path::PathBuf;
 
@@ -8,15 +8,15 @@
 
 use crate::json::DocumentFault;
 
-/// The command line is wrong.
-const USAGE_CODE: u8 = 2;
-/// The command could not run.
-const FAILURE_CODE: u8 = 3;
+/// The exit code for an invalid command line.
+const USAGE_EXIT_CODE: u8 = 2;
+/// The exit code for a command that could not run.
+const FAILURE_EXIT_CODE: u8 = 3;
 
-/// Why a command ended without its answer.
+/// The reason that a command failed without a result.
 #[derive(Debug, Display, Error, From)]
 pub(super) enum CliError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[display("{_0}")]
     #[from(ignore)]
     Usage(#[error(not(source))] String),
@@ -27,10 +27,10 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    /// The answer can't be written.
-    #[display("can't write the answer: {_0}")]
+    /// The output can't be written.
+    #[display("can't write the output: {_0}")]
     Output(std::io::Error),
-    /// A policy of a replay ended without its report.
+    /// A policy of a replay produced no report.
     #[display("the replay of policy `{_0}` failed")]
     #[from(ignore)]
     Replay(#[error(not(source))] String),
@@ -38,28 +38,29 @@
     #[display("can't serve: {_0}")]
     #[from(ignore)]
     Serve(std::io::Error),
-    /// A daemon gave no status.
+    /// The status of a daemon can't be read.
     #[display("no status: {_0}")]
     #[from(ignore)]
     Status(#[error(not(source))] String),
 }
 
 impl CliError {
-    /// Returns the exit code that the help documents.
+    /// Returns the exit code, as documented in the help text.
     pub(super) fn exit_code(&self) -> u8 {
         match self {
-            Self::Usage(_) => USAGE_CODE,
+            Self::Usage(_) => USAGE_EXIT_CODE,
             Self::File { .. }
             | Self::Output(_)
             | Self::Replay(_)
             | Self::Serve(_)
-            | Self::Status(_) => FAILURE_CODE,
+            | Self::Status(_) => FAILURE_EXIT_CODE,
         }
     }
 }
 
-/// Complains of a name on the command line, and offers the closest one.
-pub(super) fn unknown_name<'a>(
+/// Creates an error for an unknown name on the command line, with the closest known
+/// name as a suggestion.
+pub(super) fn unknown_name_error<'a>(
     flag: &str,
     name: &str,
     message: &str,
--- a/src/cli/command_output.rs
+++ b/src/cli/command_output.rs
@@ -1,4 +1,4 @@
-//! What a command found, and what commands share in reading and writing.
+//! Outcomes of commands, and input and output functions that they share.
 
 use std::fs;
 use std::io::Write;
@@ -8,26 +8,26 @@
 
 use super::cli_error::CliError;
 
-/// What a command found, once it could run.
+/// The outcome of a command that could run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum CommandVerdict {
-    /// All is well.
-    Clean,
+pub(super) enum CommandOutcome {
+    /// The command succeeded and found no faults.
+    Success,
     /// Faults were found, or no target is allowed.
     Faulty,
 }
 
-impl CommandVerdict {
-    /// Returns the exit code that the help documents.
+impl CommandOutcome {
+    /// Returns the exit code, as documented in the help text.
     pub(super) fn exit_code(self) -> u8 {
         match self {
-            Self::Clean => 0,
+            Self::Success => 0,
             Self::Faulty => 1,
         }
     }
 }
 
-/// Reads a file that the command line names.
+/// Reads a file given on the command line.
 pub(super) fn read_file(path: &Path) -> Result<String, CliError> {
     fs::read_to_string(path).map_err(|source| CliError::File {
         path: path.to_path_buf(),
@@ -35,9 +35,9 @@
     })
 }
 
-/// Prints an answer as JSON.
-pub(super) fn print_json(answer: &impl Serialize, output: &mut dyn Write) -> Result<(), CliError> {
-    serde_json::to_writer_pretty(&mut *output, answer).map_err(std::io::Error::from)?;
+/// Prints a report as JSON.
+pub(super) fn print_json(report: &impl Serialize, output: &mut dyn Write) -> Result<(), CliError> {
+    serde_json::to_writer_pretty(&mut *output, report).map_err(std::io::Error::from)?;
     writeln!(output)?;
     Ok(())
 }
--- a/src/cli/edge_command.rs
+++ b/src/cli/edge_command.rs
@@ -1,4 +1,4 @@
-//! `edge`: one host of the users' platform, until it is told to leave.
+//! `edge`: runs a host of the users' platform until it is told to leave.
 
 use std::io::Write;
 use std::io::stderr;
@@ -15,39 +15,40 @@
 use crate::platform;
 
 use super::cli_error::CliError;
-use super::command_output::CommandVerdict;
+use super::command_output::CommandOutcome;
 
-/// How long faulty settings are read again at the start: the file may be being rewritten.
-const SETTINGS_PATIENCE: Duration = Duration::from_millis(500);
-/// The pause between two reads.
-const SETTINGS_PAUSE: Duration = Duration::from_millis(20);
+/// How long loading is retried at the start if the settings are faulty: the file may be
+/// in the middle of a rewrite.
+const SETTINGS_RETRY_TIMEOUT: Duration = Duration::from_millis(500);
+/// The delay between two attempts.
+const SETTINGS_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves with the platform's settings file until SIGTERM or SIGINT.
-pub(super) fn serve_edge() -> Result<CommandVerdict, CliError> {
-    // Before anything that takes time: SIGHUP would end a host that still starts.
+/// Runs a host with the platform's settings file until SIGTERM or SIGINT.
+pub(super) fn serve_edge() -> Result<CommandOutcome, CliError> {
+    // Registered before anything slow: SIGHUP would otherwise end a starting host.
     let signals = task::block_on(async { EdgeSignals::register() }).map_err(CliError::Serve)?;
-    let parts = match open_parts() {
-        Ok(parts) => parts,
+    let dependencies = match load_dependencies() {
+        Ok(dependencies) => dependencies,
         Err(faults) => {
             for fault in faults {
                 writeln!(stderr(), "fault: {fault}")?;
             }
-            return Ok(CommandVerdict::Faulty);
+            return Ok(CommandOutcome::Faulty);
         }
     };
-    let host = task::block_on(EdgeHost::start(parts)).map_err(CliError::Serve)?;
+    let host = task::block_on(EdgeHost::start(dependencies)).map_err(CliError::Serve)?;
     task::block_on(host.run(signals));
-    Ok(CommandVerdict::Clean)
+    Ok(CommandOutcome::Success)
 }
 
-/// Reads the settings, again for a while where they are faulty.
-fn open_parts() -> Result<EdgeDependencies, Vec<DocumentFault>> {
-    let begun = Instant::now();
+/// Loads the settings, with retries for [`SETTINGS_RETRY_TIMEOUT`] if they are faulty.
+fn load_dependencies() -> Result<EdgeDependencies, Vec<DocumentFault>> {
+    let started = Instant::now();
     loop {
-        let opened = platform::load_dependencies(platform::settings_path());
-        if opened.is_ok() || begun.elapsed() >= SETTINGS_PATIENCE {
-            return opened;
+        let result = platform::load_dependencies(platform::settings_path());
+        if result.is_ok() || started.elapsed() >= SETTINGS_RETRY_TIMEOUT {
+            return result;
         }
-        thread::sleep(SETTINGS_PAUSE);
+        thread::sleep(SETTINGS_RETRY_DELAY);
     }
 }
--- a/src/cli/explain_command.rs
+++ b/src/cli/explain_command.rs
@@ -1,4 +1,4 @@
-//! `explain`: which targets a request may use, and why not the others.
+//! `explain`: shows which targets may serve a request and why the others may not.
 
 use std::io::Write;
 
@@ -15,16 +15,16 @@
 use crate::json::DocumentFault;
 
 use super::cli_error::CliError;
-use super::cli_error::unknown_name;
+use super::cli_error::unknown_name_error;
 use super::command_flags::Explain;
-use super::command_output::CommandVerdict;
+use super::command_output::CommandOutcome;
 use super::command_output::print_json;
 use super::command_output::read_file;
 
-/// Ends the complaint of a name that the document does not have.
-const NOT_THERE: &str = "is not in the document";
+/// The end of the error message for a name that the document doesn't contain.
+const NOT_IN_DOCUMENT: &str = "is not in the document";
 
-/// What is printed with `--json`.
+/// The output with `--json`.
 #[derive(Serialize)]
 struct ExplainReport<'a> {
     account: &'a AccountName,
@@ -35,8 +35,9 @@
     targets: Vec<TargetExplanation>,
 }
 
-/// Shows for one request each target, and the first reason that excludes it.
-pub(super) fn explain(flags: &Explain, output: &mut dyn Write) -> Result<CommandVerdict, CliError> {
+/// Prints for each target whether it may serve the request, or the first reason that
+/// excludes it.
+pub(super) fn explain(flags: &Explain, output: &mut dyn Write) -> Result<CommandOutcome, CliError> {
     let text = read_file(&flags.file)?;
     let view = match parse_document(&text).and_then(FleetView::compile) {
         Ok(view) => view,
@@ -57,17 +58,17 @@
     } else {
         print_text(&report, output)?;
     }
-    Ok(verdict(&report))
+    Ok(outcome(&report))
 }
 
 fn print_faults(
     faults: &[DocumentFault],
     output: &mut dyn Write,
-) -> Result<CommandVerdict, CliError> {
+) -> Result<CommandOutcome, CliError> {
     for fault in faults {
         writeln!(output, "fault: {fault}")?;
     }
-    Ok(CommandVerdict::Faulty)
+    Ok(CommandOutcome::Faulty)
 }
 
 fn find_account<'a>(view: &'a FleetView, name: &str) -> Result<&'a CompiledAccount, CliError> {
@@ -76,7 +77,7 @@
         .iter()
         .map(|view| view.account.name.as_str());
     view.account(name)
-        .ok_or_else(|| unknown_name("--account", name, NOT_THERE, names))
+        .ok_or_else(|| unknown_name_error("--account", name, NOT_IN_DOCUMENT, names))
 }
 
 fn find_class<'a>(view: &'a FleetView, flags: &Explain) -> Result<&'a CompiledClass, CliError> {
@@ -84,7 +85,7 @@
         (Some(name), None, None) => {
             let names = view.classes().iter().map(|view| view.rule.name.as_str());
             view.class(name)
-                .ok_or_else(|| unknown_name("--class", name, NOT_THERE, names))
+                .ok_or_else(|| unknown_name_error("--class", name, NOT_IN_DOCUMENT, names))
         }
         (None, Some(method), Some(path)) => view
             .class_for_request(method, path, flags.request_class.as_deref())
@@ -100,14 +101,14 @@
 }
 
 fn print_text(report: &ExplainReport<'_>, output: &mut dyn Write) -> Result<(), CliError> {
-    let repeat = if report.idempotent {
+    let idempotency = if report.idempotent {
         "idempotent"
     } else {
         "non-idempotent"
     };
     writeln!(
         output,
-        "account {}, class {}: tier {}, {repeat}, deadline {} ms",
+        "account {}, class {}: tier {}, {idempotency}, deadline {} ms",
         report.account, report.class, report.tier, report.deadline_ms
     )?;
     let names = report.targets.iter().map(|target| target.target.len());
@@ -122,11 +123,11 @@
     Ok(())
 }
 
-fn verdict(report: &ExplainReport<'_>) -> CommandVerdict {
+fn outcome(report: &ExplainReport<'_>) -> CommandOutcome {
     let mut targets = report.targets.iter();
     if targets.any(|target| target.excluded.is_none()) {
-        CommandVerdict::Clean
+        CommandOutcome::Success
     } else {
-        CommandVerdict::Faulty
+        CommandOutcome::Faulty
     }
 }
--- a/src/cli/file_kind.rs
+++ b/src/cli/file_kind.rs
@@ -1,6 +1,6 @@
-//! What a file is meant to be.
+//! Detection of a file's kind.
 
-/// Names that only settings have at their top level.
+/// Top-level names that occur only in settings files.
 const SETTINGS_NAMES: &[&str] = &[
     "caller_address",
     "host",
@@ -11,24 +11,25 @@
     "scope",
 ];
 
-/// Names that only fleet documents have at their top level.
+/// Top-level names that occur only in fleet documents.
 const FLEET_NAMES: &[&str] = &[
     "accounts", "classes", "former", "limits", "roster", "targets", "version",
 ];
 
-/// What a file is meant to be.
+/// The kind of a file.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum FileKind {
-    /// One host's settings.
+    /// The settings of one host.
     Settings,
     /// A fleet document.
     Fleet,
 }
 
 impl FileKind {
-    /// Recognises a file by the names that stand in it, so that also a file
-    /// whose syntax is broken gets its faults told; `None` where no name stands.
-    pub(super) fn recognise(text: &str) -> Option<Self> {
+    /// Detects the kind of a file by the names that it contains, so that the faults of a
+    /// file with broken syntax are reported as well. Returns `None` if both kinds are
+    /// equally likely, such as without any known name.
+    pub(super) fn detect(text: &str) -> Option<Self> {
         let settings = count_names(text, SETTINGS_NAMES);
         let fleet = count_names(text, FLEET_NAMES);
         match settings.cmp(&fleet) {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one subcommand a file.
+//! The command line, with one module per subcommand.
 
 mod check_command;
 mod cli_error;
--- a/src/cli/replay_command.rs
+++ b/src/cli/replay_command.rs
@@ -1,4 +1,4 @@
-//! `replay`: the measures of a recorded trace under each policy.
+//! `replay`: prints the metrics of a recorded trace under each policy.
 
 use std::io::Write;
 
@@ -10,31 +10,31 @@
 use crate::replay::report_table;
 
 use super::cli_error::CliError;
-use super::cli_error::unknown_name;
+use super::cli_error::unknown_name_error;
 use super::command_flags::Replay;
-use super::command_output::CommandVerdict;
+use super::command_output::CommandOutcome;
 use super::command_output::print_json;
 use super::command_output::read_file;
 
-/// Plays a trace and prints the measures.
-pub(super) fn replay(flags: &Replay, output: &mut dyn Write) -> Result<CommandVerdict, CliError> {
+/// Replays a trace and prints the metrics.
+pub(super) fn replay(flags: &Replay, output: &mut dyn Write) -> Result<CommandOutcome, CliError> {
     let options = replay_options(flags)?;
     let text = read_file(&flags.trace)?;
     let trace = match ReplayTrace::parse(&text) {
         Ok(trace) => trace,
         Err(error) => {
             writeln!(output, "fault: {error}")?;
-            return Ok(CommandVerdict::Faulty);
+            return Ok(CommandOutcome::Faulty);
         }
     };
     let report = replay_trace(&trace, &options);
-    require_all(&report, &options)?;
+    check_completeness(&report, &options)?;
     if flags.json {
         print_json(&report, output)?;
     } else {
         output.write_all(report_table(&report).as_bytes())?;
     }
-    Ok(CommandVerdict::Clean)
+    Ok(CommandOutcome::Success)
 }
 
 fn replay_options(flags: &Replay) -> Result<ReplayOptions, CliError> {
@@ -55,14 +55,14 @@
         .into_iter()
         .find(|kind| kind.to_string() == name)
         .ok_or_else(|| {
-            let message = format!("is no policy; there are {}", names.join(", "));
-            unknown_name("--policy", name, &message, names.iter().map(String::as_str))
+            let message = format!("is not a policy; the policies are {}", names.join(", "));
+            unknown_name_error("--policy", name, &message, names.iter().map(String::as_str))
         })
 }
 
-/// A policy whose run failed is left out of the report: that must not look like
-/// a whole answer.
-fn require_all(report: &ReplayReport, options: &ReplayOptions) -> Result<(), CliError> {
+/// Checks that the report covers every policy: a policy whose run failed is missing
+/// from the report, which must not be presented as complete.
+fn check_completeness(report: &ReplayReport, options: &ReplayOptions) -> Result<(), CliError> {
     let missing = options
         .policies
         .iter()
--- a/src/cli/run_command.rs
+++ b/src/cli/run_command.rs
@@ -1,4 +1,4 @@
-//! From the process's arguments to its exit code.
+//! Entry point of the command line: parses the arguments and runs a command.
 
 use std::ffi::OsString;
 use std::io::Write;
@@ -11,7 +11,7 @@
 use super::command_flags::Cardamomgw;
 use super::command_flags::CardamomgwCmd;
 use super::command_flags::help_text;
-use super::command_output::CommandVerdict;
+use super::command_output::CommandOutcome;
 use super::edge_command::serve_edge;
 use super::explain_command::explain;
 use super::replay_command::replay;
@@ -20,22 +20,22 @@
 use super::status_command::print_status;
 use super::trace_command::trace;
 
-/// Runs the command that the process's arguments (without the program's name) say.
+/// Runs the command given by the process's arguments (without the program's name).
 ///
-/// Answers go to stdout, complaints to stderr; the exit codes are those of `--help`.
+/// Results are written to stdout, errors to stderr; `--help` documents the exit codes.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
-    // Not locked: while a host serves, its log writes there.
+    // Not locked: a serving host logs to stdout.
     let mut output = stdout();
     let result = parse_and_run(arguments, &mut output);
     let code = match result {
-        Ok(verdict) => verdict.exit_code(),
-        Err(error) => complain(&error),
+        Ok(outcome) => outcome.exit_code(),
+        Err(error) => print_error(&error),
     };
     ExitCode::from(code)
 }
 
-fn complain(error: &CliError) -> u8 {
-    // Where stderr is closed, the exit code has to do.
+fn print_error(error: &CliError) -> u8 {
+    // If stderr is closed, the exit code has to suffice.
     let _ = writeln!(stderr(), "cardamomgw: {error}");
     error.exit_code()
 }
@@ -43,9 +43,9 @@
 fn parse_and_run(
     arguments: Vec<OsString>,
     output: &mut dyn Write,
-) -> Result<CommandVerdict, CliError> {
+) -> Result<CommandOutcome, CliError> {
     if arguments.is_empty() {
-        let message = format!("a command is missing\n\n{}", help_text());
+        let message = format!("missing command\n\n{}", help_text());
         return Err(CliError::Usage(message));
     }
     match Cardamomgw::from_vec(arguments) {
@@ -53,7 +53,7 @@
         Ok(flags) => run_command(flags.subcommand, output),
         Err(error) if error.is_help() => {
             writeln!(output, "{error}")?;
-            Ok(CommandVerdict::Clean)
+            Ok(CommandOutcome::Success)
         }
         Err(error) => {
             let message = format!("{error}; see `cardamomgw --help`");
@@ -62,7 +62,7 @@
     }
 }
 
-fn run_command(command: CardamomgwCmd, output: &mut dyn Write) -> Result<CommandVerdict, CliError> {
+fn run_command(command: CardamomgwCmd, output: &mut dyn Write) -> Result<CommandOutcome, CliError> {
     match command {
         CardamomgwCmd::Serve(flags) => serve(&flags.settings),
         CardamomgwCmd::Edge(_) => serve_edge(),
@@ -74,12 +74,12 @@
         CardamomgwCmd::Settings(_) => print_settings(output),
         CardamomgwCmd::Help(_) => {
             writeln!(output, "{}", help_text())?;
-            Ok(CommandVerdict::Clean)
+            Ok(CommandOutcome::Success)
         }
     }
 }
 
-fn print_version(output: &mut dyn Write) -> Result<CommandVerdict, CliError> {
+fn print_version(output: &mut dyn Write) -> Result<CommandOutcome, CliError> {
     writeln!(output, "cardamomgw {}", env!("CARGO_PKG_VERSION"))?;
-    Ok(CommandVerdict::Clean)
+    Ok(CommandOutcome::Success)
 }
--- a/src/cli/serve_command.rs
+++ b/src/cli/serve_command.rs
@@ -1,4 +1,4 @@
-//! `serve`: one host, until it is told to leave.
+//! `serve`: runs one host until it is told to leave.
 
 use std::io::Write;
 use std::io::stderr;
@@ -10,19 +10,19 @@
 use crate::settings::read_settings;
 
 use super::cli_error::CliError;
-use super::command_output::CommandVerdict;
+use super::command_output::CommandOutcome;
 
-/// Serves with the settings in a file until SIGTERM or SIGINT.
-pub(super) fn serve(settings: &Path) -> Result<CommandVerdict, CliError> {
+/// Runs a host with a settings file until SIGTERM or SIGINT.
+pub(super) fn serve(settings: &Path) -> Result<CommandOutcome, CliError> {
     let settings = match read_settings(settings) {
         Ok(settings) => settings,
         Err(faults) => {
             for fault in faults {
                 writeln!(stderr(), "fault: {fault}")?;
             }
-            return Ok(CommandVerdict::Faulty);
+            return Ok(CommandOutcome::Faulty);
         }
     };
     task::block_on(serve_host(&settings)).map_err(CliError::Serve)?;
-    Ok(CommandVerdict::Clean)
+    Ok(CommandOutcome::Success)
 }
--- a/src/cli/settings_command.rs
+++ b/src/cli/settings_command.rs
@@ -1,14 +1,14 @@
-//! `settings`: the commented default.
+//! `settings`: prints the default settings.
 
 use std::io::Write;
 
 use crate::settings::DEFAULT_SETTINGS;
 
 use super::cli_error::CliError;
-use super::command_output::CommandVerdict;
+use super::command_output::CommandOutcome;
 
 /// Prints the default settings, with comments.
-pub(super) fn print_settings(output: &mut dyn Write) -> Result<CommandVerdict, CliError> {
+pub(super) fn print_settings(output: &mut dyn Write) -> Result<CommandOutcome, CliError> {
     output.write_all(DEFAULT_SETTINGS.as_bytes())?;
-    Ok(CommandVerdict::Clean)
+    Ok(CommandOutcome::Success)
 }
--- a/src/cli/status_command.rs
+++ b/src/cli/status_command.rs
@@ -1,4 +1,4 @@
-//! `status`: what a running daemon tells operators.
+//! `status`: prints the status of a running daemon.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -15,20 +15,20 @@
 
 use super::cli_error::CliError;
 use super::command_flags::Status;
-use super::command_output::CommandVerdict;
+use super::command_output::CommandOutcome;
 use super::status_table::status_table;
 
-/// How long a daemon may take for its status; one that is slower hangs.
+/// The timeout of a status request; a daemon that takes longer is considered hung.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The longest status that is read: what answers may not be a daemon.
+/// The maximum size of a status: the program that answers may not be a daemon.
 const MAX_STATUS_BYTES: u64 = 16 << 20;
 
-/// Prints a running daemon's status.
+/// Prints the status of a running daemon.
 pub(super) fn print_status(
     flags: &Status,
     output: &mut dyn Write,
-) -> Result<CommandVerdict, CliError> {
+) -> Result<CommandOutcome, CliError> {
     let text = block_on(timeout(STATUS_TIMEOUT, fetch_status(flags.address)))
         .map_err(|_| status_error("the daemon did not answer in time"))??;
     let status: Value = serde_json::from_str(&text).map_err(status_error)?;
@@ -37,7 +37,7 @@
     } else {
         output.write_all(status_table(&status).as_bytes())?;
     }
-    Ok(CommandVerdict::Clean)
+    Ok(CommandOutcome::Success)
 }
 
 async fn fetch_status(address: SocketAddr) -> Result<String, CliError> {
--- a/src/cli/status_table.rs
+++ b/src/cli/status_table.rs
@@ -1,27 +1,27 @@
-//! A status as text: scalars as lines, lists of objects as tables.
+//! Formats a status as text: scalars as lines, lists of objects as tables.
 
 use serde_json::Map;
 use serde_json::Value;
 
-/// Stands between two columns.
+/// The separator between two columns.
 const COLUMN_GAP: &str = "  ";
 
-/// The longest list that is written out; of a longer one its length is told.
+/// The longest list that is printed in full; for a longer one only its length is printed.
 const MAX_LISTED: usize = 8;
 
-/// Writes a status for people to read.
+/// Formats a status as human-readable text.
 ///
-/// It knows no field by name, so a daemon's newer fields show as well.
+/// No field is handled by name, so fields of newer daemons are printed as well.
 pub(super) fn status_table(status: &Value) -> String {
     let mut text = String::new();
     match status {
         Value::Object(fields) => write_fields("", fields, &mut text),
-        other => text = format!("{}\n", cell(other)),
+        other => text = format!("{}\n", format_cell(other)),
     }
     text
 }
 
-/// Writes the scalars first, and then each list under its own heading.
+/// Writes the scalars first and then each list under its own heading.
 fn write_fields(prefix: &str, fields: &Map<String, Value>, text: &mut String) {
     let width = fields
         .iter()
@@ -32,7 +32,10 @@
     for (name, value) in fields {
         if !is_nested(value) {
             let name = format!("{prefix}{name}");
-            text.push_str(&format!("{name:width$}{COLUMN_GAP}{}\n", cell(value)));
+            text.push_str(&format!(
+                "{name:width$}{COLUMN_GAP}{}\n",
+                format_cell(value)
+            ));
         }
     }
     for (name, value) in fields {
@@ -63,14 +66,14 @@
     for row in rows {
         let line: Vec<String> = names
             .iter()
-            .map(|name| row.get(name.as_str()).map_or_else(String::new, cell))
+            .map(|name| row.get(name.as_str()).map_or_else(String::new, format_cell))
             .collect();
         lines.push(line);
     }
     write_aligned(&lines, text);
 }
 
-/// Returns the names of all rows' fields, each once, as they come.
+/// Returns the distinct field names of all rows, in order of first occurrence.
 fn column_names(rows: &[Value]) -> Vec<&String> {
     let mut names: Vec<&String> = Vec::new();
     for fields in rows.iter().filter_map(Value::as_object) {
@@ -101,7 +104,7 @@
     }
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::Null => String::from("-"),
         Value::Object(fields) if fields.is_empty() => String::from("-"),
@@ -109,7 +112,7 @@
         Value::Array(values) if values.len() > MAX_LISTED => format!("{} entries", values.len()),
         Value::String(text) => text.clone(),
         Value::Array(values) => {
-            let cells: Vec<String> = values.iter().map(cell).collect();
+            let cells: Vec<String> = values.iter().map(format_cell).collect();
             cells.join(", ")
         }
         other => other.to_string(),
--- a/src/cli/trace_command.rs
+++ b/src/cli/trace_command.rs
@@ -1,4 +1,4 @@
-//! `trace`: what a host's log tells of one request.
+//! `trace`: prints the log lines of one request.
 
 use std::fs::File;
 use std::io::BufRead;
@@ -7,28 +7,28 @@
 
 use super::cli_error::CliError;
 use super::command_flags::Trace;
-use super::command_output::CommandVerdict;
+use super::command_output::CommandOutcome;
 use crate::logs::RequestTimeline;
 
-/// Prints a request's lines in order, and what the host believed meanwhile.
-pub(super) fn trace(flags: &Trace, output: &mut dyn Write) -> Result<CommandVerdict, CliError> {
+/// Prints a request's log lines in order, with the host's state at the time.
+pub(super) fn trace(flags: &Trace, output: &mut dyn Write) -> Result<CommandOutcome, CliError> {
     let unreadable = |source| CliError::File {
         path: flags.file.clone(),
         source,
     };
     let log = BufReader::new(File::open(&flags.file).map_err(unreadable)?);
-    let mut story = RequestTimeline::new(&flags.request);
+    let mut timeline = RequestTimeline::new(&flags.request);
     for line in log.split(b'\n') {
-        // A crash may leave half a character at the log's end.
+        // A crash may leave half a character at the end of the log.
         let line = line.map_err(unreadable)?;
-        story.add_line(&String::from_utf8_lossy(&line));
+        timeline.add_line(&String::from_utf8_lossy(&line));
     }
-    for line in story.lines() {
+    for line in timeline.lines() {
         writeln!(output, "{line}")?;
     }
-    if story.lines().is_empty() {
-        writeln!(output, "no line names {}", flags.request)?;
-        return Ok(CommandVerdict::Faulty);
+    if timeline.lines().is_empty() {
+        writeln!(output, "no log line for request {}", flags.request)?;
+        return Ok(CommandOutcome::Faulty);
     }
-    Ok(CommandVerdict::Clean)
+    Ok(CommandOutcome::Success)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `cardamomgw` program.
+//! The `cardamomgw` executable.
 
 use std::process::ExitCode;
 
