--- a/src/operators/host_status.rs
+++ b/src/operators/host_status.rs
@@ -1,4 +1,4 @@
-//! What `/status` tells.
+//! The status of a host, served at `/status`.
 
 use serde::Serialize;
 
@@ -13,7 +13,7 @@
 use crate::ids::TierRank;
 use crate::sorted::SortedMap;
 
-/// What `/status` tells.
+/// The status of a host, as served at `/status`.
 #[derive(Debug, Serialize)]
 pub(crate) struct HostStatus {
     host: HostName,
@@ -31,7 +31,7 @@
     answers_kept: usize,
 }
 
-/// How the configuration stands.
+/// The state of the configuration.
 #[derive(Debug, Serialize)]
 struct ConfigStatus {
     version: Option<FleetVersion>,
@@ -41,18 +41,19 @@
     last_refused: Option<String>,
 }
 
-/// How the roster stands.
+/// The state of the roster.
 #[derive(Debug, Serialize)]
 struct RosterStatus {
     active: Option<RosterNumber>,
     newest: Option<RosterNumber>,
+    /// Whether this host's seat may vote on claims.
     voiced: bool,
     remembered_claims: usize,
 }
 
 impl HostStatus {
     /// Collects the status of a host.
-    pub(crate) fn of_host(host: &HostState) -> Self {
+    pub(crate) fn collect(host: &HostState) -> Self {
         let (waiting, running) = host.work.counts();
         let (answers_in_flight, answers_kept) = host.answers.counts();
         let unready_reason = host.unready_reason();
@@ -84,7 +85,7 @@
     });
     ConfigStatus {
         version: view.as_ref().map(|view| view.document().version),
-        digest: view.as_ref().map(|view| hexadecimal(view.digest())),
+        digest: view.as_ref().map(|view| to_hex(view.digest())),
         age_ms: host
             .config
             .view_age(boot_now())
@@ -105,6 +106,6 @@
     }
 }
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/src/operators/mod.rs
+++ b/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! What operators ask a running host: `/metrics`, `/status` and `/ready`.
+//! The operators' interface of a running host: `/metrics`, `/status` and `/ready`.
 
 mod host_status;
 mod operator_service;
--- a/src/operators/operator_service.rs
+++ b/src/operators/operator_service.rs
@@ -1,4 +1,4 @@
-//! Serves the operators' address.
+//! The HTTP service on the operators' address.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 use crate::http::CallerConnection;
 use crate::http::ConnectionListener;
 
-/// How many connections of operators may be open at a time: some scrapers, the
-/// balancer's checks and a few people.
+/// The maximum number of concurrent operator connections: some scrapers, the load
+/// balancer's health checks and a few people.
 const MAX_CONNECTIONS: usize = 64;
 const JSON_TYPE: &str = "application/json";
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
@@ -33,7 +33,7 @@
 }
 
 impl OperatorService {
-    /// Takes operators' connections from now on.
+    /// Binds the address and starts to accept operators' connections.
     ///
     /// # Errors
     ///
@@ -45,7 +45,7 @@
         Ok(Self { listener })
     }
 
-    /// Returns the address that was bound.
+    /// Returns the bound address.
     pub(crate) const fn address(&self) -> SocketAddr {
         self.listener.address()
     }
@@ -70,8 +70,8 @@
     match path {
         "/metrics" => answer_metrics(host),
         "/status" => {
-            let status = HostStatus::of_host(host);
-            // A struct of plain fields always serializes.
+            let status = HostStatus::collect(host);
+            // Serialization can't fail: the struct has only plain fields.
             json_answer(200, serde_json::to_string(&status).unwrap_or_default())
         }
         "/ready" => answer_ready(host),
