--- a/src/fleet/validation/class_checks.rs
+++ b/src/fleet/validation/class_checks.rs
@@ -64,7 +64,7 @@
             .chars()
             .all(|character| character.is_ascii_uppercase());
     if !is_method {
-        let message = format!("`{}` is not a method in upper case", route.method);
+        let message = format!("`{}` is not an HTTP method in upper case", route.method);
         faults.push(DocumentFault::new(format!("{path}.method"), message));
     }
     if let Some(message) = path_error(&route.path) {
--- a/src/json/document_fault.rs
+++ b/src/json/document_fault.rs
@@ -7,7 +7,7 @@
 
 /// The minimum Jaro-Winkler similarity (0 to 1) of a suggested name. Suggestions
 /// below it are more often wrong than right for short field names.
-const MIN_SUGGESTION_SIMILARITY: f64 = 0.8;
+const MIN_SIMILARITY: f64 = 0.8;
 
 /// A fault at one path of a JSON document.
 #[derive(Clone, Debug, Eq, Error, PartialEq, Serialize)]
@@ -57,9 +57,7 @@
     candidates
         .into_iter()
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
-        .filter(|(similarity, candidate)| {
-            *similarity >= MIN_SUGGESTION_SIMILARITY && *candidate != name
-        })
+        .filter(|(similarity, candidate)| *similarity >= MIN_SIMILARITY && *candidate != name)
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, candidate)| candidate)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,30 +1,31 @@
-//! cardamomgw: a request scheduler for fleets of unlike model engines and plain services.
+//! cardamomgw: a request scheduler for heterogeneous fleets of model engines and plain
+//! services.
 //!
-//! The daemon is [`cli::run`]; [`HostServer`] is one host of it inside another
-//! process. Beside it stand the parts by which hosts act together, for others to
-//! embed. They are pure, without network or clock, but for [`peers`]:
+//! The daemon is [`cli::run`]; [`HostServer`] embeds one of its hosts in another
+//! process. The coordination protocols between hosts can be embedded separately. Except
+//! for [`peers`], they are pure and use neither network nor clock:
 //!
-//! - [`claim`]: at most one dispatch an id, and the proof that an id did not run.
-//! - [`roster`]: which hosts hold seats, and how one list of seats follows another.
-//! - [`ConfigTracker`]: which version of a document is in force; versions only rise.
-//! - [`peers`]: the protocol between hosts, and the digests that they exchange.
-//! - [`policy`]: the decisions under load, one object a host.
-//! - [`suspects`]: which requests crash the targets that run them.
+//! - [`claim`]: at most one dispatch per request id, and proof that an id did not run.
+//! - [`roster`]: which hosts hold seats, and how one roster succeeds another.
+//! - [`ConfigTracker`]: which version of a document is in force; versions only increase.
+//! - [`peers`]: the protocol between hosts and the digests that they exchange.
+//! - [`policy`]: scheduling decisions under load, one object per host.
+//! - [`poison`]: which requests crash the targets that run them.
 //!
-//! What these parts are told about, and what reads it:
+//! The data types that these modules use, and their parsers:
 //!
-//! - [`fleet`], [`selector`]: the fleet document, checked and compiled.
-//! - [`ids`], [`sorted`], [`errors`]: names, collections and the one list of errors.
+//! - [`fleet`], [`selector`]: the fleet document, validated and compiled.
+//! - [`ids`], [`sorted`], [`errors`]: identifiers, collections and the error kinds.
 //! - [`json`]: the faults of a document, each with its path.
-//! - [`clock`]: the two clocks whose values the pure parts are given.
+//! - [`clock`]: the two clocks that provide times to the pure modules.
 //! - [`settings`]: one host's settings.
 //!
-//! For tests, benches and tools of this project; others will rarely need them:
+//! For tests, benchmarks and tools of this project, and rarely needed elsewhere:
 //!
-//! - [`controllers`]: what keeps the ledger, the rosters and the lists up to date.
-//! - [`documents`]: the client of the read-and-watch service of fleet documents.
-//! - [`limits`], [`metrics`], [`logs`]: rates of accounts, numbers and log lines.
-//! - [`replay`]: recorded traces played against the policy in virtual time.
+//! - [`controllers`]: tasks that keep the ledger, the rosters and the lists up to date.
+//! - [`documents`]: client for the read-and-watch service of fleet documents.
+//! - [`limits`], [`metrics`], [`logs`]: account rates, metrics and log lines.
+//! - [`replay`]: replay of recorded traces against the policy in virtual time.
 //! - [`cli`]: the command line.
 
 mod answers;
