--- a/tests/cli_commands.rs
+++ b/tests/cli_commands.rs
@@ -1,4 +1,4 @@
-//! The command line as a stranger uses it: answers, complaints and exit codes.
+//! The command line as seen from outside: output, error messages and exit codes.
 
 use std::io::Read;
 use std::io::Write;
@@ -7,11 +7,11 @@
 use std::process::Command;
 use std::thread;
 
-/// What one run of the program gave.
+/// The result of one run of the program.
 struct CommandRun {
     code: i32,
     output: String,
-    complaint: String,
+    errors: String,
 }
 
 fn run(arguments: &[&str]) -> CommandRun {
@@ -22,8 +22,8 @@
         .expect("the program runs");
     CommandRun {
         code: output.status.code().expect("the program exits by itself"),
-        output: String::from_utf8(output.stdout).expect("the answer is text"),
-        complaint: String::from_utf8(output.stderr).expect("the complaint is text"),
+        output: String::from_utf8(output.stdout).expect("the output is UTF-8"),
+        errors: String::from_utf8(output.stderr).expect("the error output is UTF-8"),
     }
 }
 
@@ -38,7 +38,7 @@
     include_str!("../resources/fleet-sample.json").replacen(old, new, 1)
 }
 
-/// Answers one connection with `answer`, and returns the address.
+/// Starts a server that answers one connection with `answer`, and returns its address.
 fn answer_once(answer: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn help_and_version_answer_on_stdout() {
+fn help_and_version_are_printed_on_stdout() {
     let help = run(&["--help"]);
     let version = run(&["--version"]);
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_wrong_command_line_is_2_and_a_missing_file_is_3() {
+fn an_invalid_command_line_exits_with_2_and_a_missing_file_with_3() {
     for arguments in [
         &[][..],
         &["chek"],
@@ -87,16 +87,12 @@
     ] {
         let run = run(arguments);
         assert_eq!(run.code, 2, "{arguments:?}");
-        assert!(
-            run.complaint.starts_with("cardamomgw: "),
-            "{}",
-            run.complaint
-        );
+        assert!(run.errors.starts_with("cardamomgw: "), "{}", run.errors);
         assert_eq!(run.output, "");
     }
     let missing = run(&["check", "no-such-file.json"]);
     assert_eq!(missing.code, 3);
-    assert!(missing.complaint.contains("no-such-file.json"));
+    assert!(missing.errors.contains("no-such-file.json"));
 }
 
 #[test]
@@ -139,7 +135,7 @@
 }
 
 #[test]
-fn check_recognises_a_document_whose_syntax_is_broken() {
+fn check_detects_a_document_with_a_syntax_error() {
     let path = write_file("broken.json", &sample_with("\"roster\": {", "\"roster\": "));
 
     let check = run(&["check", &path]);
@@ -154,7 +150,7 @@
 }
 
 #[test]
-fn explain_shows_each_target_and_its_first_reason() {
+fn explain_shows_each_target_and_the_first_reason_that_excludes_it() {
     let sample = "resources/fleet-sample.json";
     let text = run(&[
         "explain",
@@ -190,7 +186,7 @@
 }
 
 #[test]
-fn explain_is_1_when_no_target_is_allowed_and_suggests_names() {
+fn explain_exits_with_1_if_no_target_is_allowed_and_suggests_names() {
     let path = write_file(
         "closed.json",
         &sample_with("kind=service, service=booking", "service=nothing"),
@@ -214,7 +210,7 @@
     ]);
 
     assert_eq!((closed.code, misspelt.code), (1, 2));
-    assert!(misspelt.complaint.contains("did you mean `crews`?"));
+    assert!(misspelt.errors.contains("did you mean `crews`?"));
 }
 
 #[test]
@@ -227,7 +223,7 @@
 
     let status = run(&["status", &address.to_string()]);
 
-    assert_eq!(status.code, 0, "{}", status.complaint);
+    assert_eq!(status.code, 0, "{}", status.errors);
     let expected = "host      entry-1\npeers     -\naccounts  9 entries\n\
         configuration.version  7\n\n\
         targets:\n  name       slots\n  a          4\n  long-name\n";
@@ -235,7 +231,7 @@
 }
 
 #[test]
-fn status_of_what_is_no_daemon_is_3() {
+fn status_exits_with_3_if_the_address_is_not_of_a_daemon() {
     for answer in [
         "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
@@ -243,16 +239,12 @@
     ] {
         let status = run(&["status", &answer_once(answer.to_string()).to_string()]);
         assert_eq!(status.code, 3, "{answer}");
-        assert!(
-            status.complaint.contains("no status"),
-            "{}",
-            status.complaint
-        );
+        assert!(status.errors.contains("no status"), "{}", status.errors);
     }
 }
 
 #[test]
-fn replay_prints_the_measures_of_the_chosen_policies() {
+fn replay_prints_the_metrics_of_the_selected_policies() {
     let trace = cardamomgw::replay::generate_trace(
         cardamomgw::replay::TraceDeployment::Harmattan,
         cardamomgw::replay::LoadPattern::Steady,
@@ -266,14 +258,14 @@
         "replay", &path, "--policy", "current", "--policy", "first", "--json",
     ]);
 
-    assert_eq!((table.code, json.code), (0, 0), "{}", table.complaint);
+    assert_eq!((table.code, json.code), (0, 0), "{}", table.errors);
     assert!(table.output.contains("round-robin"), "{}", table.output);
     let value: serde_json::Value = serde_json::from_str(&json.output).unwrap();
     assert_eq!(value["policies"].as_array().unwrap().len(), 2);
 }
 
 #[test]
-fn replay_tells_a_faulty_trace_from_a_wrong_policy() {
+fn replay_distinguishes_a_faulty_trace_from_an_unknown_policy() {
     let path = write_file("no-trace.jsonl", "{}\n");
 
     let faulty = run(&["replay", &path]);
@@ -285,19 +277,19 @@
         "{}",
         faulty.output
     );
-    assert!(misspelt.complaint.contains("did you mean `current`?"));
+    assert!(misspelt.errors.contains("did you mean `current`?"));
 }
 
 #[test]
-fn trace_prints_a_requests_lines_and_says_when_there_are_none() {
+fn trace_prints_the_lines_of_a_request_and_reports_when_there_are_none() {
     let log = r#"{"timestamp":1,"kv":{"line":{"event":"request-refused","request":"id1"}}}"#;
     let path = write_file("trace.log", log);
 
-    let told = run(&["trace", &path, "id1"]);
+    let found = run(&["trace", &path, "id1"]);
     let none = run(&["trace", &path, "id2"]);
     let absent = run(&["trace", "no-such-file", "id1"]);
 
-    assert_eq!(told.output, "1 request-refused request=\"id1\"\n");
-    assert_eq!((told.code, none.code, absent.code), (0, 1, 3));
-    assert!(absent.complaint.contains("no-such-file"));
+    assert_eq!(found.output, "1 request-refused request=\"id1\"\n");
+    assert_eq!((found.code, none.code, absent.code), (0, 1, 3));
+    assert!(absent.errors.contains("no-such-file"));
 }
--- a/tests/document_client.rs
+++ b/tests/document_client.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform over raw bytes.
+//! The document client against a server that sends raw HTTP answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use cardamomgw::documents::WatchAnswer;
 use cardamomgw::fleet::TargetState;
 
-/// Serves `answers`, one a connection, and returns the address.
+/// Serves `answers`, one per connection, and returns the address.
 async fn serve(answers: Vec<Vec<u8>>) -> SocketAddr {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(address).await.expect("a free port");
@@ -39,7 +39,7 @@
 }
 
 #[async_std::test]
-async fn document_comes_with_its_version() {
+async fn document_is_read_with_its_version() {
     let client = client_of(vec![answer("200 OK", "Document-Version: 7\r\n", "{}")]).await;
 
     let copy = client.read_document().await.unwrap();
@@ -49,7 +49,7 @@
 }
 
 #[async_std::test]
-async fn watch_tells_newer_from_unchanged() {
+async fn watch_distinguishes_newer_from_unchanged() {
     let client = client_of(vec![
         b"HTTP/1.1 304 Not Modified\r\n\r\n".to_vec(),
         answer("200 OK", "Document-Version: 8\r\n", "{}"),
@@ -66,13 +66,14 @@
     assert_eq!(copy.version, 8);
 }
 
-/// The connection to the platform is cut in the middle of the document, and the
-/// cut falls where the rest still parses. The HTTP library calls the body
-/// complete; put in force, half the fleet would be gone.
+/// The connection to the platform is closed in the middle of the document, at a point
+/// where the received part still parses. The HTTP library reports the body as complete;
+/// if it were put in force, half of the fleet would disappear.
 #[async_std::test]
 async fn body_shorter_than_declared_is_an_error() {
-    let cut = b"HTTP/1.1 200 OK\r\nDocument-Version: 7\r\nContent-Length: 9\r\n\r\n{}".to_vec();
-    let client = client_of(vec![cut]).await;
+    let truncated =
+        b"HTTP/1.1 200 OK\r\nDocument-Version: 7\r\nContent-Length: 9\r\n\r\n{}".to_vec();
+    let client = client_of(vec![truncated]).await;
 
     assert_eq!(
         client.read_document().await,
@@ -83,10 +84,10 @@
 #[async_std::test]
 async fn body_without_framing_or_with_two_lengths_is_an_error() {
     let unframed = b"HTTP/1.1 200 OK\r\nDocument-Version: 7\r\n\r\n{}".to_vec();
-    let doubly = b"HTTP/1.1 200 OK\r\nDocument-Version: 7\r\nContent-Length: 9\r\n\
+    let two_lengths = b"HTTP/1.1 200 OK\r\nDocument-Version: 7\r\nContent-Length: 9\r\n\
         Content-Length: 2\r\n\r\n{}"
         .to_vec();
-    let client = client_of(vec![unframed, doubly]).await;
+    let client = client_of(vec![unframed, two_lengths]).await;
 
     assert_eq!(
         client.read_document().await,
@@ -99,18 +100,18 @@
 }
 
 #[async_std::test]
-async fn chunked_body_cut_early_is_an_error_and_a_whole_one_is_read() {
+async fn truncated_chunked_body_is_an_error_and_a_complete_one_is_read() {
     let head = "HTTP/1.1 200 OK\r\nDocument-Version: 7\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let whole = format!("{head}2\r\n{{}}\r\n0\r\n\r\n").into_bytes();
-    let cut = format!("{head}2\r\n{{}}\r\n").into_bytes();
-    let client = client_of(vec![whole, cut]).await;
+    let complete = format!("{head}2\r\n{{}}\r\n0\r\n\r\n").into_bytes();
+    let truncated = format!("{head}2\r\n{{}}\r\n").into_bytes();
+    let client = client_of(vec![complete, truncated]).await;
 
     assert!(client.read_document().await.is_ok());
     assert!(client.read_document().await.is_err());
 }
 
 #[async_std::test]
-async fn body_beyond_the_bound_is_refused() {
+async fn body_above_the_maximum_size_is_refused() {
     let length = MAX_BODY_BYTES + 1;
     let head =
         format!("HTTP/1.1 200 OK\r\nDocument-Version: 7\r\nContent-Length: {length}\r\n\r\n");
@@ -129,13 +130,13 @@
     );
 }
 
-/// A box between host and platform adds a header in another alphabet. The HTTP
-/// library panics on it; the task that follows the configuration must live on.
+/// A middlebox between host and platform adds a non-ASCII header. The HTTP library panics
+/// on it; the task that watches the configuration must survive.
 #[async_std::test]
 async fn header_outside_ascii_is_an_error_not_a_panic() {
-    let odd = answer("200 OK", "Document-Version: 7\r\nVia: caf\u{e9}\r\n", "{}");
-    let fine = answer("200 OK", "Document-Version: 7\r\n", "{}");
-    let client = client_of(vec![odd, fine]).await;
+    let non_ascii = answer("200 OK", "Document-Version: 7\r\nVia: caf\u{e9}\r\n", "{}");
+    let valid = answer("200 OK", "Document-Version: 7\r\n", "{}");
+    let client = client_of(vec![non_ascii, valid]).await;
 
     let first = client.read_document().await;
     let second = client.read_document().await;
@@ -145,7 +146,7 @@
 }
 
 #[async_std::test]
-async fn refusals_carry_the_advice_and_missing_scopes_are_named() {
+async fn refusals_have_the_retry_delay_and_unknown_scopes_an_error_of_their_own() {
     let client = client_of(vec![
         answer("429 Too Many Requests", "Retry-After: 3\r\n", ""),
         answer("503 Service Unavailable", "", ""),
@@ -155,7 +156,7 @@
     .await;
 
     let refused = client.read_document().await;
-    let down = client.read_document().await;
+    let unavailable = client.read_document().await;
     let missing = client.read_document().await;
     let unversioned = client.read_document().await;
 
@@ -168,7 +169,7 @@
         })
     );
     assert_eq!(
-        down,
+        unavailable,
         Err(DocumentError::Refused {
             status: 503,
             retry_after: None
@@ -180,9 +181,9 @@
 
 #[async_std::test]
 async fn next_address_is_tried_after_a_failure() {
-    let fine = serve(vec![answer("200 OK", "Document-Version: 7\r\n", "{}")]).await;
-    let dead = SocketAddr::from(([127, 0, 0, 1], 1));
-    let client = DocumentClient::new(vec![dead, fine], "polar".to_owned());
+    let reachable = serve(vec![answer("200 OK", "Document-Version: 7\r\n", "{}")]).await;
+    let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
+    let client = DocumentClient::new(vec![unreachable, reachable], "polar".to_owned());
 
     let first = client.read_document().await;
     let second = client.read_document().await;
--- a/tests/foundation.rs
+++ b/tests/foundation.rs
@@ -1,4 +1,4 @@
-//! The small parts that everything stands on: the answer table, ids, sorted maps.
+//! The basic types that all modules use: the answer table, request ids, sorted maps.
 
 use cardamomgw::errors::ANSWER_TABLE;
 use cardamomgw::errors::ErrorKind;
@@ -7,7 +7,7 @@
 use cardamomgw::sorted::SortedMap;
 
 #[test]
-fn answer_table_stands_in_the_order_of_the_list() {
+fn answer_table_has_the_order_of_the_error_kinds() {
     for (index, row) in ANSWER_TABLE.iter().enumerate() {
         assert_eq!(row.kind as usize, index, "{}", row.kind);
         assert_eq!(row.kind.answer().kind, row.kind);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn request_id_carries_its_time_and_refuses_other_versions() {
+fn request_id_contains_its_time_and_other_versions_are_rejected() {
     let id = RequestId::generate(1_764_000_000_123);
 
     let parsed: RequestId = id.to_string().parse().unwrap();
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn sorted_map_keeps_order_and_drops_below_a_bound() {
+fn sorted_map_is_ordered_and_removes_keys_below_a_bound() {
     let mut map: SortedMap<u32, &str> = [(3, "c"), (1, "a"), (2, "b")].into_iter().collect();
 
-    let dropped = map.remove_below(&2);
+    let removed = map.remove_below(&2);
 
-    assert_eq!(dropped, 1);
+    assert_eq!(removed, 1);
     let keys: Vec<u32> = map.iter().map(|(key, _)| *key).collect();
     assert_eq!(keys, [2, 3]);
     assert_eq!(map.get(&3), Some(&"c"));
