--- a/src/documents/document_client.rs
+++ b/src/documents/document_client.rs
@@ -19,7 +19,7 @@
 
 /// How long the platform may hold one watch. 320 daemons with one watch each make 64
 /// calls per second of the 2,000 that are allowed. A watch whose connection has become
-/// unresponsive is abandoned after this time plus [`READ_TIMEOUT`].
+/// unresponsive is abandoned after this time plus `READ_TIMEOUT`.
 pub const WATCH_WAIT: Duration = Duration::from_secs(5);
 /// The timeout of a read, in addition to a watch's wait; the platform answers within
 /// milliseconds.
--- a/src/fleet/fleet_document.rs
+++ b/src/fleet/fleet_document.rs
@@ -63,7 +63,7 @@
 pub struct SeatAddress {
     /// The host that holds the seat; a replacement host has a new name.
     pub host: HostName,
-    /// Where peers reach the host.
+    /// The address at which peers reach the host.
     pub address: SocketAddr,
     /// The host's availability zone.
     pub availability_zone: ZoneName,
@@ -107,7 +107,7 @@
     pub labels: LabelMap,
     /// The maximum number of concurrent requests, over all hosts.
     pub slots: u32,
-    /// Whether the target takes new work.
+    /// Whether the target accepts new work.
     #[serde(default)]
     pub state: TargetState,
     /// A selector over a request's labels (those of its class and account, and
