--- a/src/backoff/mod.rs
+++ b/src/backoff/mod.rs
@@ -1,4 +1,4 @@
-//! Waiting times between tries, shared by everything that reconnects.
+//! Retry delays, shared by everything that reconnects.
 
 mod retry_backoff;
 
--- a/src/backoff/retry_backoff.rs
+++ b/src/backoff/retry_backoff.rs
@@ -2,37 +2,37 @@
 
 use std::time::Duration;
 
-/// Doubles the wait with each failure, up to a bound, and spreads it.
+/// Doubles the delay after each failure, up to a maximum, and adds jitter.
 ///
-/// Without the spread all hosts that lost the same peer or the platform in the
-/// same moment would come back in the same moment, and be refused together again.
+/// Without jitter, all hosts that lost the same peer or the platform at the same
+/// moment would reconnect at the same moment, and be refused together again.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBackoff {
-    first: Duration,
-    longest: Duration,
+    initial: Duration,
+    max: Duration,
     next: Duration,
 }
 
 impl RetryBackoff {
-    /// Makes a backoff whose waits go from `first` up to `longest`.
-    pub(crate) const fn new(first: Duration, longest: Duration) -> Self {
+    /// Creates a backoff whose delays grow from `initial` to `max`.
+    pub(crate) const fn new(initial: Duration, max: Duration) -> Self {
         Self {
-            first,
-            longest,
-            next: first,
+            initial,
+            max,
+            next: initial,
         }
     }
 
-    /// Returns the next wait: between half and the whole of the step, by `spread` in 0..=1.
-    pub(crate) fn next_delay(&mut self, spread: f64) -> Duration {
+    /// Returns the next delay: between 50% and 100% of the current step, by `jitter` in 0..=1.
+    pub(crate) fn next_delay(&mut self, jitter: f64) -> Duration {
         let step = self.next;
-        self.next = (step * 2).min(self.longest);
-        let share = 0.5 + 0.5 * spread.clamp(0.0, 1.0);
-        step.mul_f64(share)
+        self.next = (step * 2).min(self.max);
+        let factor = 0.5 + 0.5 * jitter.clamp(0.0, 1.0);
+        step.mul_f64(factor)
     }
 
-    /// Starts again at the first wait, after a success.
+    /// Resets to the initial delay, after a success.
     pub(crate) const fn reset(&mut self) {
-        self.next = self.first;
+        self.next = self.initial;
     }
 }
