--- a/src/http/answer_head.rs
+++ b/src/http/answer_head.rs
@@ -1,4 +1,4 @@
-//! An answer's head as the filters make it and peers pass it on.
+//! The head of an answer, as filters build it and hosts send it to their peers.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,6 +12,6 @@
     pub status: u16,
     /// The header fields.
     pub headers: HeaderMap,
-    /// The body's length in bytes; absent when the body is streamed.
+    /// The length of the body in bytes; `None` for a streamed body.
     pub length: Option<u64>,
 }
--- a/src/http/bounded_io.rs
+++ b/src/http/bounded_io.rs
@@ -1,4 +1,5 @@
-//! The stream that `async-h1` parses: checked head bytes, then a bounded body.
+//! The stream given to `async-h1`: bytes that were already read, then a bounded
+//! number of bytes from the socket.
 
 use std::io;
 use std::pin::Pin;
@@ -10,53 +11,55 @@
 use futures_lite::AsyncRead;
 use futures_lite::AsyncWrite;
 
-/// Gives out bytes that were read already, then at most `left` from the socket.
+/// Yields bytes that were already read, then at most `remaining` bytes of the socket.
 ///
-/// The bound keeps the parser's own buffer from swallowing the next message.
+/// Without the bound, the parser's internal buffer could consume part of the next message.
 #[derive(Clone, Debug)]
-pub(crate) struct GuardedIo {
-    ready: Vec<u8>,
-    taken: usize,
-    left: u64,
+pub(crate) struct BoundedIo {
+    buffered: Vec<u8>,
+    consumed: usize,
+    remaining: u64,
     stream: TcpStream,
 }
 
-impl GuardedIo {
-    /// Puts `ready` in front of `left` bytes of the stream.
-    pub(crate) fn new(ready: Vec<u8>, left: u64, stream: TcpStream) -> Self {
+impl BoundedIo {
+    /// Creates a reader of `buffered` followed by `remaining` bytes of the stream.
+    pub(crate) fn new(buffered: Vec<u8>, remaining: u64, stream: TcpStream) -> Self {
         Self {
-            ready,
-            taken: 0,
-            left,
+            buffered,
+            consumed: 0,
+            remaining,
             stream,
         }
     }
 }
 
-impl AsyncRead for GuardedIo {
+impl AsyncRead for BoundedIo {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let count = (self.ready.len() - self.taken).min(buffer.len());
+        let count = (self.buffered.len() - self.consumed).min(buffer.len());
         if count > 0 {
-            let start = self.taken;
-            buffer[..count].copy_from_slice(&self.ready[start..start + count]);
-            self.taken += count;
+            let start = self.consumed;
+            buffer[..count].copy_from_slice(&self.buffered[start..start + count]);
+            self.consumed += count;
             return Poll::Ready(Ok(count));
         }
-        let bound = usize::try_from(self.left).map_or(buffer.len(), |left| left.min(buffer.len()));
-        if bound == 0 {
+        let max_count = usize::try_from(self.remaining)
+            .map_or(buffer.len(), |remaining| remaining.min(buffer.len()));
+        if max_count == 0 {
             return Poll::Ready(Ok(0));
         }
-        let count = ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer[..bound]))?;
-        self.left -= count as u64;
+        let count =
+            ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer[..max_count]))?;
+        self.remaining -= count as u64;
         Poll::Ready(Ok(count))
     }
 }
 
-impl AsyncWrite for GuardedIo {
+impl AsyncWrite for BoundedIo {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/src/http/caller_connection.rs
+++ b/src/http/caller_connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: requests come in, answers go out, in turn.
+//! A caller's connection: reads requests and writes answers, one at a time.
 
 use std::net::Shutdown;
 use std::time::Duration;
@@ -18,72 +18,72 @@
 use super::AnswerHead;
 use super::MessageFraming;
 use super::RequestHead;
-use super::guarded_io::GuardedIo;
+use super::bounded_io::BoundedIo;
 use super::head_buffer::HeadBuffer;
 use super::request_line::RequestTarget;
-use super::socket_options::prepare_socket;
+use super::socket_options::set_socket_options;
 use crate::errors::ErrorKind;
 
-/// How long a connection may stay idle between two requests.
-const IDLE_LIMIT: Duration = Duration::from_secs(75);
-/// How long a head may take once its first byte is there. A caller that sends
-/// a byte now and then would otherwise hold a connection for ever.
-const HEAD_LIMIT: Duration = Duration::from_secs(5);
-/// How long a body may take.
-const BODY_LIMIT: Duration = Duration::from_secs(20);
+/// Maximum idle time between two requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
+/// Maximum time from the first byte of a head to its end. Without it, a caller
+/// that sends a byte now and then would hold a connection indefinitely.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum time to read a whole body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a caller may go on sending after the last answer.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
-/// How much a caller may go on sending after the last answer: two of the usual
-/// largest bodies.
-const MAX_CLOSE_BYTES: usize = 2 << 20;
-/// How much of that is read at once, in bytes.
-const CLOSE_PIECE_BYTES: usize = 1024;
+/// Maximum time for which input is discarded after the last answer.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of bytes discarded after the last answer: twice the usual body
+/// limit.
+const MAX_DRAIN_BYTES: usize = 2 << 20;
+/// Buffer size for reading discarded input, in bytes.
+const DRAIN_BUFFER_BYTES: usize = 1024;
 
-/// A caller's connection.
+/// A caller's connection, with the bytes read ahead of the next request.
 #[derive(Debug)]
 pub(crate) struct CallerConnection {
     stream: TcpStream,
     buffer: HeadBuffer,
     reusable: bool,
-    /// Whether the request is a `HEAD`, whose answer has no body: a body would
-    /// be read as the head of the next answer.
-    answers_head: bool,
+    /// Whether the current request is a `HEAD`. Its answer has no body: the caller
+    /// would read a body as the head of the next answer.
+    is_head_request: bool,
 }
 
-/// A request whose head is known and whose body is still to be read.
+/// A request whose head has been parsed and whose body has not been read.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    /// The head.
     pub(crate) head: RequestHead,
     framing: MessageFraming,
     body: Body,
 }
 
 impl CallerConnection {
-    /// Takes over an accepted stream.
+    /// Wraps an accepted stream.
     pub(crate) fn new(stream: TcpStream) -> Self {
-        prepare_socket(&stream);
+        set_socket_options(&stream);
         Self {
             stream,
             buffer: HeadBuffer::default(),
             reusable: true,
-            answers_head: false,
+            is_head_request: false,
         }
     }
 
-    /// Tells whether another request may follow on this connection.
+    /// Returns whether another request may follow on this connection.
     pub(crate) fn is_reusable(&self) -> bool {
         self.reusable
     }
 
-    /// Reads the next request's head; `None` when the caller is done.
+    /// Reads the next request's head; `None` when the caller closed the connection
+    /// or stayed idle for too long.
     ///
     /// # Errors
     ///
-    /// The kind to answer with; the connection then carries no further request.
+    /// The error to answer with; the connection then accepts no further request.
     pub(crate) async fn next_request(&mut self) -> Result<Option<CallerRequest>, ErrorKind> {
-        self.answers_head = false;
+        self.is_head_request = false;
         let next = self.read_request().await;
         if next.is_err() {
             self.reusable = false;
@@ -92,57 +92,57 @@
     }
 
     async fn read_request(&mut self) -> Result<Option<CallerRequest>, ErrorKind> {
-        if self.buffer.is_empty() && !self.wait_first_byte().await {
+        if self.buffer.is_empty() && !self.wait_for_first_byte().await {
             return Ok(None);
         }
-        let filled = timeout(HEAD_LIMIT, self.buffer.fill_head(&mut self.stream)).await;
+        let filled = timeout(HEAD_TIMEOUT, self.buffer.fill_head(&mut self.stream)).await;
         let Some(head_bytes) = filled.map_err(|_| ErrorKind::SlowCaller)?? else {
             return Ok(None);
         };
         let framing = MessageFraming::of_head(self.buffer.head(head_bytes))?;
         let target = RequestTarget::of_head(self.buffer.head(head_bytes))?;
-        let io = self.guard_message(head_bytes, framing);
+        let io = self.bound_message(head_bytes, framing);
         let (request, _) = async_h1::server::decode(io)
             .await
             .map_err(|_| ErrorKind::MalformedMessage)?
             .ok_or(ErrorKind::MalformedMessage)?;
-        Ok(Some(self.open_request(request, target, framing)))
+        Ok(Some(self.build_request(request, target, framing)))
     }
 
-    async fn wait_first_byte(&mut self) -> bool {
+    async fn wait_for_first_byte(&mut self) -> bool {
         let mut byte = [0; 1];
-        match timeout(IDLE_LIMIT, self.stream.peek(&mut byte)).await {
+        match timeout(IDLE_TIMEOUT, self.stream.peek(&mut byte)).await {
             Ok(Ok(count)) => count > 0,
             Ok(Err(_)) | Err(_) => false,
         }
     }
 
-    fn guard_message(&mut self, head_bytes: usize, framing: MessageFraming) -> GuardedIo {
+    fn bound_message(&mut self, head_bytes: usize, framing: MessageFraming) -> BoundedIo {
         let body_bytes = match framing {
             MessageFraming::Undeclared => 0,
             MessageFraming::Length(length) => length,
-            // The parser's buffer may take bytes of a next message along, so
-            // none may follow.
+            // The end of a chunked body is not known in advance, so the parser's
+            // buffer may consume bytes of a following message: none is accepted.
             MessageFraming::Chunked => {
                 self.reusable = false;
                 u64::MAX
             }
         };
-        let ready = self.buffer.take_message(head_bytes, body_bytes);
-        let left = body_bytes - (ready.len() - head_bytes) as u64;
-        GuardedIo::new(ready, left, self.stream.clone())
+        let buffered = self.buffer.take_message(head_bytes, body_bytes);
+        let remaining = body_bytes - (buffered.len() - head_bytes) as u64;
+        BoundedIo::new(buffered, remaining, self.stream.clone())
     }
 
-    fn open_request(
+    fn build_request(
         &mut self,
         mut request: http_types::Request,
         target: RequestTarget,
         framing: MessageFraming,
     ) -> CallerRequest {
-        if asks_to_close(&request) {
+        if requests_close(&request) {
             self.reusable = false;
         }
-        self.answers_head = request.method() == Method::Head;
+        self.is_head_request = request.method() == Method::Head;
         CallerRequest {
             head: RequestHead::of_request(&request, target),
             framing,
@@ -150,15 +150,15 @@
         }
     }
 
-    /// Marks the connection as one that ends with the next answer.
+    /// Makes the next answer the last one on this connection.
     ///
-    /// For a request whose body was not read: its bytes would be taken for
-    /// the next request's head.
+    /// Required after a request whose body was not read: its bytes would be parsed
+    /// as the next request's head.
     pub(crate) fn close_after_answer(&mut self) {
         self.reusable = false;
     }
 
-    /// Writes an answer; the connection is of no further use when this fails.
+    /// Writes an answer. After an error the connection can't be used any more.
     pub(crate) async fn send_answer(
         &mut self,
         head: AnswerHead,
@@ -175,13 +175,13 @@
         if !self.reusable {
             response.insert_header("connection", "close");
         }
-        let method = match self.answers_head {
+        let method = match self.is_head_request {
             true => Method::Head,
             false => Method::Get,
         };
         let encoder = Encoder::new(response, method);
         let sent = io::copy(encoder, &mut self.stream).await;
-        // A body that failed leaves the message cut: nothing may follow it.
+        // A body that failed leaves the message truncated: nothing may follow it.
         if sent.is_err() {
             self.reusable = false;
         }
@@ -189,32 +189,34 @@
         self.stream.flush().await
     }
 
-    /// Ends the connection so that the last answer still arrives.
+    /// Closes the connection so that the last answer still reaches the caller.
     ///
-    /// A socket that is closed while the caller still sends is reset, and a reset
-    /// throws away the answer that the caller has not read yet: it would see a
-    /// broken connection in place of the refusal. So this side ends first, and
-    /// what the caller still sends is thrown away for a while.
+    /// Closing a socket while the caller is still sending resets the connection, and
+    /// a reset discards the part of the answer that the caller has not read yet: it
+    /// would see a connection error instead of the refusal. Therefore only the write
+    /// side is shut down at first, and further input is read and discarded, up to
+    /// `DRAIN_TIMEOUT` and `MAX_DRAIN_BYTES`.
     pub(crate) async fn close(mut self) {
         if self.stream.shutdown(Shutdown::Write).is_err() {
             return;
         }
-        let mut thrown_away = [0; CLOSE_PIECE_BYTES];
+        let mut discarded = [0; DRAIN_BUFFER_BYTES];
         let drained = async {
-            let mut left = MAX_CLOSE_BYTES;
-            while left > 0 {
-                match AsyncReadExt::read(&mut self.stream, &mut thrown_away).await {
-                    Ok(count) if count > 0 => left = left.saturating_sub(count),
+            let mut remaining = MAX_DRAIN_BYTES;
+            while remaining > 0 {
+                match AsyncReadExt::read(&mut self.stream, &mut discarded).await {
+                    Ok(count) if count > 0 => remaining = remaining.saturating_sub(count),
                     Ok(_) | Err(_) => return,
                 }
             }
         };
-        timeout(CLOSE_LIMIT, drained).await.ok();
+        timeout(DRAIN_TIMEOUT, drained).await.ok();
     }
 
-    /// Waits until the caller has closed its side, or for ever.
+    /// Completes once the caller has closed its side of the connection.
     ///
-    /// Bytes of a next request end the watch, since the caller is there.
+    /// Never completes if bytes of a further request are pending: the caller is
+    /// still connected.
     pub(crate) async fn wait_closed(&self) {
         let mut byte = [0; 1];
         match self.stream.peek(&mut byte).await {
@@ -225,7 +227,7 @@
 }
 
 impl CallerRequest {
-    /// Tells whether a body was declared.
+    /// Returns whether the head declares a non-empty body.
     pub(crate) fn has_body(&self) -> bool {
         !matches!(
             self.framing,
@@ -233,36 +235,36 @@
         )
     }
 
-    /// Returns the most bytes that the body may take, before it is read.
+    /// Returns the maximum length of the body, known before it is read.
     pub(crate) fn max_body_len(&self, max_bytes: u64) -> usize {
-        let bound = match self.framing {
+        let max_len = match self.framing {
             MessageFraming::Undeclared => 0,
             MessageFraming::Length(length) => length.min(max_bytes),
             MessageFraming::Chunked => max_bytes,
         };
-        usize::try_from(bound).unwrap_or(usize::MAX)
+        usize::try_from(max_len).unwrap_or(usize::MAX)
     }
 
-    /// Reads the whole body, at most `max_bytes`.
+    /// Reads the whole body, up to `max_bytes`.
     ///
     /// # Errors
     ///
-    /// `BodyTooLarge`, `SlowCaller`, or `MalformedMessage` when the body ended
-    /// before its declared length.
+    /// `BodyTooLarge`, `SlowCaller`, or `MalformedMessage` when the body is
+    /// shorter than its declared length.
     pub(crate) async fn read_body(&mut self, max_bytes: u64) -> Result<Vec<u8>, ErrorKind> {
         if matches!(self.framing, MessageFraming::Length(length) if length > max_bytes) {
             return Err(ErrorKind::BodyTooLarge);
         }
         let mut bytes = Vec::new();
         let mut bounded = AsyncReadExt::take(&mut self.body, max_bytes.saturating_add(1));
-        let read = timeout(BODY_LIMIT, bounded.read_to_end(&mut bytes)).await;
+        let read = timeout(BODY_TIMEOUT, bounded.read_to_end(&mut bytes)).await;
         read.map_err(|_| ErrorKind::SlowCaller)?
             .map_err(|_| ErrorKind::MalformedMessage)?;
         let count = bytes.len() as u64;
         if count > max_bytes {
             return Err(ErrorKind::BodyTooLarge);
         }
-        // The parser takes an early end for the end; a cut prompt would run.
+        // The parser reports a truncated body as complete; a truncated prompt would run.
         match self.framing {
             MessageFraming::Length(length) if length != count => Err(ErrorKind::MalformedMessage),
             _ => Ok(bytes),
@@ -270,7 +272,7 @@
     }
 }
 
-fn asks_to_close(request: &http_types::Request) -> bool {
+fn requests_close(request: &http_types::Request) -> bool {
     let options = request.header("connection").into_iter().flatten();
     options
         .flat_map(|value| value.as_str().split(','))
--- a/src/http/connection_listener.rs
+++ b/src/http/connection_listener.rs
@@ -1,4 +1,4 @@
-//! Takes connections at an address, a bounded number at a time.
+//! Accepts connections on an address, up to a maximum number at a time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,27 +16,28 @@
 
 use super::CallerConnection;
 
-/// How long to wait when no connection can be accepted: file handles are gone,
-/// and asking again at once would only burn the processor.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How many connections above the bound may be told so at the same time; what
-/// comes on top is closed without a word.
-const REFUSAL_ROOM: usize = 64;
+/// Delay after a failed accept. The process is then usually out of file
+/// descriptors, and retrying at once would be a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Number of connections above the maximum that are refused with an answer at the
+/// same time; any further ones are closed without an answer.
+const MAX_REFUSED_CONNECTIONS: usize = 64;
 
-/// A running listener; dropping it ends its connections.
+/// A running listener; dropping it stops accepting and closes its connections.
 #[derive(Debug)]
 pub(crate) struct ConnectionListener {
     address: SocketAddr,
     _stop: Sender<()>,
 }
 
-/// Counts a connection for as long as it is open.
-struct OpenGuard(Arc<AtomicUsize>);
+/// Counts a connection while it is open.
+struct OpenConnectionGuard(Arc<AtomicUsize>);
 
 impl ConnectionListener {
-    /// Takes connections from now on.
+    /// Binds the address and starts to accept connections.
     ///
-    /// Up to `max_open` at a time go to `serve`, those above to `refuse`.
+    /// Up to `max_open` concurrent connections are passed to `serve`, those above to
+    /// `refuse`.
     ///
     /// # Errors
     ///
@@ -58,18 +59,18 @@
         let (stop, stopped) = async_channel::bounded::<()>(1);
         task::spawn(async move {
             let open = Arc::new(AtomicUsize::new(0));
-            while let Some(accepted) = next_stream(&listener, &stopped).await {
+            while let Some(accepted) = accept_stream(&listener, &stopped).await {
                 let Ok(stream) = accepted else {
-                    task::sleep(ACCEPT_PAUSE).await;
+                    task::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 };
-                let guard = OpenGuard::enter(&open);
+                let guard = OpenConnectionGuard::enter(&open);
                 match open.load(Ordering::Relaxed) {
                     count if count <= max_open => {
-                        spawn_guarded(serve(CallerConnection::new(stream)), guard, &stopped);
+                        spawn_connection(serve(CallerConnection::new(stream)), guard, &stopped);
                     }
-                    count if count <= max_open + REFUSAL_ROOM => {
-                        spawn_guarded(refuse(CallerConnection::new(stream)), guard, &stopped);
+                    count if count <= max_open + MAX_REFUSED_CONNECTIONS => {
+                        spawn_connection(refuse(CallerConnection::new(stream)), guard, &stopped);
                     }
                     _ => drop(stream),
                 }
@@ -81,27 +82,27 @@
         })
     }
 
-    /// Returns the address that was bound.
+    /// Returns the bound address, with the actual port.
     pub(crate) const fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-impl OpenGuard {
+impl OpenConnectionGuard {
     fn enter(open: &Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::Relaxed);
         Self(open.clone())
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Returns the next stream; `None` once the listener was dropped.
-async fn next_stream(
+/// Accepts the next connection; `None` once the [`ConnectionListener`] has been dropped.
+async fn accept_stream(
     listener: &TcpListener,
     stopped: &Receiver<()>,
 ) -> Option<io::Result<TcpStream>> {
@@ -116,9 +117,9 @@
     .await
 }
 
-fn spawn_guarded(
-    work: impl Future<Output = ()> + Send + 'static,
-    guard: OpenGuard,
+fn spawn_connection(
+    handler: impl Future<Output = ()> + Send + 'static,
+    guard: OpenConnectionGuard,
     stopped: &Receiver<()>,
 ) {
     let stopped = stopped.clone();
@@ -127,6 +128,6 @@
         let stop = async {
             stopped.recv().await.ok();
         };
-        or(work, stop).await;
+        or(handler, stop).await;
     });
 }
--- a/src/http/head_buffer.rs
+++ b/src/http/head_buffer.rs
@@ -1,36 +1,35 @@
-//! Reads a head up to its empty line, bounded in bytes.
+//! Reads the head of a message, up to its empty line and a maximum size.
 
 use async_std::io::ReadExt;
 use async_std::net::TcpStream;
 
 use crate::errors::ErrorKind;
 
-/// The largest head, in bytes. `async-h1` refuses 8 KiB and more.
+/// Maximum size of a head, in bytes. `async-h1` refuses 8 KiB and more.
 pub(crate) const MAX_HEAD_BYTES: usize = 8 * 1024 - 1;
-/// How much is read from a socket at once, in bytes.
+/// Size of one read from a socket, in bytes.
 const READ_BYTES: usize = 4096;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Bytes read from a connection that no message has taken yet.
+/// Bytes read from a connection and not yet consumed by a message.
 #[derive(Debug, Default)]
 pub(crate) struct HeadBuffer {
     bytes: Vec<u8>,
 }
 
 impl HeadBuffer {
-    /// Tells whether a message has begun.
+    /// Returns whether no byte of a next message is buffered.
     pub(crate) fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Reads until the buffer holds a whole head and returns its length.
-    ///
-    /// `None` when the connection ended before a message began.
+    /// Reads until the buffer holds a complete head and returns its length; `None`
+    /// when the connection was closed before the first byte.
     ///
     /// # Errors
     ///
-    /// `HeadTooLarge` past the bound, `MalformedMessage` when the connection
-    /// ended inside the head.
+    /// `HeadTooLarge` above [`MAX_HEAD_BYTES`], `MalformedMessage` when the connection
+    /// was closed inside the head.
     pub(crate) async fn fill_head(
         &mut self,
         stream: &mut TcpStream,
@@ -40,7 +39,7 @@
             if let Some(length) = self.head_length(searched) {
                 return Ok(Some(length));
             }
-            // A head without an end would grow until memory is gone.
+            // Without this check, a head that never ends would exhaust memory.
             if self.bytes.len() > MAX_HEAD_BYTES {
                 return Err(ErrorKind::HeadTooLarge);
             }
@@ -54,14 +53,14 @@
         }
     }
 
-    /// Takes the head and as many bytes behind it as `body_bytes` says.
+    /// Removes and returns the head and up to `body_bytes` bytes after it.
     pub(crate) fn take_message(&mut self, head_bytes: usize, body_bytes: u64) -> Vec<u8> {
         let body_bytes = usize::try_from(body_bytes).unwrap_or(usize::MAX);
         let end = head_bytes.saturating_add(body_bytes).min(self.bytes.len());
         self.bytes.drain(..end).collect()
     }
 
-    /// Returns the head, whose length `fill_head` gave.
+    /// Returns the head, given the length that `fill_head` returned.
     pub(crate) fn head(&self, head_bytes: usize) -> &[u8] {
         &self.bytes[..head_bytes]
     }
@@ -75,12 +74,12 @@
     }
 
     async fn read_more(&mut self, stream: &mut TcpStream) -> Result<bool, ErrorKind> {
-        let mut piece = [0; READ_BYTES];
+        let mut chunk = [0; READ_BYTES];
         let count = stream
-            .read(&mut piece)
+            .read(&mut chunk)
             .await
             .map_err(|_| ErrorKind::MalformedMessage)?;
-        self.bytes.extend_from_slice(&piece[..count]);
+        self.bytes.extend_from_slice(&chunk[..count]);
         Ok(count > 0)
     }
 }
--- a/src/http/message_framing.rs
+++ b/src/http/message_framing.rs
@@ -1,32 +1,32 @@
-//! How a message says where its body ends.
+//! How the head of a message declares the end of its body.
 
 use crate::errors::ErrorKind;
 
-/// Where a message's body ends.
+/// How the end of a message's body is determined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum MessageFraming {
-    /// Neither length nor chunks are declared.
+    /// The head has neither `Content-Length` nor `Transfer-Encoding`.
     Undeclared,
-    /// The body has this many bytes.
+    /// `Content-Length`, in bytes.
     Length(u64),
-    /// The body comes in chunks.
+    /// `Transfer-Encoding: chunked`.
     Chunked,
 }
 
 impl MessageFraming {
-    /// Reads the framing from a head that ends in an empty line.
+    /// Parses the framing from a head that ends with an empty line.
     ///
     /// # Errors
     ///
-    /// `MalformedMessage` where the framing is ambiguous: two peers that read
-    /// it differently would take one caller's bytes for another's request
-    /// (request smuggling, RFC 9112 section 6.3). Two lengths, a length beside
-    /// chunks, a length that is no number, another coding than `chunked`, a
-    /// name with a space before its colon and a folded line are all refused.
+    /// `MalformedMessage` if the framing is ambiguous: two recipients that parse it
+    /// differently would take part of one caller's body for another request
+    /// (request smuggling, RFC 9112 section 6.3). Refused are two lengths, a length
+    /// together with chunked coding, a length that is not a number, any coding other
+    /// than `chunked`, a space before the colon of a field and a folded line.
     pub(crate) fn of_head(head: &[u8]) -> Result<Self, ErrorKind> {
         let mut length = None;
         let mut chunked = false;
-        let text = plain_text(head)?;
+        let text = ascii_text(head)?;
         let mut lines = text.split("\r\n");
         lines.next();
         for line in lines.filter(|line| !line.is_empty()) {
@@ -52,14 +52,14 @@
     }
 }
 
-/// Reads a head as text of printable ASCII, spaces, tabs and line ends.
+/// Decodes a head that consists of printable ASCII, spaces, tabs and line ends only.
 ///
-/// `http-types` panics on a field value outside ASCII; the panic would end the
+/// `http-types` panics on a field value outside ASCII, which would terminate the
 /// task that serves the connection without an answer.
-fn plain_text(head: &[u8]) -> Result<&str, ErrorKind> {
-    let is_plain = |byte: &u8| matches!(byte, b' '..=b'~' | b'\t' | b'\r' | b'\n');
+fn ascii_text(head: &[u8]) -> Result<&str, ErrorKind> {
+    let is_allowed = |byte: &u8| matches!(byte, b' '..=b'~' | b'\t' | b'\r' | b'\n');
     let text = std::str::from_utf8(head).map_err(|_| ErrorKind::MalformedMessage)?;
-    match head.iter().all(is_plain) {
+    match head.iter().all(is_allowed) {
         true => Ok(text),
         false => Err(ErrorKind::MalformedMessage),
     }
@@ -67,15 +67,15 @@
 
 fn split_field(line: &str) -> Result<(&str, &str), ErrorKind> {
     let (name, value) = line.split_once(':').ok_or(ErrorKind::MalformedMessage)?;
-    let clean = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_graphic());
-    if !clean || value.contains(['\n', '\r', '\0']) {
+    let valid_name = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_graphic());
+    if !valid_name || value.contains(['\n', '\r', '\0']) {
         return Err(ErrorKind::MalformedMessage);
     }
     Ok((name, value.trim()))
 }
 
 fn parse_length(value: &str) -> Result<u64, ErrorKind> {
-    // `u64::from_str` takes a leading plus, which HTTP does not.
+    // `u64::from_str` accepts a leading plus sign; HTTP does not.
     if !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(ErrorKind::MalformedMessage);
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,14 +1,15 @@
-//! HTTP/1.1 towards callers and targets: `async-h1` behind guards of our own.
+//! HTTP/1.1 connections to callers and targets, parsed by `async-h1`.
 //!
-//! `async-h1` 2.3.4 reads a body that is shorter than its `Content-Length` as
-//! complete, takes two lengths, reads an unframed answer as empty, reads a head
-//! line without an end forever and closes a malformed request without an answer.
-//! So the head is read and checked here first, and body bytes are counted.
+//! `async-h1` 2.3.4 treats a body that is shorter than its `Content-Length` as
+//! complete, accepts two lengths, treats an answer without framing as empty, reads
+//! a header line that never ends without a limit, and closes the connection on a
+//! malformed request without an answer. Therefore this module reads and validates
+//! heads first, and counts the bytes of bodies.
 
 mod answer_head;
+mod bounded_io;
 mod caller_connection;
 mod connection_listener;
-mod guarded_io;
 mod head_buffer;
 mod message_framing;
 mod request_head;
@@ -23,7 +24,7 @@
 pub(crate) use caller_connection::CallerRequest;
 pub(crate) use connection_listener::ConnectionListener;
 pub(crate) use message_framing::MessageFraming;
-pub(crate) use request_head::HOP_FIELDS;
+pub(crate) use request_head::HOP_BY_HOP_FIELDS;
 pub use request_head::HeaderMap;
 pub use request_head::RequestHead;
 pub(crate) use target_exchange::ExchangeError;
--- a/src/http/request_head.rs
+++ b/src/http/request_head.rs
@@ -1,4 +1,4 @@
-//! A request's head as the filters see it and peers pass it on.
+//! The head of a request, as filters read it and hosts send it to their peers.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,11 +6,12 @@
 use super::request_line::RequestTarget;
 use crate::sorted::SortedMap;
 
-/// Header fields by lower-case name; a repeated field's values are joined by commas.
+/// Header fields by lower-case name; the values of a repeated field are joined with commas.
 pub type HeaderMap = SortedMap<String, String>;
 
-/// Fields that speak of one connection and are never passed on (RFC 9110 section 7.6.1).
-pub(crate) const HOP_FIELDS: &[&str] = &[
+/// Fields that concern a single connection and are never forwarded (RFC 9110 section
+/// 7.6.1), in alphabetical order for the binary search.
+pub(crate) const HOP_BY_HOP_FIELDS: &[&str] = &[
     "connection",
     "content-length",
     "expect",
@@ -32,14 +33,14 @@
     pub method: String,
     /// The path, without the query.
     pub path: String,
-    /// The query, without its question mark.
+    /// The query, without the question mark.
     pub query: Option<String>,
     /// The header fields.
     pub headers: HeaderMap,
 }
 
 impl RequestHead {
-    /// Takes the parts out of a parsed request, whose target was read before.
+    /// Builds the head from a parsed request and the target read from its first line.
     pub(crate) fn of_request(request: &http_types::Request, target: RequestTarget) -> Self {
         Self {
             method: request.method().to_string(),
@@ -49,13 +50,13 @@
         }
     }
 
-    /// Returns the value of a header field by its lower-case name.
+    /// Returns the value of a header field, by lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 }
 
-/// Collects header fields under lower-case names, without those of the connection.
+/// Collects header fields by lower-case name, without the hop-by-hop ones.
 pub(crate) fn collect_headers<'a>(
     fields: impl Iterator<
         Item = (
@@ -66,7 +67,7 @@
 ) -> HeaderMap {
     fields
         .map(|(name, values)| (name.as_str().to_ascii_lowercase(), join_values(values)))
-        .filter(|(name, _)| HOP_FIELDS.binary_search(&name.as_str()).is_err())
+        .filter(|(name, _)| HOP_BY_HOP_FIELDS.binary_search(&name.as_str()).is_err())
         .collect()
 }
 
--- a/src/http/socket_options.rs
+++ b/src/http/socket_options.rs
@@ -1,4 +1,4 @@
-//! Socket options of connections to callers and targets.
+//! Socket options for connections to callers and targets.
 
 use std::time::Duration;
 
@@ -9,23 +9,27 @@
 use rustix::net::sockopt::set_tcp_keepintvl;
 use rustix::net::sockopt::set_tcp_user_timeout;
 
-/// How long a connection may be idle before the other end is asked for a sign.
-const KEEP_IDLE: Duration = Duration::from_secs(10);
-/// How long between two questions, and how many go unanswered.
-const KEEP_INTERVAL: Duration = Duration::from_secs(5);
-const KEEP_COUNT: u32 = 3;
-/// How long sent bytes may stay unacknowledged, in milliseconds. A caller that
-/// never reads, or is gone without a word, would hold its answer for hours.
+/// Idle time before the first keepalive probe.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
+/// Time between two keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
+/// Number of unanswered probes after which the connection is closed.
+const KEEPALIVE_PROBES: u32 = 3;
+/// Maximum time for which sent bytes may stay unacknowledged, in milliseconds.
+/// Without it, a caller that never reads or that disappeared without closing would
+/// hold the memory of its answer for hours.
 const USER_TIMEOUT_MS: u32 = 30_000;
 
-/// Prepares a connection: tokens go out at once, and a dead end is noticed.
+/// Disables Nagle's algorithm, so that tokens are sent at once, and enables the
+/// detection of dead connections.
 ///
-/// An option that the system lacks is passed over; the connection works without.
-pub(crate) fn prepare_socket(stream: &TcpStream) {
+/// An option that the system doesn't support is skipped; the connection works
+/// without it.
+pub(crate) fn set_socket_options(stream: &TcpStream) {
     stream.set_nodelay(true).ok();
     set_socket_keepalive(stream, true).ok();
-    set_tcp_keepidle(stream, KEEP_IDLE).ok();
-    set_tcp_keepintvl(stream, KEEP_INTERVAL).ok();
-    set_tcp_keepcnt(stream, KEEP_COUNT).ok();
+    set_tcp_keepidle(stream, KEEPALIVE_IDLE).ok();
+    set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL).ok();
+    set_tcp_keepcnt(stream, KEEPALIVE_PROBES).ok();
     set_tcp_user_timeout(stream, USER_TIMEOUT_MS).ok();
 }
--- a/src/http/target_exchange.rs
+++ b/src/http/target_exchange.rs
@@ -1,10 +1,10 @@
-//! One request to a target on a connection of its own.
+//! One request to a target, on its own connection.
 //!
-//! A connection carries one exchange and is never used again: a connection that
-//! another exchange left behind could hand a caller somebody else's answer, and
-//! a kept one that the target closes meanwhile would make "was it sent?"
-//! unanswerable. The connection is opened while the claim is under way, so it
-//! costs the request no time.
+//! Connections to targets are not reused. After an earlier exchange, bytes left on
+//! the connection could give a caller the answer to another request; and if the
+//! target closed an idle connection at the same time, the host could not tell
+//! whether a request was sent. The connection is opened while the claim is being
+//! made, so it adds no latency to the request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,49 +25,48 @@
 use super::AnswerHead;
 use super::MessageFraming;
 use super::RequestHead;
-use super::guarded_io::GuardedIo;
+use super::bounded_io::BoundedIo;
 use super::head_buffer::HeadBuffer;
 use super::request_head::collect_headers;
-use super::socket_options::prepare_socket;
+use super::socket_options::set_socket_options;
 use crate::errors::ErrorKind;
 
-/// How much of an answer's body is read at once, in bytes.
-const PIECE_BYTES: usize = 8192;
+/// Size of one read of an answer's body, in bytes.
+const READ_BYTES: usize = 8192;
 
-/// What can go wrong with an exchange.
+/// Why an exchange with a target failed.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub(crate) enum ExchangeError {
-    /// No connection came about, so no byte was sent.
-    #[display("the target can't be reached")]
+    /// No connection was established, so no byte was sent.
+    #[display("target unreachable")]
     Unreachable,
-    /// The connection ended before the message did.
-    #[display("the connection ended early")]
+    /// The connection was closed before the end of the message.
+    #[display("connection closed before the end of the message")]
     Truncated,
-    /// Nothing came for too long.
-    #[display("the connection is silent")]
+    /// No bytes were sent or received within the time limit.
+    #[display("no data within the time limit")]
     TimedOut,
-    /// The message breaks HTTP/1.1, or doesn't say where it ends.
-    #[display("the answer is broken")]
+    /// The message violates HTTP/1.1 or doesn't declare where it ends.
+    #[display("malformed answer")]
     Malformed,
 }
 
-/// A connection on which nothing was sent yet.
+/// A connection on which nothing has been sent yet.
 #[derive(Debug)]
 pub(crate) struct TargetConnection {
     stream: TcpStream,
     address: SocketAddr,
 }
 
-/// A request that was sent and whose answer is to be read.
+/// A request that has been sent and whose answer has not been read.
 #[derive(Debug)]
 pub(crate) struct TargetExchange {
     stream: TcpStream,
 }
 
-/// An answer whose head is known.
+/// An answer whose head has been parsed and whose body is read in chunks.
 #[derive(Debug)]
 pub(crate) struct TargetAnswer {
-    /// The head.
     pub(crate) head: AnswerHead,
     body: Body,
     framing: MessageFraming,
@@ -79,17 +78,17 @@
     ///
     /// # Errors
     ///
-    /// `Unreachable`, also when connecting takes longer than `limit`.
+    /// `Unreachable`, including when connecting takes longer than `limit`.
     pub(crate) async fn open(address: SocketAddr, limit: Duration) -> Result<Self, ExchangeError> {
         let connected = timeout(limit, TcpStream::connect(address)).await;
         let stream = connected
             .map_err(|_| ExchangeError::Unreachable)?
             .map_err(|_| ExchangeError::Unreachable)?;
-        prepare_socket(&stream);
+        set_socket_options(&stream);
         Ok(Self { stream, address })
     }
 
-    /// Sends a request. From the first byte on the target may run it.
+    /// Sends a request. The target may run it from the first byte on.
     ///
     /// # Errors
     ///
@@ -136,26 +135,27 @@
     ///
     /// # Errors
     ///
-    /// `TimedOut` when no head came within `limit`, `Truncated` or `Malformed` otherwise.
+    /// `TimedOut` when no complete head arrives within `limit`, `Truncated` or
+    /// `Malformed` otherwise.
     pub(crate) async fn read_answer(
         mut self,
         limit: Duration,
     ) -> Result<TargetAnswer, ExchangeError> {
         let mut buffer = HeadBuffer::default();
-        let final_head = self.fill_final_head(&mut buffer);
+        let final_head = self.read_final_head(&mut buffer);
         let head_bytes = timeout(limit, final_head)
             .await
             .map_err(|_| ExchangeError::TimedOut)??;
         let framing = MessageFraming::of_head(buffer.head(head_bytes))
             .map_err(|_| ExchangeError::Malformed)?;
         let sent = field_names(buffer.head(head_bytes));
-        let ready = buffer.take_message(head_bytes, u64::MAX);
-        let io = GuardedIo::new(ready, u64::MAX, self.stream);
+        let buffered = buffer.take_message(head_bytes, u64::MAX);
+        let io = BoundedIo::new(buffered, u64::MAX, self.stream);
         let mut response = async_h1::client::decode(io)
             .await
             .map_err(|_| ExchangeError::Malformed)?;
-        // The parser adds fields of its own; the date that it adds has a line end
-        // in it, which would end the head in the middle of the caller's answer.
+        // The parser adds fields that the target did not send. The `Date` that it adds
+        // contains a line end, which would end the head of the caller's answer early.
         let mut headers = collect_headers(response.iter());
         headers.retain(|name, _| sent.binary_search(name).is_ok());
         let head = AnswerHead {
@@ -173,13 +173,14 @@
 
     /// Reads up to the end of the final answer's head and returns its length.
     ///
-    /// Interim answers (1xx) may come at any time (RFC 9110 section 15.2). One
-    /// that is taken for the answer turns a call that ran into a failed one.
-    async fn fill_final_head(&mut self, buffer: &mut HeadBuffer) -> Result<usize, ExchangeError> {
+    /// Interim answers (1xx) may arrive at any time (RFC 9110 section 15.2) and are
+    /// skipped. If one were taken for the final answer, a call that ran would be
+    /// reported as failed.
+    async fn read_final_head(&mut self, buffer: &mut HeadBuffer) -> Result<usize, ExchangeError> {
         loop {
             let filled = buffer.fill_head(&mut self.stream).await;
             let head_bytes = filled
-                .map_err(head_error)?
+                .map_err(exchange_error)?
                 .ok_or(ExchangeError::Truncated)?;
             if !is_interim(buffer.head(head_bytes)) {
                 return Ok(head_bytes);
@@ -190,11 +191,11 @@
 }
 
 impl TargetAnswer {
-    /// Reads the next piece of the body; `None` at its proven end.
+    /// Reads the next chunk of the body; `None` at its verified end.
     ///
     /// # Errors
     ///
-    /// `TimedOut` when nothing came within `limit`, `Truncated` when the body ended
+    /// `TimedOut` when nothing arrives within `limit`, `Truncated` when the body ends
     /// before its declared length or its last chunk.
     pub(crate) async fn next_chunk(
         &mut self,
@@ -203,13 +204,13 @@
         if self.head.length == Some(self.received) {
             return Ok(None);
         }
-        let mut piece = vec![0; PIECE_BYTES];
-        let read = timeout(limit, self.body.read(&mut piece)).await;
+        let mut chunk = vec![0; READ_BYTES];
+        let read = timeout(limit, self.body.read(&mut chunk)).await;
         let count = read
             .map_err(|_| ExchangeError::TimedOut)?
             .map_err(|_| ExchangeError::Truncated)?;
         if count == 0 {
-            // The parser takes an early end of a counted body for its end.
+            // The parser reports a truncated body of declared length as complete.
             return match self.framing {
                 MessageFraming::Chunked => Ok(None),
                 MessageFraming::Length(_) | MessageFraming::Undeclared => {
@@ -218,12 +219,12 @@
             };
         }
         self.received += count as u64;
-        piece.truncate(count);
-        Ok(Some(piece))
+        chunk.truncate(count);
+        Ok(Some(chunk))
     }
 }
 
-/// Returns the sorted lower-case names of a head's fields.
+/// Returns the lower-case names of a head's fields, sorted.
 fn field_names(head: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(head);
     let mut names: Vec<String> = text
@@ -236,29 +237,32 @@
     names
 }
 
-const fn head_error(kind: ErrorKind) -> ExchangeError {
+const fn exchange_error(kind: ErrorKind) -> ExchangeError {
     match kind {
         ErrorKind::HeadTooLarge => ExchangeError::Malformed,
         _ => ExchangeError::Truncated,
     }
 }
 
-/// Tells whether a head is of an interim answer. 101 is none: it ends HTTP.
+/// Returns whether a head belongs to an interim answer. 101 does not count: after it
+/// the connection no longer carries HTTP.
 fn is_interim(head: &[u8]) -> bool {
     head.starts_with(b"HTTP/1.1 1") && !head.starts_with(b"HTTP/1.1 101")
 }
 
-/// Returns the body's length; an answer that doesn't say where it ends can't be
-/// told from a cut one, so it is broken.
+/// Returns the declared length of the body; `None` for chunked coding.
+///
+/// An answer that doesn't declare where it ends can't be distinguished from a
+/// truncated one, so it is malformed.
 fn declared_length(
     framing: MessageFraming,
     status: http_types::StatusCode,
 ) -> Result<Option<u64>, ExchangeError> {
-    let bodiless = matches!(u16::from(status), 204 | 304);
+    let has_no_body = matches!(u16::from(status), 204 | 304);
     match framing {
         MessageFraming::Length(length) => Ok(Some(length)),
         MessageFraming::Chunked => Ok(None),
-        MessageFraming::Undeclared if bodiless => Ok(Some(0)),
+        MessageFraming::Undeclared if has_no_body => Ok(Some(0)),
         MessageFraming::Undeclared => Err(ExchangeError::Malformed),
     }
 }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Framing that two readers could read differently.
+//! Framing checks and the connection limit of a listener.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn plain_framings_are_read() {
+fn valid_framings_are_parsed() {
     assert_eq!(framing(""), Ok(MessageFraming::Undeclared));
     assert_eq!(
         framing("Content-Length: 12\r\n"),
@@ -32,9 +32,9 @@
     );
 }
 
-/// A caller gets the answer to another caller's request. A message carries two
-/// lengths; the parser takes the last one, somebody before it took the first,
-/// and the rest of the body is read as a request of its own.
+/// Guards against request smuggling, by which a caller gets the answer to another
+/// caller's request: a message has two lengths, a proxy uses the first and the
+/// parser the last, and the rest of the body is parsed as a separate request.
 #[test]
 fn ambiguous_framings_are_refused() {
     for fields in [
@@ -62,17 +62,18 @@
     }
 }
 
-/// A host reaches no target any more: callers that connected and never left hold
-/// every file handle. Above the bound a caller is told so, and room comes back.
+/// Guards against a host that can't connect to targets because connections of callers
+/// use all file descriptors: above the maximum, connections get a refusal until an
+/// open one is closed.
 #[async_std::test]
-async fn connections_above_the_bound_are_refused_until_there_is_room() {
+async fn connections_above_the_maximum_are_refused_until_one_closes() {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let serve = |mut connection: CallerConnection| async move {
         connection.next_request().await.ok();
     };
     let refuse = |mut connection: CallerConnection| async move {
         connection
-            .send_answer(full_answer(), Cursor::new([]))
+            .send_answer(refusal_head(), Cursor::new([]))
             .await
             .ok();
         connection.close().await;
@@ -92,7 +93,7 @@
     assert_eq!(served, 0);
 }
 
-fn full_answer() -> AnswerHead {
+fn refusal_head() -> AnswerHead {
     AnswerHead {
         status: 503,
         headers: HeaderMap::new(),
--- a/src/wire/message_headers.rs
+++ b/src/wire/message_headers.rs
@@ -1,6 +1,6 @@
 //! The header lines of a message, values as the bytes that were sent.
 
-use crate::http::HOP_FIELDS;
+use crate::http::HOP_BY_HOP_FIELDS;
 
 /// The header lines of a message, in the order in which they were sent.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -75,7 +75,7 @@
         self.retain(|name| {
             // The target picks its site by the host.
             let hop = name.to_ascii_lowercase();
-            (hop == "host" || !HOP_FIELDS.contains(&hop.as_str()))
+            (hop == "host" || !HOP_BY_HOP_FIELDS.contains(&hop.as_str()))
                 && !named.iter().any(|word| name.eq_ignore_ascii_case(word))
         });
     }
