--- a/src/wire/answer_message.rs
+++ b/src/wire/answer_message.rs
@@ -1,34 +1,33 @@
-//! The head of an answer.
+//! Parses the head of an answer.
 
 use super::InputBuffer;
 use super::MessageHeaders;
 use super::WireError;
 use super::request_message::MAX_HEADER_LINES;
 
-/// The largest head of an answer, in bytes.
+/// Maximum size of an answer's head, in bytes.
 const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
 
-/// The head of an answer.
+/// The status line and header lines of an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct AnswerMessage {
-    /// The status.
     pub(crate) status: u16,
-    /// Whether the sender speaks HTTP/1.0, and so keeps no connection.
+    /// Whether the answer is HTTP/1.0, whose connections are not reused.
     pub(crate) is_http10: bool,
-    /// The header lines.
     pub(crate) headers: MessageHeaders,
 }
 
 impl AnswerMessage {
-    /// Takes the next final head from the buffer; `None` while it is not whole.
-    /// Interim answers (RFC 9110 section 15.2) are passed over: one that is taken
-    /// for the answer turns a call that ran into a failed one.
+    /// Removes the next final head from the buffer; `None` while it is incomplete.
+    ///
+    /// Interim answers (RFC 9110 section 15.2) are skipped. If one were taken for the
+    /// final answer, a call that ran would be reported as failed.
     ///
     /// # Errors
     ///
-    /// `Malformed` for bytes that are no answer.
+    /// `Malformed` for bytes that are not an HTTP answer, or a head above the maximum size.
     pub(crate) fn take(input: &mut InputBuffer) -> Result<Option<Self>, WireError> {
-        while let Some(message) = Self::take_any(input)? {
+        while let Some(message) = Self::take_interim_or_final(input)? {
             if !matches!(message.status, 100 | 102..=199) {
                 return Ok(Some(message));
             }
@@ -36,7 +35,7 @@
         Ok(None)
     }
 
-    fn take_any(input: &mut InputBuffer) -> Result<Option<Self>, WireError> {
+    fn take_interim_or_final(input: &mut InputBuffer) -> Result<Option<Self>, WireError> {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
         let mut parsed = httparse::Response::new(&mut lines);
         let used = match parsed.parse(input.bytes()) {
--- a/src/wire/body_decoder.rs
+++ b/src/wire/body_decoder.rs
@@ -1,54 +1,55 @@
-//! Takes one message's body out of the bytes of a connection.
+//! Decodes the body of one message from the bytes of a connection.
 
 use super::BodyFraming;
 use super::InputBuffer;
 use super::WireError;
 
-/// The longest line of a chunk's size or of a trailer, in bytes. A size line
-/// without an end would otherwise grow until memory is gone.
+/// Maximum length of a chunk-size line or a trailer line, in bytes. Without it, a
+/// line that never ends would exhaust memory.
 const MAX_LINE_BYTES: usize = 4 << 10;
 
-/// Where in the body the decoder stands.
+/// The position of the decoder within the body; counts are remaining bytes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum DecoderState {
-    Counted(u64),
+    Remaining(u64),
     ChunkSize,
     ChunkData(u64),
     ChunkEnd,
     Trailer,
     UntilClose,
-    Whole,
+    Complete,
 }
 
-/// Takes one message's body out of the bytes of a connection, and tells a whole
-/// body from a cut one.
+/// Decodes the body of one message, and distinguishes a complete body from a
+/// truncated one.
 #[derive(Debug)]
 pub(crate) struct BodyDecoder {
     state: DecoderState,
 }
 
 impl BodyDecoder {
-    /// Makes a decoder for a body that has not begun.
+    /// Creates a decoder positioned at the start of a body.
     pub(crate) const fn new(framing: BodyFraming) -> Self {
         let state = match framing {
-            BodyFraming::Length(0) => DecoderState::Whole,
-            BodyFraming::Length(length) => DecoderState::Counted(length),
+            BodyFraming::Length(0) => DecoderState::Complete,
+            BodyFraming::Length(length) => DecoderState::Remaining(length),
             BodyFraming::Chunked => DecoderState::ChunkSize,
             BodyFraming::UntilClose => DecoderState::UntilClose,
         };
         Self { state }
     }
 
-    /// Tells whether the body came to its proven end.
+    /// Returns whether the body has reached its verified end.
     pub(crate) const fn is_complete(&self) -> bool {
-        matches!(self.state, DecoderState::Whole)
+        matches!(self.state, DecoderState::Complete)
     }
 
-    /// Moves what belongs to the body from `input` to `output`, and no byte more.
+    /// Moves the bytes of the body from `input` to `output`; bytes after the body stay
+    /// in `input`.
     ///
     /// # Errors
     ///
-    /// `Malformed` where the chunks are broken.
+    /// `Malformed` if the chunked coding is invalid.
     pub(crate) fn decode(
         &mut self,
         input: &mut InputBuffer,
@@ -58,55 +59,55 @@
         Ok(())
     }
 
-    /// Notes that the connection ended cleanly.
+    /// Handles the end of the connection.
     ///
     /// # Errors
     ///
-    /// `Truncated` where the body was to go on.
+    /// `Truncated` if the body was incomplete.
     pub(crate) fn finish_at_eof(&mut self) -> Result<(), WireError> {
         match self.state {
-            DecoderState::UntilClose | DecoderState::Whole => {
-                self.state = DecoderState::Whole;
+            DecoderState::UntilClose | DecoderState::Complete => {
+                self.state = DecoderState::Complete;
                 Ok(())
             }
             _ => Err(WireError::Truncated),
         }
     }
 
-    /// Takes one step; returns whether another may follow at once.
+    /// Decodes one element; returns whether the next one may follow immediately.
     fn step(&mut self, input: &mut InputBuffer, output: &mut Vec<u8>) -> Result<bool, WireError> {
         if input.is_empty() {
             return Ok(false);
         }
         match self.state {
-            DecoderState::Counted(left) => {
-                let left = left - move_bytes(input, output, left);
-                self.state = match left {
-                    0 => DecoderState::Whole,
-                    left => DecoderState::Counted(left),
+            DecoderState::Remaining(remaining) => {
+                let remaining = remaining - move_bytes(input, output, remaining);
+                self.state = match remaining {
+                    0 => DecoderState::Complete,
+                    remaining => DecoderState::Remaining(remaining),
                 };
                 Ok(false)
             }
-            DecoderState::ChunkData(left) => {
-                let left = left - move_bytes(input, output, left);
-                self.state = match left {
+            DecoderState::ChunkData(remaining) => {
+                let remaining = remaining - move_bytes(input, output, remaining);
+                self.state = match remaining {
                     0 => DecoderState::ChunkEnd,
-                    left => DecoderState::ChunkData(left),
+                    remaining => DecoderState::ChunkData(remaining),
                 };
-                Ok(left == 0)
+                Ok(remaining == 0)
             }
-            DecoderState::ChunkSize => self.read_size(input),
+            DecoderState::ChunkSize => self.read_chunk_size(input),
             DecoderState::ChunkEnd => self.read_chunk_end(input),
             DecoderState::Trailer => self.read_trailer(input),
             DecoderState::UntilClose => {
                 move_bytes(input, output, u64::MAX);
                 Ok(false)
             }
-            DecoderState::Whole => Ok(false),
+            DecoderState::Complete => Ok(false),
         }
     }
 
-    fn read_size(&mut self, input: &mut InputBuffer) -> Result<bool, WireError> {
+    fn read_chunk_size(&mut self, input: &mut InputBuffer) -> Result<bool, WireError> {
         match httparse::parse_chunk_size(input.bytes()) {
             Ok(httparse::Status::Complete((used, size))) => {
                 input.consume(used);
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Passes over trailer lines up to the empty one, which ends the body.
+    /// Skips trailer lines up to the empty line, which ends the body.
     fn read_trailer(&mut self, input: &mut InputBuffer) -> Result<bool, WireError> {
         let end = input.bytes().windows(2).position(|pair| pair == b"\r\n");
         let Some(end) = end else {
@@ -144,16 +145,17 @@
         };
         input.consume(end + 2);
         if end == 0 {
-            self.state = DecoderState::Whole;
+            self.state = DecoderState::Complete;
             return Ok(false);
         }
         Ok(true)
     }
 }
 
-/// Moves up to `most` bytes and returns how many.
-fn move_bytes(input: &mut InputBuffer, output: &mut Vec<u8>, most: u64) -> u64 {
-    let count = usize::try_from(most).map_or(input.len(), |most| most.min(input.len()));
+/// Moves up to `max_count` bytes and returns how many were moved.
+fn move_bytes(input: &mut InputBuffer, output: &mut Vec<u8>, max_count: u64) -> u64 {
+    let count =
+        usize::try_from(max_count).map_or(input.len(), |max_count| max_count.min(input.len()));
     output.extend_from_slice(&input.bytes()[..count]);
     input.consume(count);
     count as u64
--- a/src/wire/body_framing.rs
+++ b/src/wire/body_framing.rs
@@ -1,16 +1,16 @@
-//! How a message says where its body ends.
+//! How the end of a message's body is declared.
 
 use super::MessageHeaders;
 use super::WireError;
 
-/// Where a message's body ends.
+/// How the end of a message's body is determined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum BodyFraming {
-    /// After this many bytes.
+    /// `Content-Length`, in bytes.
     Length(u64),
-    /// With the last chunk.
+    /// `Transfer-Encoding: chunked`.
     Chunked,
-    /// With the connection; only answers may.
+    /// The body ends with the connection; allowed for answers only.
     UntilClose,
 }
 
@@ -19,34 +19,36 @@
     ///
     /// # Errors
     ///
-    /// `Malformed` where it can be read in two ways: the next process could take
-    /// a part of the body for another request (RFC 9112 section 6.3).
+    /// `Malformed` if the framing is ambiguous: another process on the path could take
+    /// part of the body for a separate request (RFC 9112 section 6.3).
     pub(crate) fn of_request(headers: &MessageHeaders) -> Result<Self, WireError> {
-        Ok(declared(headers)?.unwrap_or(Self::Length(0)))
+        Ok(declared_framing(headers)?.unwrap_or(Self::Length(0)))
     }
 
-    /// Returns the framing of an answer with this status to a request of `method`.
+    /// Returns the framing of an answer with `status` to a request with `method`.
     ///
     /// # Errors
     ///
-    /// As [`BodyFraming::of_request`].
+    /// Same as [`BodyFraming::of_request`].
     pub(crate) fn of_answer(
         headers: &MessageHeaders,
         status: u16,
         method: &str,
     ) -> Result<Self, WireError> {
-        let bodiless = matches!(status, 100..=199 | 204 | 304) || method == "HEAD";
-        let framing = declared(headers)?;
-        if bodiless {
+        let has_no_body = matches!(status, 100..=199 | 204 | 304) || method == "HEAD";
+        let framing = declared_framing(headers)?;
+        if has_no_body {
             return Ok(Self::Length(0));
         }
         Ok(framing.unwrap_or(Self::UntilClose))
     }
 }
 
-/// Reads what the headers declare. Two lengths, a length beside chunks, a length
-/// that is no plain number and any coding but `chunked` are refused.
-fn declared(headers: &MessageHeaders) -> Result<Option<BodyFraming>, WireError> {
+/// Returns the framing that the headers declare.
+///
+/// Refused are two lengths, a length together with chunked coding, a length that is
+/// not a plain number and any coding other than `chunked`.
+fn declared_framing(headers: &MessageHeaders) -> Result<Option<BodyFraming>, WireError> {
     let mut lengths = headers.all("content-length");
     let length = lengths.next();
     if lengths.next().is_some() {
@@ -69,7 +71,7 @@
 
 fn parse_length(value: &[u8]) -> Result<u64, WireError> {
     let text = std::str::from_utf8(value.trim_ascii()).map_err(|_| WireError::Malformed)?;
-    // `u64::from_str` takes a leading plus, which HTTP does not.
+    // `u64::from_str` accepts a leading plus sign; HTTP does not.
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(WireError::Malformed);
     }
--- a/src/wire/complete_answer.rs
+++ b/src/wire/complete_answer.rs
@@ -1,4 +1,4 @@
-//! Reads one answer to its proven end.
+//! Reads one answer to its verified end.
 
 use std::time::Duration;
 
@@ -11,50 +11,48 @@
 use super::InputBuffer;
 use super::WireError;
 
-/// An answer that was read to its proven end.
+/// An answer that was read to its verified end.
 #[derive(Debug)]
 pub(crate) struct CompleteAnswer {
-    /// The head.
     pub(crate) head: AnswerMessage,
-    /// The body.
     pub(crate) body: Vec<u8>,
     /// Whether another request may be sent on the connection.
     pub(crate) can_reuse_connection: bool,
 }
 
-/// What bounds the reading of an answer. How long all of it takes depends on its size and on
-/// the link, so only pauses are bounded.
+/// Limits for reading an answer. The total time depends on the size of the answer and on the
+/// link, so only the time between reads is limited.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnswerLimits {
-    /// The largest body, in bytes.
+    /// Maximum size of the body, in bytes.
     pub(crate) max_body_bytes: usize,
-    /// How long the first byte may take.
+    /// Maximum time until the first byte.
     pub(crate) first_byte_timeout: Duration,
-    /// The longest pause between bytes.
+    /// Maximum time between two reads.
     pub(crate) idle_timeout: Duration,
 }
 
-/// Reads the answer to a request of `method`.
+/// Reads the answer to a request with `method`.
 ///
 /// # Errors
 ///
-/// `Truncated` when the connection ended or failed first, `TimedOut` behind a pause, `Malformed`,
-/// or `BodyTooLarge`.
+/// `Truncated` when the connection was closed or failed first, `TimedOut` when a limit of
+/// `limits` passed without a byte, `Malformed`, or `BodyTooLarge`.
 pub(crate) async fn read_complete_answer(
     stream: &TcpStream,
     input: &mut InputBuffer,
     method: &str,
     limits: AnswerLimits,
 ) -> Result<CompleteAnswer, WireError> {
-    let mut patience = limits.first_byte_timeout;
+    let mut time_limit = limits.first_byte_timeout;
     let head = loop {
         if let Some(head) = AnswerMessage::take(input)? {
             break head;
         }
-        if fill_within(stream, input, patience).await? == 0 {
+        if fill_with_timeout(stream, input, time_limit).await? == 0 {
             return Err(WireError::Truncated);
         }
-        patience = limits.idle_timeout;
+        time_limit = limits.idle_timeout;
     };
     let framing = BodyFraming::of_answer(&head.headers, head.status, method)?;
     let mut decoder = BodyDecoder::new(framing);
@@ -67,7 +65,7 @@
         if decoder.is_complete() {
             break;
         }
-        if fill_within(stream, input, limits.idle_timeout).await? == 0 {
+        if fill_with_timeout(stream, input, limits.idle_timeout).await? == 0 {
             decoder.finish_at_eof()?;
         }
     }
@@ -78,18 +76,18 @@
     })
 }
 
-/// Reads what comes within `patience`; 0 at the connection's end.
-async fn fill_within(
+/// Reads the bytes that arrive within `time_limit`; 0 at the end of the connection.
+async fn fill_with_timeout(
     stream: &TcpStream,
     input: &mut InputBuffer,
-    patience: Duration,
+    time_limit: Duration,
 ) -> Result<usize, WireError> {
-    let filled = timeout(patience, input.fill(stream)).await;
+    let filled = timeout(time_limit, input.fill(stream)).await;
     let filled = filled.map_err(|_| WireError::TimedOut)?;
     filled.map_err(|_| WireError::Truncated)
 }
 
-/// Tells whether the sender keeps the connection after this answer.
+/// Returns whether the sender keeps the connection open after this answer.
 pub(crate) fn can_reuse_connection(head: &AnswerMessage, framing: BodyFraming) -> bool {
     framing != BodyFraming::UntilClose
         && !head.is_http10
--- a/src/wire/input_buffer.rs
+++ b/src/wire/input_buffer.rs
@@ -1,15 +1,15 @@
-//! Bytes that were read from a connection and that no message has taken yet.
+//! A buffer for the bytes read from a connection.
 
 use std::io;
 
 use async_std::net::TcpStream;
 use futures_lite::AsyncReadExt;
 
-/// How much is read from a socket at once, in bytes: some hundred events of a
-/// stream, and a whole prompt of the usual size.
+/// Size of one read from a socket, in bytes: holds about a hundred events of a stream,
+/// or a complete prompt of the usual size.
 const READ_BYTES: usize = 8 << 10;
 
-/// Bytes that were read from a connection and that no message has taken yet.
+/// Bytes that were read from a connection and not yet consumed by a message.
 #[derive(Debug, Default)]
 pub(crate) struct InputBuffer {
     bytes: Vec<u8>,
@@ -17,22 +17,22 @@
 }
 
 impl InputBuffer {
-    /// Returns what is there.
+    /// Returns the buffered bytes.
     pub(crate) fn bytes(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// Returns how many bytes are there.
+    /// Returns the number of buffered bytes.
     pub(crate) fn len(&self) -> usize {
         self.bytes.len() - self.start
     }
 
-    /// Tells whether nothing is there.
+    /// Returns whether the buffer is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Drops the first `count` bytes; a message has taken them.
+    /// Removes the first `count` bytes.
     pub(crate) fn consume(&mut self, count: usize) {
         self.start += count;
         if self.start >= self.bytes.len() {
@@ -41,22 +41,24 @@
         }
     }
 
-    /// Reads what is there or comes next; 0 at the connection's end. A dropped
-    /// future loses nothing.
+    /// Reads once from the connection into the buffer and returns the number of bytes;
+    /// 0 at the end of the connection.
+    ///
+    /// Cancellation-safe: dropping the future loses no bytes.
     ///
     /// # Errors
     ///
-    /// The connection was reset or failed.
+    /// The error of the read, such as a connection reset.
     pub(crate) async fn fill(&mut self, stream: &TcpStream) -> io::Result<usize> {
-        let mut piece = [0; READ_BYTES];
+        let mut chunk = [0; READ_BYTES];
         let mut reader = stream;
-        let count = reader.read(&mut piece).await?;
-        self.take_in(&piece[..count]);
+        let count = reader.read(&mut chunk).await?;
+        self.append(&chunk[..count]);
         Ok(count)
     }
 
-    /// Puts bytes behind those that are there.
-    pub(crate) fn take_in(&mut self, bytes: &[u8]) {
+    /// Appends bytes to the buffer.
+    pub(crate) fn append(&mut self, bytes: &[u8]) {
         if self.start > 0 {
             self.bytes.drain(..self.start);
             self.start = 0;
@@ -64,7 +66,7 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Lets the memory of a large message go.
+    /// Releases the memory of a large message once the buffer is empty.
     pub(crate) fn shrink(&mut self) {
         if self.is_empty() && self.bytes.capacity() > READ_BYTES {
             self.bytes = Vec::new();
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 messages on connections that carry many of them.
+//! HTTP/1.1 messages on persistent connections.
 //!
-//! `httparse`, the parser below `async-h1`, reads heads and chunk sizes. What
-//! `async-h1` 2.3.4 does with bodies doesn't fit here: it reads cut bodies as
-//! complete, and its buffer takes bytes of the next message along, so that no
-//! connection could be kept. Here each body byte is counted, and what belongs to
-//! the next message stays in the [`InputBuffer`].
+//! Heads and chunk sizes are parsed by `httparse`, the parser that `async-h1` uses.
+//! `async-h1` 2.3.4 itself is not used: it treats truncated bodies as complete, and
+//! its buffer consumes bytes of the next message, so that connections could not be
+//! reused. This module counts each byte of a body, and the bytes of the next message
+//! stay in the [`InputBuffer`].
 
 mod answer_message;
 mod body_decoder;
--- a/src/wire/request_message.rs
+++ b/src/wire/request_message.rs
@@ -1,31 +1,29 @@
-//! The head of a request.
+//! Parses and writes the head of a request.
 
 use super::InputBuffer;
 use super::MessageHeaders;
 use super::WireError;
 
-/// How many header lines a message may have.
+/// Maximum number of header lines of a message.
 pub(super) const MAX_HEADER_LINES: usize = 96;
 
-/// The head of a request.
+/// The request line and header lines of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct RequestMessage {
-    /// The method.
     pub(crate) method: String,
-    /// Path and query, as sent.
+    /// The path and query, as sent.
     pub(crate) target: String,
-    /// Whether the caller speaks HTTP/1.0, and so knows no chunks.
+    /// Whether the request is HTTP/1.0, whose callers don't support chunked coding.
     pub(crate) is_http10: bool,
-    /// The header lines.
     pub(crate) headers: MessageHeaders,
 }
 
 impl RequestMessage {
-    /// Takes a head from the buffer; `None` while it is not whole.
+    /// Removes a head from the buffer; `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// `Malformed`, or `HeadTooLarge` beyond `max_bytes`.
+    /// `Malformed`, or `HeadTooLarge` above `max_bytes` or `MAX_HEADER_LINES`.
     pub(crate) fn take(
         input: &mut InputBuffer,
         max_bytes: usize,
@@ -57,14 +55,14 @@
         Ok(Some(message))
     }
 
-    /// Returns the path without its query.
+    /// Returns the path, without the query.
     pub(crate) fn path(&self) -> &str {
         self.target
             .split_once('?')
             .map_or(self.target.as_str(), |(path, _)| path)
     }
 
-    /// Writes the head for a body of `length` bytes.
+    /// Appends the head of a request with a body of `length` bytes to `output`.
     pub(crate) fn write_to(&self, length: usize, output: &mut Vec<u8>) {
         output.extend_from_slice(self.method.as_bytes());
         output.push(b' ');
--- a/src/wire/socket_options.rs
+++ b/src/wire/socket_options.rs
@@ -1,4 +1,4 @@
-//! Bounds on how long a connection may be silent before it counts as dead.
+//! Detection of dead connections by TCP keepalive and `TCP_USER_TIMEOUT`.
 
 use std::time::Duration;
 
@@ -9,30 +9,30 @@
 use rustix::net::sockopt::set_tcp_keepintvl;
 use rustix::net::sockopt::set_tcp_user_timeout;
 
-/// How long a connection may be silent before it counts as dead.
+/// How long a connection may be unresponsive before it is closed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeepaliveSettings {
-    /// How long it may be idle before the other end is asked for a sign, and how
-    /// long between two questions.
+    /// Idle time before the first keepalive probe, and time between two probes.
     pub(crate) probe_interval: Duration,
-    /// How many questions may go unanswered.
+    /// Number of unanswered probes after which the connection is closed.
     pub(crate) max_probes: u32,
-    /// How long sent bytes may stay unacknowledged.
+    /// Maximum time for which sent bytes may stay unacknowledged.
     pub(crate) user_timeout: Duration,
 }
 
-/// Bounds a connection's silence, and lets small writes go out at once.
+/// Enables keepalive probes, and disables Nagle's algorithm so that small writes are
+/// sent at once.
 ///
-/// Guards against connections that go silent without a reset: the other host lost
-/// power, or something in between forgot the connection. No read or write fails
-/// then; only unanswered probes show it. A system that lacks an option is left
-/// as it is: the time-outs of each exchange hold without it.
-pub(crate) fn configure_keepalive(stream: &TcpStream, bounds: KeepaliveSettings) {
+/// Guards against connections that stop responding without a reset: the other host
+/// lost power, or a device on the path dropped the connection's state. No read or
+/// write fails then; only unanswered probes reveal it. An option that the system
+/// doesn't support is skipped: the time-outs of each exchange apply without it.
+pub(crate) fn configure_keepalive(stream: &TcpStream, settings: KeepaliveSettings) {
     stream.set_nodelay(true).ok();
     set_socket_keepalive(stream, true).ok();
-    set_tcp_keepidle(stream, bounds.probe_interval).ok();
-    set_tcp_keepintvl(stream, bounds.probe_interval).ok();
-    set_tcp_keepcnt(stream, bounds.max_probes).ok();
-    let unacknowledged = bounds.user_timeout.as_millis() as u32;
-    set_tcp_user_timeout(stream, unacknowledged).ok();
+    set_tcp_keepidle(stream, settings.probe_interval).ok();
+    set_tcp_keepintvl(stream, settings.probe_interval).ok();
+    set_tcp_keepcnt(stream, settings.max_probes).ok();
+    let user_timeout_ms = settings.user_timeout.as_millis() as u32;
+    set_tcp_user_timeout(stream, user_timeout_ms).ok();
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Heads, framing and bodies on raw bytes.
+//! Parsing of heads, framing and bodies from raw bytes.
 
 use super::AnswerMessage;
 use super::BodyDecoder;
@@ -10,7 +10,7 @@
 
 fn buffer_of(bytes: &[u8]) -> InputBuffer {
     let mut buffer = InputBuffer::default();
-    buffer.take_in(bytes);
+    buffer.append(bytes);
     buffer
 }
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_body_takes_no_byte_of_the_next_message() {
+fn a_body_leaves_the_bytes_of_the_next_message() {
     let mut input = buffer_of(b"5\r\nhello\r\n0\r\nTrailer: x\r\n\r\nGET / HTTP/1.1\r\n");
     let mut decoder = BodyDecoder::new(BodyFraming::Chunked);
     let mut body = Vec::new();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_body_comes_whole_however_it_is_cut_into_reads() {
+fn a_body_is_decoded_whatever_the_read_sizes() {
     arbtest::arbtest(|source| {
         let message = b"3\r\nabc\r\nA;note=1\r\n0123456789\r\n0\r\n\r\n";
         let mut decoder = BodyDecoder::new(BodyFraming::Chunked);
@@ -45,7 +45,7 @@
         let mut rest = &message[..];
         while !rest.is_empty() {
             let count = source.int_in_range(1..=rest.len())?;
-            input.take_in(&rest[..count]);
+            input.append(&rest[..count]);
             rest = &rest[count..];
             decoder.decode(&mut input, &mut body).unwrap();
         }
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_cut_body_is_told_from_a_whole_one() {
+fn a_truncated_body_is_detected() {
     let mut counted = BodyDecoder::new(BodyFraming::Length(10));
     counted
         .decode(&mut buffer_of(b"12345"), &mut Vec::new())
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn framing_that_can_be_read_in_two_ways_is_refused() {
+fn ambiguous_framing_is_refused() {
     let smuggling = [
         vec![("Content-Length", "5"), ("Transfer-Encoding", "chunked")],
         vec![("Content-Length", "5"), ("Content-Length", "6")],
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_head_beyond_the_bound_is_refused() {
+fn a_head_above_the_maximum_size_is_refused() {
     let mut input = buffer_of(format!("GET / HTTP/1.1\r\nA: {}", "a".repeat(200)).as_bytes());
 
     let taken = RequestMessage::take(&mut input, 100);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn interim_answers_are_passed_over() {
+fn interim_answers_are_skipped() {
     let mut input = buffer_of(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nA: b\r\n\r\n");
 
     let answer = AnswerMessage::take(&mut input).unwrap().unwrap();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn lines_that_concern_one_connection_are_dropped() {
+fn hop_by_hop_lines_are_removed() {
     let mut headers = headers_of(&[
         ("Connection", "close, X-Private"),
         ("X-Private", "1"),
--- a/src/wire/wire_error.rs
+++ b/src/wire/wire_error.rs
@@ -1,24 +1,24 @@
-//! What can be wrong with a message.
+//! Errors of reading HTTP messages.
 
 use derive_more::Display;
 use derive_more::Error;
 
-/// What can be wrong with a message.
+/// Why a message can't be read.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub(crate) enum WireError {
-    /// The message breaks HTTP/1.1, or its framing can be read in two ways.
+    /// The message violates HTTP/1.1, or its framing is ambiguous.
     #[display("malformed message")]
     Malformed,
-    /// The head is larger than the bound.
+    /// The head exceeds its maximum size.
     #[display("head too large")]
     HeadTooLarge,
-    /// The body is larger than the bound.
+    /// The body exceeds its maximum size.
     #[display("body too large")]
     BodyTooLarge,
-    /// The connection ended before the message did.
-    #[display("cut")]
+    /// The connection was closed before the end of the message.
+    #[display("truncated message")]
     Truncated,
-    /// No byte came in the time given.
-    #[display("no byte in time")]
+    /// No byte arrived within the time limit.
+    #[display("timed out")]
     TimedOut,
 }
