--- a/src/stream/mod.rs
+++ b/src/stream/mod.rs
@@ -1,4 +1,5 @@
-//! Server-sent token events: whole, in order, without overlap or gap.
+//! Validation of token streams (server-sent events): complete, in order, without overlaps
+//! or gaps.
 
 mod stream_guard;
 #[cfg(test)]
--- a/src/stream/tests.rs
+++ b/src/stream/tests.rs
@@ -1,4 +1,4 @@
-//! The stream guard against resumed streams that repeat or leave out tokens.
+//! The stream guard with resumed streams that repeat or omit tokens.
 
 use super::StreamFault;
 use super::StreamGuard;
@@ -7,26 +7,26 @@
     format!("data: {{\"offset\":{offset},\"text\":\"t{offset}\"}}\n\n")
 }
 
-fn end(tokens: u32) -> String {
+fn final_event(tokens: u32) -> String {
     format!("data: {{\"done\":true,\"tokens\":{tokens}}}\n\n")
 }
 
 #[test]
-fn pieces_that_split_events_are_passed_on_whole() {
+fn events_split_across_reads_are_relayed_complete() {
     let mut guard = StreamGuard::default();
-    let text = event(0) + &event(1) + &end(2);
+    let text = event(0) + &event(1) + &final_event(2);
 
-    let mut passed = Vec::new();
-    for piece in text.as_bytes().chunks(7) {
-        passed.extend(guard.accept(piece).unwrap());
+    let mut relayed = Vec::new();
+    for chunk in text.as_bytes().chunks(7) {
+        relayed.extend(guard.accept(chunk).unwrap());
     }
 
-    assert_eq!(passed, text.as_bytes());
+    assert_eq!(relayed, text.as_bytes());
     assert!(guard.is_done());
 }
 
-/// A caller reads some words twice in its briefing. The engine's connection was
-/// cut after two tokens, and on the new one the engine begins one token early.
+/// Guards against duplicated text in an answer: the connection to the engine breaks
+/// after two tokens, and on the new one the engine resumes one token too early.
 #[test]
 fn overlap_after_a_resume_is_dropped() {
     let mut guard = StreamGuard::default();
@@ -34,15 +34,15 @@
     guard.accept(b"data: {\"offset\":2,\"te").unwrap();
 
     guard.resume();
-    let resumed = event(1) + &event(2) + &end(3);
-    let passed = guard.accept(resumed.as_bytes()).unwrap();
+    let resumed = event(1) + &event(2) + &final_event(3);
+    let relayed = guard.accept(resumed.as_bytes()).unwrap();
 
-    assert_eq!(passed, (event(2) + &end(3)).as_bytes());
+    assert_eq!(relayed, (event(2) + &final_event(3)).as_bytes());
     assert_eq!(guard.next_offset(), 3);
 }
 
-/// A caller's verdict lacks a "not" and reads as whole. The engine's stream was
-/// cut, and the engine goes on one token too late.
+/// Guards against an answer that seems complete but lacks a word, such as a "not": the
+/// stream breaks, and the engine resumes one token too late.
 #[test]
 fn gap_after_a_resume_is_a_fault() {
     let mut guard = StreamGuard::default();
@@ -51,24 +51,24 @@
     guard.resume();
     let fault = guard.accept(event(2).as_bytes());
 
-    assert_eq!(fault, Err(StreamFault::TokenGap));
+    assert_eq!(fault, Err(StreamFault::MissingTokens));
 }
 
 #[test]
-fn end_with_another_count_is_a_fault() {
+fn final_event_with_another_count_is_a_fault() {
     let mut guard = StreamGuard::default();
     guard.accept(event(0).as_bytes()).unwrap();
 
     assert_eq!(
-        guard.accept(end(2).as_bytes()),
-        Err(StreamFault::WrongCount)
+        guard.accept(final_event(2).as_bytes()),
+        Err(StreamFault::TokenCountMismatch)
     );
 }
 
 #[test]
-fn event_without_an_end_does_not_grow_for_ever() {
+fn event_without_an_end_is_a_fault() {
     let mut guard = StreamGuard::default();
     let endless = vec![b'x'; 1 << 20];
 
-    assert_eq!(guard.accept(&endless), Err(StreamFault::BrokenEvent));
+    assert_eq!(guard.accept(&endless), Err(StreamFault::MalformedEvent));
 }
