--- a/src/sorted/mod.rs
+++ b/src/sorted/mod.rs
@@ -1,4 +1,4 @@
-//! Collections as sorted vectors with binary search.
+//! Collections based on sorted vectors and binary search.
 
 mod sorted_map;
 
--- a/src/sorted/sorted_map.rs
+++ b/src/sorted/sorted_map.rs
@@ -1,4 +1,4 @@
-//! A map kept as a sorted vector.
+//! A map stored as a sorted vector.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -11,17 +11,17 @@
 use serde::de::MapAccess;
 use serde::de::Visitor;
 
-/// A map kept as a vector sorted by key and searched by halving.
+/// A map stored as a vector sorted by key, with binary search.
 ///
-/// Look-up costs the logarithm of the size; insertion moves what stands behind.
-/// Keys that rise with time (request ids) are appended, so nothing moves.
+/// Lookup takes O(log n); insertion moves the entries with greater keys. Keys that
+/// increase over time (request ids) are appended, so that no entry moves.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SortedMap<K, V> {
     entries: Vec<(K, V)>,
 }
 
 impl<K: Ord, V> SortedMap<K, V> {
-    /// Makes an empty map.
+    /// Creates an empty map.
     pub const fn new() -> Self {
         Self {
             entries: Vec::new(),
@@ -33,7 +33,7 @@
         self.entries.len()
     }
 
-    /// Tells whether the map holds nothing.
+    /// Returns whether the map is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -48,7 +48,7 @@
         Some(&self.entries[index].1)
     }
 
-    /// Returns the value of `key` for change.
+    /// Returns a mutable reference to the value of `key`.
     pub fn get_mut<Q>(&mut self, key: &Q) -> Option<&mut V>
     where
         K: std::borrow::Borrow<Q>,
@@ -58,7 +58,7 @@
         Some(&mut self.entries[index].1)
     }
 
-    /// Tells whether `key` has a value.
+    /// Returns whether the map contains `key`.
     pub fn contains_key<Q>(&self, key: &Q) -> bool
     where
         K: std::borrow::Borrow<Q>,
@@ -67,7 +67,7 @@
         self.position(key).is_ok()
     }
 
-    /// Sets the value of `key` and returns the one before.
+    /// Sets the value of `key` and returns the previous one.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         match self.position(&key) {
             Ok(index) => Some(std::mem::replace(&mut self.entries[index].1, value)),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the value of `key`, made by `default` where there is none.
+    /// Returns the value of `key`, inserting the result of `default` if there is none.
     pub fn get_or_insert_with(&mut self, key: K, default: impl FnOnce() -> V) -> &mut V {
         let index = match self.position(&key) {
             Ok(index) => index,
@@ -100,28 +100,28 @@
         Some(self.entries.remove(index).1)
     }
 
-    /// Removes every entry whose key is below `bound`, and returns how many.
+    /// Removes all entries with keys less than `bound` and returns their number.
     pub fn remove_below(&mut self, bound: &K) -> usize {
         let end = self.entries.partition_point(|(key, _)| key < bound);
         self.entries.drain(..end).count()
     }
 
-    /// Keeps the entries that `keep` accepts.
+    /// Keeps the entries for which `keep` returns true.
     pub fn retain(&mut self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         self.entries.retain_mut(|(key, value)| keep(key, value));
     }
 
-    /// Goes through the entries in the order of their keys.
+    /// Iterates over the entries in key order.
     pub fn iter(&self) -> impl Clone + DoubleEndedIterator<Item = (&K, &V)> {
         self.entries.iter().map(|(key, value)| (key, value))
     }
 
-    /// Goes through the entries in the order of their keys, values for change.
+    /// Iterates over the entries in key order, with mutable values.
     pub fn iter_mut(&mut self) -> impl DoubleEndedIterator<Item = (&K, &mut V)> {
         self.entries.iter_mut().map(|(key, value)| (&*key, value))
     }
 
-    /// Goes through the values in the order of their keys.
+    /// Iterates over the values in key order.
     pub fn values(&self) -> impl DoubleEndedIterator<Item = &V> {
         self.entries.iter().map(|(_, value)| value)
     }
@@ -168,7 +168,7 @@
     }
 }
 
-/// Reads a map entry by entry; a key that stands twice is an error.
+/// Deserializes a map; a duplicate key is an error.
 struct MapVisitor<K, V>(PhantomData<(K, V)>);
 
 impl<'de, K, V> Visitor<'de> for MapVisitor<K, V>
