--- a/src/ids/mod.rs
+++ b/src/ids/mod.rs
@@ -1,4 +1,4 @@
-//! Identifiers: type aliases for names, and the request id with its time.
+//! Identifiers: type aliases for names and versions, and the request id.
 
 mod request_id;
 
@@ -15,23 +15,23 @@
 pub type ClassName = String;
 /// The name of an availability zone.
 pub type ZoneName = String;
-/// The version of a fleet document; it only rises.
+/// The version of a fleet document; never decreases.
 pub type FleetVersion = u64;
-/// The number of a roster; it only rises.
+/// The number of a roster; never decreases.
 pub type RosterNumber = u64;
-/// One life of a process: random at its start, so two lives never share it.
+/// Identifies one run of a process: random at its start, so that two runs differ.
 pub type IncarnationId = u64;
-/// Which try of a request; starts at 1 and rises only after `not-run`.
+/// The number of an attempt at a request; starts at 1 and increases only after `not-run`.
 pub type AttemptNumber = u32;
-/// The urgency of work: 0 is the highest tier.
+/// The priority tier of work; 0 is the most urgent.
 pub type TierRank = u8;
 /// Milliseconds since the Unix epoch.
 pub type UnixMillis = u64;
 /// A count of tokens.
 pub type TokenCount = u32;
-/// The name of a pool of targets that serve the same work.
+/// The name of a pool of interchangeable targets.
 pub type PoolName = String;
-/// The version of a route catalog; it only rises.
+/// The version of a route catalog; never decreases.
 pub type CatalogVersion = u64;
-/// A revision of the store that the configuration is read from; it only rises.
+/// A revision of the configuration store; never decreases.
 pub type StoreRevision = u64;
