--- a/src/recorder/mod.rs
+++ b/src/recorder/mod.rs
@@ -1,4 +1,4 @@
-//! Records the requests of one host as a trace that `replay` plays.
+//! Records the requests of one host as a trace for `replay`.
 
 mod trace_recorder;
 
--- a/src/recorder/trace_recorder.rs
+++ b/src/recorder/trace_recorder.rs
@@ -1,4 +1,4 @@
-//! Writes a trace beside the path of requests.
+//! Writes a trace file without delaying requests.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -25,77 +25,76 @@
 use crate::replay::TraceHeader;
 use crate::replay::TraceTarget;
 
-/// How many lines may wait to be written; more are dropped, since a slow disk
-/// must not hold up requests.
+/// Maximum number of lines waiting to be written. Further ones are dropped, so that a
+/// slow disk doesn't delay requests.
 const MAX_WAITING_LINES: usize = 4096;
 
-/// Writes the requests of one host to a file, each as it ends.
+/// Writes each request of one host to a file when the request ends.
 #[derive(Debug)]
 pub(crate) struct TraceRecorder {
     host: HostName,
-    began: Duration,
+    start: Duration,
     header: OnceLock<()>,
     lines: Sender<String>,
 }
 
-/// What is known of a request at its end.
+/// The data of a request at its end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordedRequest<'r> {
-    /// The request.
     pub(crate) request: &'r ClassifiedRequest,
-    /// When it arrived, on the boot clock.
+    /// Time of arrival, on the boot clock.
     pub(crate) arrived: Duration,
-    /// The length of its prompt.
+    /// Length of the prompt.
     pub(crate) prompt_tokens: TokenCount,
-    /// The length of its answer, where tokens were counted.
+    /// Length of the answer; 0 if its tokens were not counted.
     pub(crate) output_tokens: TokenCount,
-    /// The hash of its prompt's first bytes.
+    /// Hash of the first bytes of the prompt.
     pub(crate) prefix: u64,
 }
 
 impl TraceRecorder {
-    /// Makes the file anew and writes to it from now on.
+    /// Creates or truncates the file and starts the task that writes to it.
     ///
     /// # Errors
     ///
-    /// The file can't be made.
+    /// The file can't be created.
     pub(crate) async fn open(path: &str, host: HostName) -> io::Result<Self> {
         let file = File::create(path).await?;
-        let (lines, waiting) = async_channel::bounded(MAX_WAITING_LINES);
-        task::spawn(write_lines(file, waiting));
+        let (lines, queued_lines) = async_channel::bounded(MAX_WAITING_LINES);
+        task::spawn(write_lines(file, queued_lines));
         Ok(Self {
             host,
-            began: boot_now(),
+            start: boot_now(),
             header: OnceLock::new(),
             lines,
         })
     }
 
-    /// Records a request that ended.
+    /// Records a request that has ended.
     pub(crate) fn record(&self, view: &FleetView, recorded: &RecordedRequest<'_>) {
-        // The header goes first: others wait here while it is put in.
+        // The header must be the first line: concurrent calls wait until it is queued.
         self.header
-            .get_or_init(|| self.put(&header_of(view, &self.host)));
-        self.put(&self.arrival_of(recorded));
+            .get_or_init(|| self.enqueue_line(&trace_header(view, &self.host)));
+        self.enqueue_line(&self.trace_arrival(recorded));
     }
 
-    fn put(&self, line: &impl Serialize) {
+    fn enqueue_line(&self, line: &impl Serialize) {
         if let Ok(mut text) = serde_json::to_string(line) {
             text.push('\n');
             self.lines.try_send(text).ok();
         }
     }
 
-    fn arrival_of(&self, recorded: &RecordedRequest<'_>) -> TraceArrival {
+    fn trace_arrival(&self, recorded: &RecordedRequest<'_>) -> TraceArrival {
         let request = recorded.request;
-        let since = recorded.arrived.saturating_sub(self.began);
+        let elapsed = recorded.arrived.saturating_sub(self.start);
         let allowed = request.deadline.saturating_sub(recorded.arrived);
         let output_tokens = match recorded.output_tokens {
             0 => request.expected_output,
             counted => counted,
         };
         TraceArrival {
-            at_us: since.as_micros() as u64,
+            at_us: elapsed.as_micros() as u64,
             host: self.host.clone(),
             account: request.account.clone(),
             class: request.class.clone(),
@@ -111,18 +110,18 @@
     }
 }
 
-async fn write_lines(mut file: File, waiting: Receiver<String>) {
-    while let Ok(line) = waiting.recv().await {
+async fn write_lines(mut file: File, queued_lines: Receiver<String>) {
+    while let Ok(line) = queued_lines.recv().await {
         if file.write_all(line.as_bytes()).await.is_err() {
             return;
         }
-        if waiting.is_empty() && file.flush().await.is_err() {
+        if queued_lines.is_empty() && file.flush().await.is_err() {
             return;
         }
     }
 }
 
-fn header_of(view: &FleetView, host: &HostName) -> TraceHeader {
+fn trace_header(view: &FleetView, host: &HostName) -> TraceHeader {
     let document = view.document();
     TraceHeader {
         format: TRACE_FORMAT,
@@ -164,8 +163,8 @@
     }
 }
 
-/// The trace knows classes and not accounts: a class goes where any account's
-/// requests of it may go.
+/// Returns the classes with their targets. The trace format has no targets by account,
+/// so a class lists every target that any account may use for it.
 fn trace_classes(view: &FleetView) -> Vec<TraceClass> {
     view.classes()
         .iter()
