--- a/src/replay/baseline_policy.rs
+++ b/src/replay/baseline_policy.rs
@@ -1,4 +1,4 @@
-//! What a fleet would do without this project: the baselines of a replay.
+//! The baselines of a replay: fleets with a plain load balancer instead of this scheduler.
 
 use std::time::Duration;
 
@@ -8,40 +8,40 @@
 use crate::policy::WorkItem;
 use crate::sorted::SortedMap;
 
-/// How a baseline picks a target.
+/// How a baseline selects a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum BaselineRule {
-    /// Each allowed target in turn; engines keep the queue, first come first served.
+    /// Each allowed target in turn; requests queue in the engines, first come first served.
     RoundRobin,
-    /// The allowed target with the least load in its last report.
+    /// The allowed target with the lowest load in its last report.
     LeastLoad,
 }
 
-/// A baseline: it dispatches everything at once and turns nothing away.
+/// A baseline: dispatches every request immediately and refuses none.
 #[derive(Debug)]
 pub(super) struct BaselinePolicy {
     rule: BaselineRule,
-    turn: usize,
-    reported: SortedMap<TargetName, u32>,
+    next_index: usize,
+    reported_loads: SortedMap<TargetName, u32>,
 }
 
 impl BaselinePolicy {
     pub(super) const fn new(rule: BaselineRule) -> Self {
         Self {
             rule,
-            turn: 0,
-            reported: SortedMap::new(),
+            next_index: 0,
+            reported_loads: SortedMap::new(),
         }
     }
 
     pub(super) fn arrive(&mut self, _now: Duration, item: &WorkItem) -> Vec<PolicyAction> {
-        self.turn += 1;
+        self.next_index += 1;
         let count = item.allowed.len();
-        let in_turn = (0..count).map(|step| &item.allowed[(self.turn + step) % count]);
+        let candidates = (0..count).map(|offset| &item.allowed[(self.next_index + offset) % count]);
         let target = match self.rule {
-            BaselineRule::RoundRobin => in_turn.into_iter().next(),
+            BaselineRule::RoundRobin => candidates.into_iter().next(),
             BaselineRule::LeastLoad => {
-                in_turn.min_by_key(|name| self.reported.get(*name).copied().unwrap_or(0))
+                candidates.min_by_key(|name| self.reported_loads.get(*name).copied().unwrap_or(0))
             }
         };
         target.map_or_else(Vec::new, |target| {
@@ -53,7 +53,7 @@
     }
 
     pub(super) fn report(&mut self, target: &TargetName, report: LoadReport) {
-        self.reported
+        self.reported_loads
             .insert(target.clone(), report.running + report.waiting);
     }
 }
--- a/src/replay/engine_model.rs
+++ b/src/replay/engine_model.rs
@@ -1,4 +1,4 @@
-//! A model of an engine: it batches continuously and admits requests as they come.
+//! A model of an engine with continuous batching.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,17 +11,17 @@
 
 /// A model of an engine, advanced step by step.
 ///
-/// Each step reads a chunk of the prompts that are not read yet, first come
-/// first served, and writes one token of every sequence that is.
+/// Each step prefills up to `chunk_tokens` tokens of the pending prompts, first come
+/// first served, and generates one token for each sequence whose prompt is complete.
 #[derive(Debug)]
 pub(super) struct EngineModel {
     pace: TargetPace,
     slots: usize,
-    /// How many times slower than its pace the engine runs.
+    /// The factor by which the engine is slower than its pace.
     pub(super) factor: u32,
     waiting: VecDeque<EngineSequence>,
     running: Vec<EngineSequence>,
-    stepping: bool,
+    step_running: bool,
     cache: PrefixCache,
 }
 
@@ -33,33 +33,33 @@
     pub(super) output_tokens: TokenCount,
     pub(super) prefix: u64,
     pub(super) prefix_tokens: TokenCount,
-    /// Prompt tokens that are read.
-    read: TokenCount,
-    /// Prompt tokens that came from the cache.
+    /// Prompt tokens prefilled so far, including cached ones.
+    prefilled: TokenCount,
+    /// Prompt tokens taken from the prefix cache.
     cached: TokenCount,
-    /// Answer tokens that are written.
-    written: TokenCount,
-    /// Prompt tokens that the step under way reads.
-    chunk: TokenCount,
-    /// Whether the step under way writes a token.
-    writes: bool,
+    /// Answer tokens generated so far.
+    generated: TokenCount,
+    /// Prompt tokens prefilled by the current step.
+    step_prefill: TokenCount,
+    /// Whether the current step generates a token.
+    generates_token: bool,
 }
 
-/// What one step brought for one request.
+/// A change of one request's state in an engine.
 #[derive(Debug)]
 pub(super) enum EngineEvent {
-    /// The engine took the request into its batch.
+    /// The request was added to the batch.
     Admitted(WorkId),
-    /// The prompt is read: `computed` tokens anew, of which `prefix` tokens
-    /// belong to a prefix that was not in the cache.
-    Read {
+    /// The whole prompt is prefilled; `prefix_tokens` of the computed tokens belong to a
+    /// prefix that was not in the cache.
+    Prefilled {
         work: WorkId,
         prefix: u64,
         prefix_tokens: TokenCount,
     },
-    /// The answer has grown to so many tokens.
-    Written(WorkId, TokenCount),
-    /// The answer is whole.
+    /// A token was generated; the answer now has this many.
+    Generated(WorkId, TokenCount),
+    /// The answer is complete.
     Done(WorkId),
 }
 
@@ -77,17 +77,17 @@
             output_tokens,
             prefix,
             prefix_tokens,
-            read: 0,
+            prefilled: 0,
             cached: 0,
-            written: 0,
-            chunk: 0,
-            writes: false,
+            generated: 0,
+            step_prefill: 0,
+            generates_token: false,
         }
     }
 
-    /// Returns how many prompt tokens the engine computed for this request.
+    /// Returns the number of prompt tokens that the engine computed for this request.
     pub(super) const fn computed(&self) -> TokenCount {
-        self.read - self.cached
+        self.prefilled - self.cached
     }
 }
 
@@ -99,7 +99,7 @@
             factor: 1,
             waiting: VecDeque::new(),
             running: Vec::new(),
-            stepping: false,
+            step_running: false,
             cache: PrefixCache::new(pace.cache_tokens),
         }
     }
@@ -108,7 +108,7 @@
         self.waiting.push_back(sequence);
     }
 
-    /// Takes a request out and returns what was done for it.
+    /// Removes a request and returns its state.
     pub(super) fn cancel(&mut self, work: WorkId) -> Option<EngineSequence> {
         if let Some(index) = self.waiting.iter().position(|s| s.work == work) {
             return self.waiting.remove(index);
@@ -121,69 +121,68 @@
         (self.running.len() as u32, self.waiting.len() as u32)
     }
 
-    /// Begins a step, unless one is under way or there is nothing to do.
-    ///
-    /// Returns how long the step takes.
-    pub(super) fn begin_step(&mut self, events: &mut Vec<EngineEvent>) -> Option<Duration> {
-        if self.stepping {
+    /// Starts a step and returns its duration; `None` if a step is running or there is no
+    /// work.
+    pub(super) fn start_step(&mut self, events: &mut Vec<EngineEvent>) -> Option<Duration> {
+        if self.step_running {
             return None;
         }
-        self.admit(events);
+        self.admit_waiting(events);
         if self.running.is_empty() {
             return None;
         }
         let mut budget = self.pace.chunk_tokens;
-        let mut time = self.pace.step_us;
+        let mut step_us = self.pace.step_us;
         for sequence in &mut self.running {
-            let chunk = budget.min(sequence.prompt_tokens - sequence.read);
-            sequence.chunk = chunk;
-            budget -= chunk;
-            sequence.writes = sequence.read + chunk == sequence.prompt_tokens;
-            time += u64::from(chunk) * self.pace.prefill_us;
-            time += self.pace.sequence_us;
+            let step_prefill = budget.min(sequence.prompt_tokens - sequence.prefilled);
+            sequence.step_prefill = step_prefill;
+            budget -= step_prefill;
+            sequence.generates_token = sequence.prefilled + step_prefill == sequence.prompt_tokens;
+            step_us += u64::from(step_prefill) * self.pace.prefill_us;
+            step_us += self.pace.sequence_us;
         }
-        self.stepping = true;
-        Some(Duration::from_micros(time * u64::from(self.factor)))
+        self.step_running = true;
+        Some(Duration::from_micros(step_us * u64::from(self.factor)))
     }
 
-    /// Ends the step under way.
+    /// Completes the current step.
     pub(super) fn end_step(&mut self, events: &mut Vec<EngineEvent>) {
-        self.stepping = false;
+        self.step_running = false;
         for sequence in &mut self.running {
-            let read_all = sequence.chunk > 0 && sequence.writes;
-            sequence.read += sequence.chunk;
-            sequence.chunk = 0;
-            if read_all {
+            let prompt_complete = sequence.step_prefill > 0 && sequence.generates_token;
+            sequence.prefilled += sequence.step_prefill;
+            sequence.step_prefill = 0;
+            if prompt_complete {
                 let missed = sequence.prefix_tokens.min(sequence.computed());
-                events.push(EngineEvent::Read {
+                events.push(EngineEvent::Prefilled {
                     work: sequence.work,
                     prefix: sequence.prefix,
                     prefix_tokens: if sequence.cached > 0 { 0 } else { missed },
                 });
-                self.cache.keep(sequence.prefix, sequence.prefix_tokens);
+                self.cache.insert(sequence.prefix, sequence.prefix_tokens);
             }
-            if !sequence.writes {
+            if !sequence.generates_token {
                 continue;
             }
-            sequence.writes = false;
-            sequence.written += 1;
-            events.push(EngineEvent::Written(sequence.work, sequence.written));
-            if sequence.written >= sequence.output_tokens {
+            sequence.generates_token = false;
+            sequence.generated += 1;
+            events.push(EngineEvent::Generated(sequence.work, sequence.generated));
+            if sequence.generated >= sequence.output_tokens {
                 events.push(EngineEvent::Done(sequence.work));
             }
         }
     }
 
-    /// Takes waiting requests into the batch while there are free slots.
-    fn admit(&mut self, events: &mut Vec<EngineEvent>) {
+    /// Moves waiting requests into the batch while there are free slots.
+    fn admit_waiting(&mut self, events: &mut Vec<EngineEvent>) {
         while self.running.len() < self.slots {
             let Some(mut sequence) = self.waiting.pop_front() else {
                 return;
             };
-            // The last prompt token is always computed: it gives the first answer token.
+            // The last prompt token is always computed: it yields the first answer token.
             let cached = self.cache.look_up(sequence.prefix);
             sequence.cached = cached.min(sequence.prompt_tokens.saturating_sub(1));
-            sequence.read = sequence.cached;
+            sequence.prefilled = sequence.cached;
             events.push(EngineEvent::Admitted(sequence.work));
             self.running.push(sequence);
         }
--- a/src/replay/event_queue.rs
+++ b/src/replay/event_queue.rs
@@ -1,20 +1,20 @@
-//! What happens next in virtual time.
+//! The queue of pending events in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Events in the order of their times; equal times in the order of insertion.
+/// Events ordered by time; events at the same time are ordered by insertion.
 #[derive(Debug)]
 pub(super) struct EventQueue<T> {
     heap: BinaryHeap<Reverse<QueuedEvent<T>>>,
-    count: u64,
+    inserted_count: u64,
 }
 
 #[derive(Debug)]
 struct QueuedEvent<T> {
     at: Duration,
-    number: u64,
+    sequence: u64,
     event: T,
 }
 
@@ -22,15 +22,15 @@
     pub(super) const fn new() -> Self {
         Self {
             heap: BinaryHeap::new(),
-            count: 0,
+            inserted_count: 0,
         }
     }
 
     pub(super) fn push(&mut self, at: Duration, event: T) {
-        self.count += 1;
+        self.inserted_count += 1;
         self.heap.push(Reverse(QueuedEvent {
             at,
-            number: self.count,
+            sequence: self.inserted_count,
             event,
         }));
     }
@@ -43,7 +43,7 @@
 
 impl<T> QueuedEvent<T> {
     const fn key(&self) -> (Duration, u64) {
-        (self.at, self.number)
+        (self.at, self.sequence)
     }
 }
 
--- a/src/replay/fairness.rs
+++ b/src/replay/fairness.rs
@@ -1,4 +1,4 @@
-//! How evenly the engines' useful work goes to the accounts.
+//! Fairness of the distribution of useful engine work among accounts.
 
 use serde::Serialize;
 
@@ -7,23 +7,23 @@
 use super::ReplayTrace;
 use super::offline_bound::runs_on_engines;
 use super::work_cost;
-use super::work_record::RecordEnd;
+use super::work_record::RecordOutcome;
 use super::work_record::WorkRecord;
 
-/// What one account asked for and got, in engine seconds.
+/// The engine work that one account requested and received, in engine seconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct AccountReport {
     /// The account.
     pub account: AccountName,
-    /// What it asked for.
+    /// The work requested.
     pub offered: f64,
-    /// What was useful to it.
+    /// The work of requests that were answered before their deadline.
     pub useful: f64,
-    /// Its fair part of all that was useful: max-min by weight.
+    /// Its weighted max-min fair share of all useful work.
     pub entitled: f64,
 }
 
-/// Returns Jain's index of the values: 1 when equal, 1/n when one has all.
+/// Returns Jain's fairness index: 1 if all values are equal, 1/n if only one is not zero.
 pub fn jain_index(values: &[f64]) -> f64 {
     let sum: f64 = values.iter().sum();
     let squares: f64 = values.iter().map(|value| value * value).sum();
@@ -33,20 +33,20 @@
     sum * sum / (values.len() as f64 * squares)
 }
 
-/// Returns Jain's index over what each account got of its entitlement.
+/// Returns Jain's index over the fraction of its fair share that each account received.
 ///
-/// Accounts that ask for little get little, which is fair; so each account's
-/// useful work is taken as a part of its max-min fair share, at most the whole.
+/// An account that requests little receives little, which is fair. Therefore the useful
+/// work of each account is divided by its max-min fair share, with a maximum of 1.
 pub(super) fn satisfaction_index(accounts: &[AccountReport]) -> f64 {
-    let parts: Vec<f64> = accounts
+    let fractions: Vec<f64> = accounts
         .iter()
         .filter(|account| account.entitled > 0.0)
         .map(|account| (account.useful / account.entitled).min(1.0))
         .collect();
-    jain_index(&parts)
+    jain_index(&fractions)
 }
 
-/// Adds up what each account asked for and got.
+/// Sums up the work that each account requested and received.
 pub(super) fn report_accounts(trace: &ReplayTrace, records: &[WorkRecord]) -> Vec<AccountReport> {
     let mut accounts: Vec<AccountReport> = Vec::new();
     let mut weights = Vec::new();
@@ -63,37 +63,38 @@
             }
             let cost = work_cost(arrival).as_secs_f64();
             report.offered += cost;
-            if record.end == Some(RecordEnd::Useful) {
+            if record.outcome == Some(RecordOutcome::Useful) {
                 report.useful += cost;
             }
         }
         weights.push(f64::from(account.weight));
         accounts.push(report);
     }
-    entitle(&mut accounts, &weights);
+    assign_fair_shares(&mut accounts, &weights);
     accounts
 }
 
-/// Shares the useful total out by weight; nobody gets more than it asked for.
-fn entitle(accounts: &mut [AccountReport], weights: &[f64]) {
-    let mut left: f64 = accounts.iter().map(|account| account.useful).sum();
-    let mut open: Vec<usize> = (0..accounts.len()).collect();
-    while !open.is_empty() {
-        let total: f64 = open.iter().map(|index| weights[*index]).sum();
-        let level = left / total;
-        let (met, rest): (Vec<usize>, Vec<usize>) = open
+/// Computes the fair shares: the total useful work is divided by weight, and no account is
+/// entitled to more than it requested.
+fn assign_fair_shares(accounts: &mut [AccountReport], weights: &[f64]) {
+    let mut remaining: f64 = accounts.iter().map(|account| account.useful).sum();
+    let mut unassigned: Vec<usize> = (0..accounts.len()).collect();
+    while !unassigned.is_empty() {
+        let total: f64 = unassigned.iter().map(|index| weights[*index]).sum();
+        let share_per_weight = remaining / total;
+        let (satisfied, unsatisfied): (Vec<usize>, Vec<usize>) = unassigned
             .iter()
-            .partition(|index| accounts[**index].offered <= level * weights[**index]);
-        if met.is_empty() {
-            for index in rest {
-                accounts[index].entitled = level * weights[index];
+            .partition(|index| accounts[**index].offered <= share_per_weight * weights[**index]);
+        if satisfied.is_empty() {
+            for index in unsatisfied {
+                accounts[index].entitled = share_per_weight * weights[index];
             }
             return;
         }
-        for index in met {
+        for index in satisfied {
             accounts[index].entitled = accounts[index].offered;
-            left -= accounts[index].offered;
+            remaining -= accounts[index].offered;
         }
-        open = rest;
+        unassigned = unsatisfied;
     }
 }
--- a/src/replay/first_policy.rs
+++ b/src/replay/first_policy.rs
@@ -16,128 +16,132 @@
 use crate::policy::WorkOutcome;
 use crate::policy::base_share;
 
-/// The pace that is assumed of an engine before any work ran there.
-const FIRST_PACE: Duration = Duration::from_millis(30);
-/// How much faster an engine reads its prompt than it writes its answer.
+/// The assumed time per token of an engine on which no work has run yet.
+const INITIAL_TOKEN_TIME: Duration = Duration::from_millis(30);
+/// Prefilling a prompt token is assumed to be faster than generating one by this factor.
 const PREFILL_SPEEDUP: u32 = 100;
-/// The share of a new sample in the learned pace.
-const PACE_GAIN: f64 = 0.2;
-/// The advice to a refused caller before any work has ended.
-const FIRST_RETRY: Duration = Duration::from_secs(1);
+/// The weight of a new sample in the moving average of the time per token.
+const TOKEN_TIME_SMOOTHING: f64 = 0.2;
+/// The retry delay given to a refused caller.
+const REFUSAL_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The first version of the policy: strict tiers, FIFO inside, fixed shares.
+/// The first version of the policy: strict priority of tiers, FIFO within a tier, fixed
+/// shares of slots.
 #[derive(Debug)]
 pub(super) struct FirstPolicy {
     host: HostName,
-    limits: PolicySettings,
+    settings: PolicySettings,
     hosts: Vec<HostName>,
-    targets: SortedMap<TargetName, TargetView>,
+    targets: SortedMap<TargetName, TargetStatus>,
     waiting: Vec<WorkItem>,
     running: SortedMap<WorkId, RunningWork>,
 }
 
 #[derive(Debug)]
-struct TargetView {
+struct TargetStatus {
     facts: TargetFacts,
     running: u32,
-    pace: Duration,
+    token_time: Duration,
 }
 
 #[derive(Debug)]
 struct RunningWork {
     item: WorkItem,
     target: TargetName,
-    seen: Option<(Duration, u32)>,
+    last_progress: Option<(Duration, u32)>,
 }
 
 impl FirstPolicy {
-    /// Makes the policy of `host`, which knows no target yet.
-    pub(super) fn new(host: HostName, limits: PolicySettings) -> Self {
+    /// Creates the policy of `host`, without targets.
+    pub(super) fn new(host: HostName, settings: PolicySettings) -> Self {
         Self {
             hosts: vec![host.clone()],
             host,
-            limits,
+            settings,
             targets: SortedMap::new(),
             waiting: Vec::new(),
             running: SortedMap::new(),
         }
     }
 
-    /// Takes up the targets as the configuration and the lists now have them.
+    /// Replaces the targets by those of the current configuration and target lists.
     pub(super) fn set_targets(&mut self, _now: Duration, facts: Vec<TargetFacts>) {
         let mut targets = SortedMap::new();
         for fact in facts {
-            let known = self.targets.remove(&fact.name);
-            let pace = known.as_ref().map_or(FIRST_PACE, |view| view.pace);
-            let running = known.map_or(0, |view| view.running);
-            let view = TargetView {
+            let previous = self.targets.remove(&fact.name);
+            let token_time = previous
+                .as_ref()
+                .map_or(INITIAL_TOKEN_TIME, |status| status.token_time);
+            let running = previous.map_or(0, |status| status.running);
+            let status = TargetStatus {
                 facts: fact,
                 running,
-                pace,
+                token_time,
             };
-            targets.insert(view.facts.name.clone(), view);
+            targets.insert(status.facts.name.clone(), status);
         }
         self.targets = targets;
     }
 
-    /// Takes up the cell's seats, this host among them.
+    /// Sets the hosts of the cell, including this one.
     pub(super) fn set_hosts(&mut self, _now: Duration, mut hosts: Vec<HostName>) {
         hosts.sort();
         hosts.dedup();
         self.hosts = hosts;
     }
 
-    /// Decides about new work.
+    /// Queues or refuses new work, and dispatches what has a free slot.
     pub(super) fn arrive(&mut self, now: Duration, item: WorkItem) -> Vec<PolicyAction> {
-        let least = item
+        let min_cost = item
             .allowed
             .iter()
             .filter_map(|name| self.targets.get(name))
-            .filter(|view| view.facts.state == TargetState::Live)
-            .map(|view| view.cost(&item))
+            .filter(|status| status.facts.state == TargetState::Live)
+            .map(|status| status.expected_time(&item))
             .min();
-        let Some(least) = least else {
+        let Some(min_cost) = min_cost else {
             return vec![refuse(item.work, ErrorKind::NoTarget)];
         };
-        let full = self.waiting.len() >= self.limits.max_waiting as usize;
-        if full || now + least > item.deadline {
+        let queue_full = self.waiting.len() >= self.settings.max_waiting as usize;
+        if queue_full || now + min_cost > item.deadline {
             return vec![refuse(item.work, ErrorKind::Overloaded)];
         }
-        let place = self
+        let position = self
             .waiting
             .partition_point(|other| other.tier <= item.tier);
-        self.waiting.insert(place, item);
-        self.decide(now)
+        self.waiting.insert(position, item);
+        self.dispatch_waiting(now)
     }
 
-    /// Notes that the target took the work up.
+    /// Records that the target started the work.
     pub(super) fn started(&mut self, now: Duration, work: WorkId) {
         if let Some(running) = self.running.get_mut(&work) {
-            running.seen = Some((now, 0));
+            running.last_progress = Some((now, 0));
         }
     }
 
-    /// Notes how many tokens of the answer have come.
+    /// Records the number of tokens received so far, and updates the time per token.
     pub(super) fn progressed(&mut self, now: Duration, work: WorkId, tokens_so_far: u32) {
         let Some(running) = self.running.get_mut(&work) else {
             return;
         };
-        let seen = running.seen.replace((now, tokens_so_far));
-        let Some((since, before)) = seen else {
+        let last_progress = running.last_progress.replace((now, tokens_so_far));
+        let Some((since, before)) = last_progress else {
             return;
         };
         if before == 0 || tokens_so_far <= before {
             return;
         }
         let sample = now.saturating_sub(since) / (tokens_so_far - before);
-        if let Some(view) = self.targets.get_mut(&running.target) {
-            let pace = view.pace.as_secs_f64();
-            let pace = pace + PACE_GAIN * (sample.as_secs_f64() - pace);
-            view.pace = Duration::from_secs_f64(pace);
+        if let Some(status) = self.targets.get_mut(&running.target) {
+            let token_time = status.token_time.as_secs_f64();
+            let token_time =
+                token_time + TOKEN_TIME_SMOOTHING * (sample.as_secs_f64() - token_time);
+            status.token_time = Duration::from_secs_f64(token_time);
         }
     }
 
-    /// Notes the end of dispatched work and decides what takes its slot.
+    /// Records the end of dispatched work, and dispatches waiting work to the free slot.
     pub(super) fn ended(
         &mut self,
         now: Duration,
@@ -147,28 +151,28 @@
         let Some(ended) = self.running.remove(&work) else {
             return Vec::new();
         };
-        if let Some(view) = self.targets.get_mut(&ended.target) {
-            view.running = view.running.saturating_sub(1);
+        if let Some(status) = self.targets.get_mut(&ended.target) {
+            status.running = status.running.saturating_sub(1);
         }
         if end == WorkOutcome::NotSent {
             return self.arrive(now, ended.item);
         }
-        self.decide(now)
+        self.dispatch_waiting(now)
     }
 
-    /// Forgets work whose caller left while it waited.
+    /// Removes waiting work whose caller disconnected.
     pub(super) fn withdraw(&mut self, now: Duration, work: WorkId) -> Vec<PolicyAction> {
         self.waiting.retain(|item| item.work != work);
-        self.decide(now)
+        self.dispatch_waiting(now)
     }
 
-    /// Decides what the passing of time asks for; called each 20 ms.
+    /// Handles expired deadlines and newly free slots; called every 20 ms.
     pub(super) fn tick(&mut self, now: Duration) -> Vec<PolicyAction> {
-        self.decide(now)
+        self.dispatch_waiting(now)
     }
 
-    /// Dispatches what has a slot and refuses what has become hopeless.
-    fn decide(&mut self, now: Duration) -> Vec<PolicyAction> {
+    /// Dispatches waiting work to free slots and refuses work whose deadline has passed.
+    fn dispatch_waiting(&mut self, now: Duration) -> Vec<PolicyAction> {
         let mut actions = Vec::new();
         let mut index = 0;
         while index < self.waiting.len() {
@@ -189,14 +193,14 @@
     }
 
     fn dispatch(&mut self, item: WorkItem, target: TargetName) -> PolicyAction {
-        if let Some(view) = self.targets.get_mut(&target) {
-            view.running += 1;
+        if let Some(status) = self.targets.get_mut(&target) {
+            status.running += 1;
         }
         let work = item.work;
         let running = RunningWork {
             item,
             target: target.clone(),
-            seen: None,
+            last_progress: None,
         };
         self.running.insert(work, running);
         PolicyAction::Dispatch { work, target }
@@ -206,21 +210,27 @@
         item.allowed
             .iter()
             .filter_map(|name| self.targets.get(name))
-            .filter(|view| view.facts.state == TargetState::Live)
-            .filter(|view| view.running < self.share(view))
-            .min_by_key(|view| view.cost(item))
-            .map(|view| view.facts.name.clone())
+            .filter(|status| status.facts.state == TargetState::Live)
+            .filter(|status| status.running < self.share(status))
+            .min_by_key(|status| status.expected_time(item))
+            .map(|status| status.facts.name.clone())
     }
 
-    fn share(&self, view: &TargetView) -> u32 {
-        base_share(&view.facts.name, view.facts.slots, &self.hosts, &self.host)
+    fn share(&self, status: &TargetStatus) -> u32 {
+        base_share(
+            &status.facts.name,
+            status.facts.slots,
+            &self.hosts,
+            &self.host,
+        )
     }
 }
 
-impl TargetView {
-    /// Returns the expected time of the work here, once it runs.
-    fn cost(&self, item: &WorkItem) -> Duration {
-        self.pace * item.output_tokens + self.pace * item.prompt_tokens / PREFILL_SPEEDUP
+impl TargetStatus {
+    /// Returns the expected run time of the work on this target.
+    fn expected_time(&self, item: &WorkItem) -> Duration {
+        self.token_time * item.output_tokens
+            + self.token_time * item.prompt_tokens / PREFILL_SPEEDUP
     }
 }
 
@@ -228,6 +238,6 @@
     PolicyAction::Refuse {
         work,
         kind,
-        retry_after: FIRST_RETRY,
+        retry_after: REFUSAL_RETRY_DELAY,
     }
 }
--- a/src/replay/load_pattern.rs
+++ b/src/replay/load_pattern.rs
@@ -1,35 +1,35 @@
-//! The patterns of load that traces are generated for.
+//! The load patterns for which traces are generated.
 
 use derive_more::Display;
 
-/// A pattern of load or a fault under load.
+/// A load pattern, possibly with a fault. Loads are relative to the engines' capacity.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum LoadPattern {
-    /// A load of 0.7 of the engines' capacity.
+    /// A constant load of 0.7.
     #[display("steady")]
     Steady,
-    /// A sixth of the time, from a third on, at 4 times the capacity.
+    /// A load of 4 for a sixth of the time, starting after a third of it.
     #[display("burst")]
     Burst,
-    /// Two accounts and one prefix take most of a load of 1.3.
+    /// A load of 1.3, most of it from two accounts and with one prompt prefix.
     #[display("hot-accounts")]
     HotAccounts,
-    /// One engine runs ten times slower for the middle third.
+    /// One engine is ten times slower during the middle third.
     #[display("slow-engine")]
     SlowEngine,
-    /// Long work alone saturates the fleet while short urgent work comes.
+    /// Long requests alone saturate the fleet while short urgent ones arrive.
     #[display("long-among-short")]
     LongAmongShort,
-    /// A load of 1.5 from beginning to end.
+    /// A constant load of 1.5.
     #[display("saturation")]
     Saturation,
-    /// Half the hosts die at half time.
+    /// Half of the hosts fail halfway through.
     #[display("half-lost")]
     HalfLost,
-    /// The hosts are cut in two for the middle third.
+    /// The hosts are partitioned into two groups during the middle third.
     #[display("partition")]
     Partition,
-    /// Reports are 5 s late.
+    /// Load reports arrive 5 s late.
     #[display("late-reports")]
     LateReports,
 }
@@ -48,11 +48,12 @@
         Self::LateReports,
     ];
 
-    /// Returns the load at a part (0 to 1) of the trace's time, in capacities.
-    pub(super) fn load_at(self, part: f64) -> f64 {
+    /// Returns the load, relative to the capacity, at a fraction (0 to 1) of the trace's
+    /// duration.
+    pub(super) fn load_at(self, fraction: f64) -> f64 {
         match self {
             Self::Steady | Self::SlowEngine | Self::HalfLost => 0.7,
-            Self::Burst if (0.333..0.5).contains(&part) => 4.0,
+            Self::Burst if (0.333..0.5).contains(&fraction) => 4.0,
             Self::Burst => 0.6,
             Self::HotAccounts => 1.3,
             Self::LongAmongShort => 1.25,
--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -1,7 +1,7 @@
-//! Replay: a recorded trace played against models of the targets, in virtual time.
+//! Replays a recorded trace against models of the targets, in virtual time.
 //!
-//! The policy that is played is the very code that the daemon runs. The same
-//! trace and seed give the same bytes out. docs/TRACES.md describes the format.
+//! The current policy is the code that the daemon runs. The same trace and seed produce
+//! the same output, byte for byte. docs/TRACES.md describes the format.
 
 mod baseline_policy;
 mod engine_model;
--- a/src/replay/prefix_cache.rs
+++ b/src/replay/prefix_cache.rs
@@ -1,12 +1,12 @@
-//! An engine's cache of prompt prefixes: limited, least recently used goes first.
+//! An engine's cache of prompt prefixes, with LRU eviction.
 
 use crate::ids::TokenCount;
 
-/// An engine's cache of prompt prefixes.
+/// An engine's cache of prompt prefixes; the capacity is in tokens.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     capacity: TokenCount,
-    /// The least recently used stands first.
+    /// Ordered from the least to the most recently used.
     entries: Vec<CacheEntry>,
 }
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns how many tokens of the prefix need not be read again.
+    /// Returns the number of cached tokens of the prefix, and marks it as used.
     pub(super) fn look_up(&mut self, prefix: u64) -> TokenCount {
         let Some(index) = self.entries.iter().position(|e| e.prefix == prefix) else {
             return 0;
@@ -35,8 +35,8 @@
         tokens
     }
 
-    /// Keeps a prefix that was just read, and drops others to make room.
-    pub(super) fn keep(&mut self, prefix: u64, tokens: TokenCount) {
+    /// Inserts a prefix, and evicts others above the capacity.
+    pub(super) fn insert(&mut self, prefix: u64, tokens: TokenCount) {
         if tokens == 0 || tokens > self.capacity {
             return;
         }
--- a/src/replay/replay_exchange.rs
+++ b/src/replay/replay_exchange.rs
@@ -1,4 +1,4 @@
-//! What hosts and targets tell in a replay: digests and reports.
+//! Digests from hosts and load reports from targets in a replay.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,29 +10,29 @@
 use super::replay_run::ReplayRun;
 use super::replay_run::TargetModel;
 
-/// How often a host tells its peers.
-pub(super) const DIGEST_PERIOD: Duration = Duration::from_secs(1);
-/// How often a target takes a report.
-pub(super) const REPORT_PERIOD: Duration = Duration::from_millis(500);
+/// Interval of a host's digests to its peers.
+pub(super) const DIGEST_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval of a target's load reports.
+pub(super) const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 impl ReplayRun<'_> {
     pub(super) fn send_digest(&mut self, host: usize) {
         if !self.live[host] {
             return;
         }
-        let next = self.now + DIGEST_PERIOD;
+        let next = self.now + DIGEST_INTERVAL;
         self.events.push(next, ReplayEvent::SendDigest(host));
-        self.spread_digest(host);
+        self.broadcast_digest(host);
     }
 
-    pub(super) fn spread_digest(&mut self, host: usize) {
+    pub(super) fn broadcast_digest(&mut self, host: usize) {
         let Some(digest) = self.policies[host].digest(self.now) else {
             return;
         };
         let digest = Arc::new(digest);
-        let at = self.now + self.network();
+        let at = self.now + self.network_delay();
         for to in (0..self.policies.len()).filter(|to| *to != host) {
-            if self.side[to] != self.side[host] {
+            if self.partition_side[to] != self.partition_side[host] {
                 continue;
             }
             let digest = digest.clone();
@@ -45,16 +45,16 @@
         }
     }
 
-    pub(super) fn take_digest(&mut self, from: usize, to: usize, digest: &HostDigest) {
+    pub(super) fn deliver_digest(&mut self, from: usize, to: usize, digest: &HostDigest) {
         if self.live[to] {
             let name = &self.trace.header.hosts[from];
             self.policies[to].apply_peer_digest(self.now, name, digest.clone());
         }
     }
 
-    pub(super) fn take_reports(&mut self) {
-        let next = self.now + REPORT_PERIOD;
-        self.events.push(next, ReplayEvent::TakeReports);
+    pub(super) fn sample_reports(&mut self) {
+        let next = self.now + REPORT_INTERVAL;
+        self.events.push(next, ReplayEvent::SampleReports);
         let mut reports = Vec::new();
         for model in &self.models {
             let (running, waiting) = match model {
--- a/src/replay/replay_faults.rs
+++ b/src/replay/replay_faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a replay.
+//! Fault injection in a replay.
 
 use std::time::Duration;
 
@@ -10,66 +10,67 @@
 use super::replay_run::ReplayEvent;
 use super::replay_run::ReplayRun;
 use super::replay_run::TargetModel;
-use super::work_record::RecordEnd;
+use super::work_record::RecordOutcome;
 
 impl ReplayRun<'_> {
-    pub(super) fn begin_fault(&mut self, index: usize) {
+    pub(super) fn start_fault(&mut self, index: usize) {
         match &self.trace.header.faults[index] {
-            TraceFault::SlowTarget { target, factor, .. } => self.set_factor(target, *factor),
-            TraceFault::LostHosts { hosts, .. } => self.lose(hosts),
-            TraceFault::Partition { hosts, .. } => self.set_side(hosts, 1),
+            TraceFault::SlowTarget { target, factor, .. } => self.set_slowdown(target, *factor),
+            TraceFault::LostHosts { hosts, .. } => self.stop_hosts(hosts),
+            TraceFault::Partition { hosts, .. } => self.set_partition_side(hosts, 1),
         }
     }
 
     pub(super) fn end_fault(&mut self, index: usize) {
         match &self.trace.header.faults[index] {
-            TraceFault::SlowTarget { target, .. } => self.set_factor(target, 1),
+            TraceFault::SlowTarget { target, .. } => self.set_slowdown(target, 1),
             TraceFault::LostHosts { .. } => (),
-            TraceFault::Partition { hosts, .. } => self.set_side(hosts, 0),
+            TraceFault::Partition { hosts, .. } => self.set_partition_side(hosts, 0),
         }
     }
 
-    fn set_factor(&mut self, target: &TargetName, factor: u32) {
-        let Some(place) = self.places.get(target) else {
+    fn set_slowdown(&mut self, target: &TargetName, factor: u32) {
+        let Some(index) = self.target_indexes.get(target) else {
             return;
         };
-        match &mut self.models[*place] {
+        match &mut self.models[*index] {
             TargetModel::Engine(engine) => engine.factor = factor,
             TargetModel::Service(service) => service.factor = factor,
         }
     }
 
-    fn set_side(&mut self, hosts: &[HostName], side: u8) {
-        for (place, host) in self.trace.header.hosts.iter().enumerate() {
+    fn set_partition_side(&mut self, hosts: &[HostName], partition_side: u8) {
+        for (index, host) in self.trace.header.hosts.iter().enumerate() {
             if hosts.contains(host) {
-                self.side[place] = side;
+                self.partition_side[index] = partition_side;
             }
         }
     }
 
-    /// Hosts die: their connections close, so targets cancel what ran for them.
-    fn lose(&mut self, hosts: &[HostName]) {
-        for (place, host) in self.trace.header.hosts.iter().enumerate() {
+    /// Stops hosts: their connections record_end, so targets cancel their requests.
+    fn stop_hosts(&mut self, hosts: &[HostName]) {
+        for (index, host) in self.trace.header.hosts.iter().enumerate() {
             if hosts.contains(host) {
-                self.live[place] = false;
+                self.live[index] = false;
             }
         }
         for work in 0..self.records.len() {
             let record = &self.records[work];
             let arrived = Duration::from_micros(self.trace.arrivals[work].at_us) < self.now;
-            if !arrived || record.end.is_some() || self.live[record.host] {
+            if !arrived || record.outcome.is_some() || self.live[record.host] {
                 continue;
             }
             if let Some(target) = record.target {
-                self.remove(target, work as WorkId);
+                self.remove_from_target(target, work as WorkId);
             }
-            self.close(work as WorkId, RecordEnd::Lost);
+            self.end_request(work as WorkId, RecordOutcome::Lost);
         }
         let lag = Duration::from_millis(self.trace.header.list_lag_ms);
-        self.events.push(self.now + lag, ReplayEvent::ListChanges);
+        self.events
+            .push(self.now + lag, ReplayEvent::HostListUpdate);
     }
 
-    pub(super) fn change_list(&mut self) {
+    pub(super) fn update_host_lists(&mut self) {
         let hosts = &self.trace.header.hosts;
         let live = hosts.iter().zip(&self.live).filter(|(_, live)| **live);
         let list: Vec<HostName> = live.map(|(host, _)| host.clone()).collect();
--- a/src/replay/replay_options.rs
+++ b/src/replay/replay_options.rs
@@ -1,4 +1,4 @@
-//! The entry points of a replay.
+//! The entry points and options of a replay.
 
 use std::path::Path;
 
@@ -10,12 +10,12 @@
 use super::replay_report::report_policy;
 use super::replay_run;
 
-/// What is played, and with which seed.
+/// The policies and the seed of a replay.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReplayOptions {
-    /// The policies, in the order of the report.
+    /// The policies to replay, in the order of the report.
     pub policies: Vec<PolicyKind>,
-    /// Where in their periods the hosts' clocks begin.
+    /// Determines the phases of the hosts' periodic events.
     pub seed: u64,
 }
 
@@ -28,16 +28,16 @@
     }
 }
 
-/// Plays a trace file.
+/// Replays a trace file.
 ///
 /// # Errors
-/// Fails when the file can't be read or is no trace.
+/// The file can't be read or is not a valid trace.
 pub fn replay_file(path: &Path, options: &ReplayOptions) -> Result<ReplayReport, TraceError> {
     let trace = ReplayTrace::open(path)?;
     Ok(replay_trace(&trace, options))
 }
 
-/// Plays a trace; each policy on a thread of its own.
+/// Replays a trace with each policy, each on its own thread.
 pub fn replay_trace(trace: &ReplayTrace, options: &ReplayOptions) -> ReplayReport {
     let bound = offline_bound(trace);
     let seed = options.seed;
@@ -47,7 +47,7 @@
             .iter()
             .map(|kind| {
                 scope.spawn(move || {
-                    let records = replay_run::play(trace, *kind, seed);
+                    let records = replay_run::run_policy(trace, *kind, seed);
                     report_policy(trace, *kind, &records)
                 })
             })
--- a/src/replay/replay_policy.rs
+++ b/src/replay/replay_policy.rs
@@ -1,4 +1,4 @@
-//! The policies that a replay can play, under one set of calls.
+//! A common interface to the policies that a replay can run.
 
 use std::time::Duration;
 
@@ -21,26 +21,26 @@
 use super::baseline_policy::BaselineRule;
 use super::first_policy::FirstPolicy;
 
-/// Names a policy that a replay can play.
+/// A policy that a replay can run.
 #[derive(Clone, Copy, Debug, Display, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyKind {
-    /// The policy that the daemon runs.
+    /// The policy of the daemon.
     #[display("current")]
     Current,
     /// The first version of the policy.
     #[display("first")]
     First,
-    /// Round robin over the allowed targets, first come first served.
+    /// Round robin over the allowed targets, with first-come-first-served queues.
     #[display("round-robin")]
     RoundRobin,
-    /// The allowed target with the least reported load.
+    /// The allowed target with the lowest reported load.
     #[display("least-load")]
     LeastLoad,
 }
 
 impl PolicyKind {
-    /// All policies, the daemon's own first.
+    /// All policies, the daemon's first.
     pub const ALL: [Self; 4] = [
         Self::Current,
         Self::First,
@@ -58,10 +58,10 @@
 }
 
 impl ReplayPolicy {
-    pub(super) fn new(kind: PolicyKind, host: HostName, limits: PolicySettings) -> Self {
+    pub(super) fn new(kind: PolicyKind, host: HostName, settings: PolicySettings) -> Self {
         match kind {
-            PolicyKind::Current => Self::Current(Box::new(DispatchPolicy::new(host, limits))),
-            PolicyKind::First => Self::First(Box::new(FirstPolicy::new(host, limits))),
+            PolicyKind::Current => Self::Current(Box::new(DispatchPolicy::new(host, settings))),
+            PolicyKind::First => Self::First(Box::new(FirstPolicy::new(host, settings))),
             PolicyKind::RoundRobin => Self::Baseline(BaselinePolicy::new(BaselineRule::RoundRobin)),
             PolicyKind::LeastLoad => Self::Baseline(BaselinePolicy::new(BaselineRule::LeastLoad)),
         }
--- a/src/replay/replay_report.rs
+++ b/src/replay/replay_report.rs
@@ -1,4 +1,4 @@
-//! What a replay found out.
+//! The report of a replay.
 
 use std::time::Duration;
 
@@ -14,65 +14,65 @@
 use super::fairness::satisfaction_index;
 use super::offline_bound::runs_on_engines;
 use super::work_cost;
-use super::work_record::RecordEnd;
+use super::work_record::RecordOutcome;
 use super::work_record::WorkRecord;
 
-/// What a replay found out.
+/// The results of a replay.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ReplayReport {
-    /// The trace's name.
+    /// The name of the trace.
     pub trace: String,
     /// The seed.
     pub seed: u64,
-    /// The most useful engine work of any schedule, in engine seconds.
+    /// The upper bound on useful engine work for any schedule, in engine seconds.
     pub bound_seconds: f64,
-    /// One report a policy.
+    /// One report for each policy.
     pub policies: Vec<PolicyReport>,
 }
 
-/// What one policy did with the trace.
+/// The results of one policy.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PolicyReport {
     /// The policy.
     pub policy: PolicyKind,
-    /// Useful engine work, in engine seconds.
+    /// Engine work of requests answered before their deadline, in engine seconds.
     pub useful_seconds: f64,
-    /// By tier.
+    /// The results by tier.
     pub tiers: Vec<GroupReport>,
-    /// By class.
+    /// The results by class.
     pub classes: Vec<GroupReport>,
-    /// Prompt tokens read for nothing.
+    /// Prompt tokens that were prefilled in vain.
     pub waste: WasteReport,
-    /// By account.
+    /// The results by account.
     pub accounts: Vec<AccountReport>,
-    /// Jain's index over each account's part of its fair share.
+    /// Jain's index over the fraction of its fair share that each account received.
     pub fairness: f64,
 }
 
-/// What became of the requests of a tier or class.
+/// The outcomes of the requests of a tier or class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct GroupReport {
     /// The tier or class.
     pub name: String,
     /// Requests that arrived.
     pub offered: usize,
-    /// Requests whose whole answer came in time.
+    /// Requests whose complete answer arrived before the deadline.
     pub useful: usize,
-    /// Requests that were dispatched and missed their deadline.
+    /// Requests that were dispatched but missed their deadline.
     pub late: usize,
-    /// Requests that were turned away.
+    /// Requests that were refused.
     pub refused: usize,
-    /// Requests that died with their host.
+    /// Requests that were lost with their host.
     pub lost: usize,
-    /// Requests that went to a peer.
+    /// Requests that were handed over to a peer.
     pub handed_over: usize,
-    /// The time to the first token, in milliseconds.
+    /// The time to the first token.
     pub first_token_ms: QuantileReport,
-    /// The time to the refusal, in milliseconds.
+    /// The time to the refusal.
     pub refusal_ms: QuantileReport,
 }
 
-/// Quantiles of times, in milliseconds; zero where there are none.
+/// Quantiles of durations, in milliseconds; zero if there are none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct QuantileReport {
     /// The median.
@@ -83,21 +83,21 @@
     pub p99: f64,
 }
 
-/// Prompt tokens that engines read, and those read for nothing, by cause.
+/// Prompt tokens that engines prefilled, and those prefilled in vain, by cause.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct WasteReport {
-    /// All prompt tokens read.
+    /// All prompt tokens prefilled.
     pub computed: u64,
-    /// Read again, since no cache held the prefix any more or it lay elsewhere.
+    /// Prefilled again, because the prefix was evicted or cached on another engine.
     pub repeated: u64,
-    /// Read for requests that missed their deadline.
+    /// Prefilled for requests that missed their deadline.
     pub late: u64,
-    /// Read for requests that died with their host.
+    /// Prefilled for requests that were lost with their host.
     pub lost: u64,
 }
 
 impl WasteReport {
-    /// Returns all the prompt tokens read for nothing.
+    /// Returns the total of prompt tokens prefilled in vain.
     pub const fn total(&self) -> u64 {
         self.repeated + self.late + self.lost
     }
@@ -117,7 +117,7 @@
 }
 
 impl GroupReport {
-    /// Returns the part of the offered requests that was useful.
+    /// Returns the fraction of the offered requests that was useful; 1 if there were none.
     pub fn goodput(&self) -> f64 {
         if self.offered == 0 {
             return 1.0;
@@ -133,7 +133,7 @@
     }
 }
 
-/// Sums up what one policy did.
+/// Builds the report of one policy.
 pub(super) fn report_policy(
     trace: &ReplayTrace,
     policy: PolicyKind,
@@ -170,7 +170,7 @@
         .iter()
         .zip(records)
         .filter(|(arrival, _)| runs_on_engines(trace, arrival))
-        .filter(|(_, record)| record.end == Some(RecordEnd::Useful))
+        .filter(|(_, record)| record.outcome == Some(RecordOutcome::Useful))
         .map(|(arrival, _)| work_cost(arrival).as_secs_f64())
         .sum()
 }
@@ -179,30 +179,33 @@
     trace: &ReplayTrace,
     records: &[WorkRecord],
     name: String,
-    belongs: impl Fn(&TraceArrival) -> bool,
+    is_member: impl Fn(&TraceArrival) -> bool,
 ) -> GroupReport {
     let group: Vec<&WorkRecord> = trace
         .arrivals
         .iter()
         .zip(records)
-        .filter(|(arrival, _)| belongs(arrival))
+        .filter(|(arrival, _)| is_member(arrival))
         .map(|(_, record)| record)
         .collect();
-    let count = |end| group.iter().filter(|r| r.end == Some(end)).count();
-    let firsts = group.iter().filter_map(|record| record.first_token);
+    let count = |outcome| group.iter().filter(|r| r.outcome == Some(outcome)).count();
+    let first_tokens = group.iter().filter_map(|record| record.first_token);
     let refused = group
         .iter()
-        .filter(|record| record.end == Some(RecordEnd::Refused));
+        .filter(|record| record.outcome == Some(RecordOutcome::Refused));
     GroupReport {
         name,
         offered: group.len(),
-        useful: count(RecordEnd::Useful),
-        late: count(RecordEnd::Late),
-        refused: count(RecordEnd::Refused),
-        lost: count(RecordEnd::Lost),
-        handed_over: group.iter().filter(|record| record.hand_overs > 0).count(),
-        first_token_ms: quantiles(firsts.collect()),
-        refusal_ms: quantiles(refused.map(|record| record.taken).collect()),
+        useful: count(RecordOutcome::Useful),
+        late: count(RecordOutcome::Late),
+        refused: count(RecordOutcome::Refused),
+        lost: count(RecordOutcome::Lost),
+        handed_over: group
+            .iter()
+            .filter(|record| record.handover_count > 0)
+            .count(),
+        first_token_ms: quantiles(first_tokens.collect()),
+        refusal_ms: quantiles(refused.map(|record| record.time_to_end).collect()),
     }
 }
 
@@ -211,24 +214,24 @@
     let Some(last) = times.len().checked_sub(1) else {
         return QuantileReport::default();
     };
-    let at = |percent: usize| times[(times.len() * percent / 100).min(last)].as_micros();
+    let percentile = |percent: usize| times[(times.len() * percent / 100).min(last)].as_micros();
     let milliseconds = |micros: u128| micros as f64 / 1000.0;
     QuantileReport {
-        p50: milliseconds(at(50)),
-        p95: milliseconds(at(95)),
-        p99: milliseconds(at(99)),
+        p50: milliseconds(percentile(50)),
+        p95: milliseconds(percentile(95)),
+        p99: milliseconds(percentile(99)),
     }
 }
 
 fn report_waste(records: &[WorkRecord]) -> WasteReport {
     let mut waste = WasteReport::default();
     for record in records {
-        let wide = |tokens: TokenCount| u64::from(tokens);
-        waste.computed += wide(record.computed);
-        match record.end {
-            Some(RecordEnd::Late) => waste.late += wide(record.computed),
-            Some(RecordEnd::Lost) => waste.lost += wide(record.computed),
-            _ => waste.repeated += wide(record.repeated),
+        let widen = |tokens: TokenCount| u64::from(tokens);
+        waste.computed += widen(record.computed);
+        match record.outcome {
+            Some(RecordOutcome::Late) => waste.late += widen(record.computed),
+            Some(RecordOutcome::Lost) => waste.lost += widen(record.computed),
+            _ => waste.repeated += widen(record.repeated),
         }
     }
     waste
--- a/src/replay/replay_run.rs
+++ b/src/replay/replay_run.rs
@@ -1,4 +1,4 @@
-//! One policy played over one trace, in virtual time.
+//! The simulation of one policy on one trace, in virtual time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,65 +24,66 @@
 use super::event_queue::EventQueue;
 use super::replay_policy::ReplayPolicy;
 use super::service_model::ServiceModel;
-use super::work_record::RecordEnd;
+use super::work_record::RecordOutcome;
 use super::work_record::WorkRecord;
 
-/// How often a policy's clock ticks.
-pub(super) const TICK: Duration = Duration::from_millis(20);
+/// Interval of a policy's ticks.
+pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What happens next.
+/// An event of the simulation.
 #[derive(Debug)]
 pub(super) enum ReplayEvent {
     Arrival(usize),
     Tick(usize),
     StepEnd(usize),
     CallEnd(usize, WorkId),
-    Reached(usize, WorkId),
+    RequestDelivered(usize, WorkId),
     SendDigest(usize),
     Digest {
         from: usize,
         to: usize,
         digest: Arc<HostDigest>,
     },
-    TakeReports,
+    SampleReports,
     Reports(Arc<Vec<LoadReport>>),
     HandedOver(usize, WorkId),
     Deadline(WorkId),
-    FaultBegins(usize),
-    FaultEnds(usize),
-    ListChanges,
+    FaultStart(usize),
+    FaultEnd(usize),
+    HostListUpdate,
 }
 
-/// A target's model.
+/// The model of a target.
 #[derive(Debug)]
 pub(super) enum TargetModel {
     Engine(EngineModel),
     Service(ServiceModel),
 }
 
-/// One policy played over one trace.
+/// The state of the simulation of one policy on one trace.
 pub(super) struct ReplayRun<'a> {
     pub(super) trace: &'a ReplayTrace,
     pub(super) now: Duration,
     pub(super) events: EventQueue<ReplayEvent>,
     pub(super) policies: Vec<ReplayPolicy>,
-    /// Which hosts live, in the order of the header.
+    /// Whether each host is live, in the order of the header.
     pub(super) live: Vec<bool>,
-    /// Which side of a partition each host is on.
-    pub(super) side: Vec<u8>,
+    /// The side of a partition on which each host is.
+    pub(super) partition_side: Vec<u8>,
     pub(super) models: Vec<TargetModel>,
     pub(super) allowed: SortedMap<String, Arc<Vec<TargetName>>>,
-    pub(super) places: SortedMap<TargetName, usize>,
+    pub(super) target_indexes: SortedMap<TargetName, usize>,
     pub(super) records: Vec<WorkRecord>,
-    pub(super) open: usize,
-    /// Prefixes that some engine has read.
-    pub(super) seen_prefixes: SortedMap<u64, ()>,
+    /// Number of requests without an outcome.
+    pub(super) open_requests: usize,
+    /// Prefixes that any engine has prefilled.
+    pub(super) prefilled_prefixes: SortedMap<u64, ()>,
 }
 
-/// Plays a policy over a trace and returns what became of each request.
-pub(super) fn play(trace: &ReplayTrace, kind: PolicyKind, seed: u64) -> Vec<WorkRecord> {
+/// Runs a policy on a trace and returns the record of each request.
+pub(super) fn run_policy(trace: &ReplayTrace, kind: PolicyKind, seed: u64) -> Vec<WorkRecord> {
     let mut run = ReplayRun::new(trace, kind, seed);
-    while run.open > 0 {
+    while run.open_requests > 0 {
         let Some((now, event)) = run.events.pop() else {
             break;
         };
@@ -102,13 +103,13 @@
             events: EventQueue::new(),
             policies: Vec::new(),
             live: vec![true; header.hosts.len()],
-            side: vec![0; header.hosts.len()],
+            partition_side: vec![0; header.hosts.len()],
             models: Vec::new(),
             allowed: SortedMap::new(),
-            places: SortedMap::new(),
+            target_indexes: SortedMap::new(),
             records: vec![WorkRecord::default(); trace.arrivals.len()],
-            open: trace.arrivals.len(),
-            seen_prefixes: SortedMap::new(),
+            open_requests: trace.arrivals.len(),
+            prefilled_prefixes: SortedMap::new(),
         };
         run.set_up_fleet(kind, &mut rng);
         run.set_up_events(&mut rng);
@@ -121,29 +122,30 @@
             ReplayEvent::Tick(host) => self.tick(host),
             ReplayEvent::StepEnd(target) => self.end_step(target),
             ReplayEvent::CallEnd(target, work) => self.end_call(target, work),
-            ReplayEvent::Reached(target, work) => self.reach(target, work),
+            ReplayEvent::RequestDelivered(target, work) => self.deliver_request(target, work),
             ReplayEvent::SendDigest(host) => self.send_digest(host),
-            ReplayEvent::Digest { from, to, digest } => self.take_digest(from, to, &digest),
-            ReplayEvent::TakeReports => self.take_reports(),
+            ReplayEvent::Digest { from, to, digest } => self.deliver_digest(from, to, &digest),
+            ReplayEvent::SampleReports => self.sample_reports(),
             ReplayEvent::Reports(reports) => self.deliver_reports(&reports),
             ReplayEvent::HandedOver(host, work) => self.take_over(host, work),
             ReplayEvent::Deadline(work) => self.expire(work),
-            ReplayEvent::FaultBegins(index) => self.begin_fault(index),
-            ReplayEvent::FaultEnds(index) => self.end_fault(index),
-            ReplayEvent::ListChanges => self.change_list(),
+            ReplayEvent::FaultStart(index) => self.start_fault(index),
+            ReplayEvent::FaultEnd(index) => self.end_fault(index),
+            ReplayEvent::HostListUpdate => self.update_host_lists(),
         }
     }
 
-    pub(super) fn network(&self) -> Duration {
+    pub(super) fn network_delay(&self) -> Duration {
         Duration::from_millis(self.trace.header.network_ms)
     }
 
-    /// The balancer sends work for a lost host to the next live one.
+    /// Delivers a request to its host. The load balancer sends requests of a lost host to
+    /// live ones.
     fn arrive(&mut self, index: usize) {
         let arrival = &self.trace.arrivals[index];
         let hosts = &self.trace.header.hosts;
         let first = hosts.iter().position(|h| *h == arrival.host).unwrap_or(0);
-        // The work's number spreads a lost host's callers over the live ones.
+        // The index of the request distributes those of a lost host over the live ones.
         let others = (0..hosts.len()).map(|step| (first + index + step) % hosts.len());
         let host = if self.live[first] {
             Some(first)
@@ -151,16 +153,16 @@
             others.into_iter().find(|host| self.live[*host])
         };
         let Some(host) = host else {
-            self.close(index as WorkId, RecordEnd::Lost);
+            self.end_request(index as WorkId, RecordOutcome::Lost);
             return;
         };
         self.records[index].host = host;
-        let item = self.item(index);
+        let item = self.work_item(index);
         let actions = self.policies[host].arrive(self.now, item);
-        self.act(host, actions);
+        self.apply_actions(host, actions);
     }
 
-    fn item(&self, index: usize) -> WorkItem {
+    fn work_item(&self, index: usize) -> WorkItem {
         let arrival = &self.trace.arrivals[index];
         let at = Duration::from_micros(arrival.at_us);
         let accounts = &self.trace.header.accounts;
@@ -185,16 +187,17 @@
         }
     }
 
-    fn act(&mut self, host: usize, actions: Vec<PolicyAction>) {
+    fn apply_actions(&mut self, host: usize, actions: Vec<PolicyAction>) {
         for action in actions {
             match action {
                 PolicyAction::Dispatch { work, target } => {
-                    let place = self.places.get(&target).copied().unwrap_or(0);
-                    self.records[work as usize].target = Some(place);
-                    let at = self.now + self.network();
-                    self.events.push(at, ReplayEvent::Reached(place, work));
+                    let index = self.target_indexes.get(&target).copied().unwrap_or(0);
+                    self.records[work as usize].target = Some(index);
+                    let at = self.now + self.network_delay();
+                    self.events
+                        .push(at, ReplayEvent::RequestDelivered(index, work));
                 }
-                PolicyAction::Refuse { work, .. } => self.close(work, RecordEnd::Refused),
+                PolicyAction::Refuse { work, .. } => self.end_request(work, RecordOutcome::Refused),
                 PolicyAction::HandOver { work, host: peer } => self.hand_over(host, work, &peer),
             }
         }
@@ -203,42 +206,43 @@
     fn hand_over(&mut self, from: usize, work: WorkId, peer: &HostName) {
         let hosts = &self.trace.header.hosts;
         let to = hosts.iter().position(|host| host == peer).unwrap_or(from);
-        let reached = self.live[to] && self.side[from] == self.side[to];
-        let host = if reached { to } else { from };
+        let reachable = self.live[to] && self.partition_side[from] == self.partition_side[to];
+        let host = if reachable { to } else { from };
         let record = &mut self.records[work as usize];
-        record.hand_overs += 1;
+        record.handover_count += 1;
         record.host = host;
-        let at = self.now + self.network();
+        let at = self.now + self.network_delay();
         self.events.push(at, ReplayEvent::HandedOver(host, work));
     }
 
     fn take_over(&mut self, host: usize, work: WorkId) {
         if !self.live[host] {
-            self.close(work, RecordEnd::Lost);
+            self.end_request(work, RecordOutcome::Lost);
             return;
         }
-        if self.records[work as usize].end.is_some() {
+        if self.records[work as usize].outcome.is_some() {
             return;
         }
-        let item = self.item(work as usize);
+        let item = self.work_item(work as usize);
         let actions = self.policies[host].take_over(self.now, item);
-        self.act(host, actions);
+        self.apply_actions(host, actions);
     }
 
     fn tick(&mut self, host: usize) {
         if !self.live[host] {
             return;
         }
-        self.events.push(self.now + TICK, ReplayEvent::Tick(host));
+        self.events
+            .push(self.now + TICK_INTERVAL, ReplayEvent::Tick(host));
         if self.policies[host].wants_digest() {
-            self.spread_digest(host);
+            self.broadcast_digest(host);
         }
         let actions = self.policies[host].tick(self.now);
-        self.act(host, actions);
+        self.apply_actions(host, actions);
     }
 
-    fn reach(&mut self, target: usize, work: WorkId) {
-        if self.records[work as usize].end.is_some() {
+    fn deliver_request(&mut self, target: usize, work: WorkId) {
+        if self.records[work as usize].outcome.is_some() {
             return;
         }
         let arrival = &self.trace.arrivals[work as usize];
@@ -251,24 +255,24 @@
                     arrival.prefix,
                     arrival.prefix_tokens,
                 ));
-                self.begin_step(target);
+                self.start_step(target);
             }
             TargetModel::Service(service) => {
                 service.push(work);
-                self.begin_calls(target);
+                self.start_calls(target);
             }
         }
     }
 
-    fn begin_step(&mut self, target: usize) {
+    fn start_step(&mut self, target: usize) {
         let mut events = Vec::new();
         if let TargetModel::Engine(engine) = &mut self.models[target]
-            && let Some(time) = engine.begin_step(&mut events)
+            && let Some(time) = engine.start_step(&mut events)
         {
             self.events
                 .push(self.now + time, ReplayEvent::StepEnd(target));
         }
-        self.hear(target, events);
+        self.handle_engine_events(target, events);
     }
 
     fn end_step(&mut self, target: usize) {
@@ -276,51 +280,51 @@
         if let TargetModel::Engine(engine) = &mut self.models[target] {
             engine.end_step(&mut events);
         }
-        self.hear(target, events);
-        self.begin_step(target);
+        self.handle_engine_events(target, events);
+        self.start_step(target);
     }
 
-    fn hear(&mut self, target: usize, events: Vec<EngineEvent>) {
+    fn handle_engine_events(&mut self, target: usize, events: Vec<EngineEvent>) {
         for event in events {
             match event {
                 EngineEvent::Admitted(work) => {
                     let host = self.records[work as usize].host;
                     self.policies[host].started(self.now, work);
                 }
-                EngineEvent::Read {
+                EngineEvent::Prefilled {
                     work,
                     prefix,
                     prefix_tokens,
                 } => {
-                    let seen = self.seen_prefixes.insert(prefix, ()).is_some();
-                    if seen {
+                    let repeated = self.prefilled_prefixes.insert(prefix, ()).is_some();
+                    if repeated {
                         self.records[work as usize].repeated = prefix_tokens;
                     }
                 }
-                EngineEvent::Written(work, tokens) => self.hear_token(work, tokens),
+                EngineEvent::Generated(work, tokens) => self.record_token(work, tokens),
                 EngineEvent::Done(work) => self.finish(target, work),
             }
         }
     }
 
-    fn hear_token(&mut self, work: WorkId, tokens: u32) {
+    fn record_token(&mut self, work: WorkId, tokens: u32) {
         let at = Duration::from_micros(self.trace.arrivals[work as usize].at_us);
-        let taken = self.now + self.network() - at;
+        let elapsed = self.now + self.network_delay() - at;
         let record = &mut self.records[work as usize];
-        record.first_token.get_or_insert(taken);
+        record.first_token.get_or_insert(elapsed);
         let host = record.host;
         self.policies[host].progressed(self.now, work, tokens);
     }
 
     fn finish(&mut self, target: usize, work: WorkId) {
-        self.remove(target, work);
+        self.remove_from_target(target, work);
         let host = self.records[work as usize].host;
-        self.close(work, RecordEnd::Useful);
+        self.end_request(work, RecordOutcome::Useful);
         let actions = self.policies[host].ended(self.now, work, WorkOutcome::Finished);
-        self.act(host, actions);
+        self.apply_actions(host, actions);
     }
 
-    pub(super) fn remove(&mut self, target: usize, work: WorkId) {
+    pub(super) fn remove_from_target(&mut self, target: usize, work: WorkId) {
         match &mut self.models[target] {
             TargetModel::Engine(engine) => {
                 if let Some(sequence) = engine.cancel(work) {
@@ -331,12 +335,12 @@
         }
     }
 
-    fn begin_calls(&mut self, target: usize) {
+    fn start_calls(&mut self, target: usize) {
         let TargetModel::Service(service) = &mut self.models[target] else {
             return;
         };
-        let begun = service.begin_calls();
-        for (work, time) in begun {
+        let started_calls = service.start_calls();
+        for (work, time) in started_calls {
             self.events
                 .push(self.now + time, ReplayEvent::CallEnd(target, work));
             let host = self.records[work as usize].host;
@@ -345,42 +349,42 @@
     }
 
     fn end_call(&mut self, target: usize, work: WorkId) {
-        if self.records[work as usize].end.is_none() {
-            self.hear_token(work, 1);
+        if self.records[work as usize].outcome.is_none() {
+            self.record_token(work, 1);
             self.finish(target, work);
         }
-        self.begin_calls(target);
+        self.start_calls(target);
     }
 
     fn expire(&mut self, work: WorkId) {
         let record = &self.records[work as usize];
-        if record.end.is_some() {
+        if record.outcome.is_some() {
             return;
         }
         let host = record.host;
         let actions = match record.target {
             Some(target) => {
-                self.close(work, RecordEnd::Late);
-                self.remove(target, work);
-                self.begin_calls(target);
+                self.end_request(work, RecordOutcome::Late);
+                self.remove_from_target(target, work);
+                self.start_calls(target);
                 self.policies[host].ended(self.now, work, WorkOutcome::Cancelled)
             }
             None => {
-                self.close(work, RecordEnd::Refused);
+                self.end_request(work, RecordOutcome::Refused);
                 self.policies[host].withdraw(self.now, work)
             }
         };
-        self.act(host, actions);
+        self.apply_actions(host, actions);
     }
 
-    pub(super) fn close(&mut self, work: WorkId, end: RecordEnd) {
+    pub(super) fn end_request(&mut self, work: WorkId, outcome: RecordOutcome) {
         let at = Duration::from_micros(self.trace.arrivals[work as usize].at_us);
         let record = &mut self.records[work as usize];
-        if record.end.is_some() {
+        if record.outcome.is_some() {
             return;
         }
-        record.end = Some(end);
-        record.taken = self.now.saturating_sub(at);
-        self.open -= 1;
+        record.outcome = Some(outcome);
+        record.time_to_end = self.now.saturating_sub(at);
+        self.open_requests -= 1;
     }
 }
--- a/src/replay/replay_setup.rs
+++ b/src/replay/replay_setup.rs
@@ -1,4 +1,4 @@
-//! The fleet and the first events of a replay.
+//! Sets up the fleet and the initial events of a replay.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use super::PolicyKind;
 use super::TraceFault;
 use super::engine_model::EngineModel;
-use super::replay_exchange::DIGEST_PERIOD;
-use super::replay_exchange::REPORT_PERIOD;
+use super::replay_exchange::DIGEST_INTERVAL;
+use super::replay_exchange::REPORT_INTERVAL;
 use super::replay_policy::ReplayPolicy;
 use super::replay_run::ReplayEvent;
 use super::replay_run::ReplayRun;
-use super::replay_run::TICK;
+use super::replay_run::TICK_INTERVAL;
 use super::replay_run::TargetModel;
 use super::service_model::ServiceModel;
 
@@ -28,8 +28,8 @@
     pub(super) fn set_up_fleet(&mut self, kind: PolicyKind, rng: &mut ChaCha8Rng) {
         let header = &self.trace.header;
         let mut facts = Vec::new();
-        for (place, target) in header.targets.iter().enumerate() {
-            self.places.insert(target.name.clone(), place);
+        for (index, target) in header.targets.iter().enumerate() {
+            self.target_indexes.insert(target.name.clone(), index);
             self.models.push(match target.kind {
                 TargetKind::Engine => {
                     TargetModel::Engine(EngineModel::new(target.pace, target.slots))
@@ -52,11 +52,11 @@
             self.allowed.insert(class.name.clone(), Arc::new(targets));
         }
         for host in &header.hosts {
-            let limits = PolicySettings {
+            let settings = PolicySettings {
                 incarnation: rng.random(),
                 ..PolicySettings::default()
             };
-            let mut policy = ReplayPolicy::new(kind, host.clone(), limits);
+            let mut policy = ReplayPolicy::new(kind, host.clone(), settings);
             policy.set_targets(Duration::ZERO, facts.clone());
             policy.set_hosts(Duration::ZERO, header.hosts.clone());
             self.policies.push(policy);
@@ -73,12 +73,13 @@
                 .push(deadline, ReplayEvent::Deadline(index as WorkId));
         }
         for host in 0..self.policies.len() {
-            let phase = TICK.mul_f64(rng.random());
+            let phase = TICK_INTERVAL.mul_f64(rng.random());
             self.events.push(phase, ReplayEvent::Tick(host));
-            let phase = DIGEST_PERIOD.mul_f64(rng.random());
+            let phase = DIGEST_INTERVAL.mul_f64(rng.random());
             self.events.push(phase, ReplayEvent::SendDigest(host));
         }
-        self.events.push(REPORT_PERIOD, ReplayEvent::TakeReports);
+        self.events
+            .push(REPORT_INTERVAL, ReplayEvent::SampleReports);
         for (index, fault) in self.trace.header.faults.iter().enumerate() {
             let (from_ms, to_ms) = match fault {
                 TraceFault::SlowTarget { from_ms, to_ms, .. }
@@ -86,10 +87,10 @@
                 TraceFault::LostHosts { at_ms, .. } => (*at_ms, None),
             };
             let from = Duration::from_millis(from_ms);
-            self.events.push(from, ReplayEvent::FaultBegins(index));
+            self.events.push(from, ReplayEvent::FaultStart(index));
             if let Some(to) = to_ms {
                 let to = Duration::from_millis(to);
-                self.events.push(to, ReplayEvent::FaultEnds(index));
+                self.events.push(to, ReplayEvent::FaultEnd(index));
             }
         }
     }
--- a/src/replay/replay_trace.rs
+++ b/src/replay/replay_trace.rs
@@ -1,4 +1,4 @@
-//! A whole trace, read from and written as JSON lines.
+//! Reads and writes traces as JSON lines.
 
 use std::io;
 use std::path::Path;
@@ -10,33 +10,33 @@
 use super::TraceArrival;
 use super::TraceHeader;
 
-/// A whole trace: a header and arrivals in the order of their times.
+/// A trace: a header and the arrivals in order of time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplayTrace {
     /// The fleet and the faults.
     pub header: TraceHeader,
-    /// The requests, in the order of their times.
+    /// The requests, in order of arrival.
     pub arrivals: Vec<TraceArrival>,
 }
 
-/// Why a trace can't be played.
+/// Why a trace can't be replayed.
 #[derive(Debug, Display, Error)]
 pub enum TraceError {
     /// The file can't be read.
     #[display("can't read the trace: {_0}")]
     Unreadable(io::Error),
-    /// A line is no header or arrival.
+    /// A line is not a valid header or arrival.
     #[display("line {line}: {source}")]
     InvalidLine {
-        /// The line's number, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// What is wrong with it.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// The trace has another format.
+    /// The trace has a format version that this build doesn't support.
     #[display("the trace has format {format}, this build reads {TRACE_FORMAT}")]
     UnsupportedFormat {
-        /// The format found.
+        /// The format version of the trace.
         format: u32,
     },
     /// The file is empty.
@@ -45,9 +45,9 @@
     /// An arrival names something that the header does not list.
     #[display("arrival {arrival} names {name}, which the header does not list")]
     UnknownName {
-        /// The arrival's number, from 1.
+        /// The number of the arrival, starting at 1.
         arrival: usize,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
 }
@@ -56,16 +56,16 @@
     /// Reads a trace file.
     ///
     /// # Errors
-    /// Fails when the file can't be read or is no trace of this format.
+    /// The file can't be read or is not a valid trace of this format.
     pub fn open(path: &Path) -> Result<Self, TraceError> {
         let text = std::fs::read_to_string(path).map_err(TraceError::Unreadable)?;
         Self::parse(&text)
     }
 
-    /// Reads a trace from its text.
+    /// Parses a trace.
     ///
     /// # Errors
-    /// Fails when the text is no trace of this format.
+    /// The text is not a valid trace of this format.
     pub fn parse(text: &str) -> Result<Self, TraceError> {
         let mut lines = text
             .lines()
@@ -82,17 +82,17 @@
         for (index, line) in lines {
             arrivals.push(parse_line::<TraceArrival>(index, line)?);
         }
-        // A recorder with several threads may write two lines in the wrong order.
+        // A recorder with several threads may write lines out of order.
         arrivals.sort_by_key(|arrival| arrival.at_us);
         let trace = Self { header, arrivals };
         trace.check_names()?;
         Ok(trace)
     }
 
-    /// Writes the trace as JSON lines.
+    /// Serializes the trace as JSON lines.
     ///
     /// # Errors
-    /// Fails only where a value can't be written as JSON.
+    /// A value can't be represented as JSON.
     pub fn to_json_lines(&self) -> Result<String, serde_json::Error> {
         let mut text = serde_json::to_string(&self.header)?;
         text.push('\n');
@@ -103,7 +103,7 @@
         Ok(text)
     }
 
-    /// Returns the trace without the arrivals that `keep` turns down.
+    /// Returns a trace with only the arrivals for which `keep` returns true.
     pub fn filtered(&self, keep: impl Fn(&TraceArrival) -> bool) -> Self {
         Self {
             header: self.header.clone(),
--- a/src/replay/report_table.rs
+++ b/src/replay/report_table.rs
@@ -1,4 +1,4 @@
-//! A replay's report as a table for people.
+//! Formats the report of a replay as a text table.
 
 use std::fmt::Write;
 
@@ -6,11 +6,11 @@
 use super::PolicyReport;
 use super::ReplayReport;
 
-/// Returns the report as a table for people.
+/// Formats the report as a text table.
 pub fn report_table(report: &ReplayReport) -> String {
     let mut text = String::new();
     let bound = report.bound_seconds;
-    // Writing to a String can't fail.
+    // Writing to a String never fails.
     let _ = writeln!(
         text,
         "trace {}, seed {}; offline bound {bound:.0} engine seconds",
--- a/src/replay/service_model.rs
+++ b/src/replay/service_model.rs
@@ -1,4 +1,4 @@
-//! A model of a plain service: each call takes a while, a few run at once.
+//! A model of a plain service: calls of constant duration, with limited concurrency.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use super::TargetPace;
 
-/// A model of a plain service.
+/// A model of a plain service with a FIFO queue.
 #[derive(Debug)]
 pub(super) struct ServiceModel {
-    call: Duration,
+    call_time: Duration,
     slots: usize,
-    /// How many times slower than its pace the service runs.
+    /// The factor by which the service is slower than its pace.
     pub(super) factor: u32,
     waiting: VecDeque<WorkId>,
     running: Vec<WorkId>,
@@ -21,7 +21,7 @@
 impl ServiceModel {
     pub(super) const fn new(pace: TargetPace, slots: u32) -> Self {
         Self {
-            call: Duration::from_micros(pace.call_us),
+            call_time: Duration::from_micros(pace.call_us),
             slots: slots as usize,
             factor: 1,
             waiting: VecDeque::new(),
@@ -33,17 +33,18 @@
         self.waiting.push_back(work);
     }
 
-    /// Begins what has a slot, and returns each call with the time it takes.
-    pub(super) fn begin_calls(&mut self) -> Vec<(WorkId, Duration)> {
-        let mut begun = Vec::new();
+    /// Starts waiting calls while there are free slots, and returns them with their
+    /// durations.
+    pub(super) fn start_calls(&mut self) -> Vec<(WorkId, Duration)> {
+        let mut started_calls = Vec::new();
         while self.running.len() < self.slots {
             let Some(work) = self.waiting.pop_front() else {
                 break;
             };
             self.running.push(work);
-            begun.push((work, self.call * self.factor));
+            started_calls.push((work, self.call_time * self.factor));
         }
-        begun
+        started_calls
     }
 
     pub(super) fn remove(&mut self, work: WorkId) {
--- a/src/replay/trace_arrival.rs
+++ b/src/replay/trace_arrival.rs
@@ -1,4 +1,4 @@
-//! The further lines of a trace: one request each.
+//! The lines of a trace after the header: one request each.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceArrival {
-    /// When it arrived, in microseconds since the trace began.
+    /// Time of arrival, in microseconds since the start of the trace.
     pub at_us: u64,
-    /// The host it arrived at.
+    /// The host that received it.
     pub host: HostName,
     /// The account that sent it.
     pub account: AccountName,
@@ -23,20 +23,20 @@
     pub class: ClassName,
     /// Its tier.
     pub tier: TierRank,
-    /// The length of its prompt.
+    /// The length of the prompt.
     pub prompt_tokens: TokenCount,
-    /// The length of the answer as it came out.
+    /// The actual length of the answer.
     pub output_tokens: TokenCount,
-    /// The length of the answer that was expected at arrival.
+    /// The length of the answer as estimated at arrival.
     pub expected_tokens: TokenCount,
-    /// The hash of the prompt's first bytes.
+    /// The hash of the first bytes of the prompt.
     pub prefix: u64,
-    /// How many tokens of the prompt other requests of the prefix share.
+    /// Number of prompt tokens shared with other requests that have this prefix.
     #[serde(default)]
     pub prefix_tokens: TokenCount,
-    /// The time allowed for the whole answer, in milliseconds.
+    /// The time limit for the complete answer, in milliseconds.
     pub deadline_ms: u64,
-    /// The time in which the first token should come, in milliseconds.
+    /// The target for the time to the first token, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub first_token_goal_ms: Option<u64>,
 }
--- a/src/replay/trace_deployment.rs
+++ b/src/replay/trace_deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments whose traces are generated.
+//! The two deployments for which traces are generated.
 
 use derive_more::Display;
 
@@ -8,7 +8,7 @@
 use super::TargetPace;
 use super::TraceTarget;
 
-/// A deployment of today.
+/// A deployment of the scheduler.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum TraceDeployment {
     /// Harmattan Polar Logistics: 8 hosts, 12 engines, 3 services.
@@ -19,29 +19,29 @@
     Vaalkloof,
 }
 
-/// How requests of a class look; lengths spread around the means.
+/// The properties of requests of a class; the lengths are means.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClassShape {
     pub(super) name: &'static str,
     pub(super) tier: TierRank,
     pub(super) kind: TargetKind,
-    /// The part of the engines' (or the services') capacity at a load of 1.
-    pub(super) part: f64,
+    /// The fraction of the engines' (or the services') capacity used at a load of 1.
+    pub(super) capacity_share: f64,
     pub(super) prompt_tokens: u32,
     pub(super) output_tokens: u32,
     pub(super) deadline_ms: u64,
     pub(super) first_token_goal_ms: Option<u64>,
 }
 
-/// What runs in one batch of every engine.
+/// The batch size of every engine.
 const ENGINE_SLOTS: u32 = 16;
-/// The calls that run at once in every service.
+/// The number of concurrent calls of every service.
 const SERVICE_SLOTS: u32 = 8;
 
-/// Harmattan's engines: how many times slower than a middling one each lot is, in percent.
-const HARMATTAN_LOTS: &[u64] = &[70, 70, 70, 100, 100, 100, 100, 150, 150, 150, 220, 220];
-/// Vaalkloof's engines, likewise.
-const VAALKLOOF_LOTS: &[u64] = &[70, 70, 100, 100, 100, 160, 160, 240, 240];
+/// Step times of Harmattan's engines, in percent of the reference engine's.
+const HARMATTAN_STEP_PERCENT: &[u64] = &[70, 70, 70, 100, 100, 100, 100, 150, 150, 150, 220, 220];
+/// Step times of Vaalkloof's engines, in percent of the reference engine's.
+const VAALKLOOF_STEP_PERCENT: &[u64] = &[70, 70, 100, 100, 100, 160, 160, 240, 240];
 
 const HARMATTAN_CLASSES: &[ClassShape] = &[
     engine_class("weather-check", 0, 0.08, 300, 30, 5_000),
@@ -62,7 +62,7 @@
 const fn engine_class(
     name: &'static str,
     tier: TierRank,
-    part: f64,
+    capacity_share: f64,
     prompt_tokens: u32,
     output_tokens: u32,
     deadline_ms: u64,
@@ -71,7 +71,7 @@
         name,
         tier,
         kind: TargetKind::Engine,
-        part,
+        capacity_share,
         prompt_tokens,
         output_tokens,
         deadline_ms,
@@ -79,12 +79,12 @@
     }
 }
 
-const fn service_class(name: &'static str, tier: TierRank, part: f64) -> ClassShape {
+const fn service_class(name: &'static str, tier: TierRank, capacity_share: f64) -> ClassShape {
     ClassShape {
         name,
         tier,
         kind: TargetKind::Service,
-        part,
+        capacity_share,
         prompt_tokens: 1,
         output_tokens: 1,
         deadline_ms: 3_000,
@@ -121,20 +121,24 @@
         }
     }
 
-    /// Returns the targets; the lots are spread over the availability zones.
+    /// Returns the targets; engines of the same speed are distributed over the availability
+    /// zones.
     pub(super) fn targets(self) -> Vec<TraceTarget> {
-        let lots = match self {
-            Self::Harmattan => HARMATTAN_LOTS,
-            Self::Vaalkloof => VAALKLOOF_LOTS,
+        let step_percents = match self {
+            Self::Harmattan => HARMATTAN_STEP_PERCENT,
+            Self::Vaalkloof => VAALKLOOF_STEP_PERCENT,
         };
         let zone = |index: usize| format!("zone-{}", index % self.zone_count() + 1);
-        let engines = lots.iter().enumerate().map(|(index, percent)| TraceTarget {
-            name: format!("engine-{:02}", index + 1),
-            kind: TargetKind::Engine,
-            slots: ENGINE_SLOTS,
-            availability_zone: zone(index),
-            pace: lot_pace(*percent),
-        });
+        let engines = step_percents
+            .iter()
+            .enumerate()
+            .map(|(index, percent)| TraceTarget {
+                name: format!("engine-{:02}", index + 1),
+                kind: TargetKind::Engine,
+                slots: ENGINE_SLOTS,
+                availability_zone: zone(index),
+                pace: engine_pace(*percent),
+            });
         let services = (0..self.service_count()).map(|index| TraceTarget {
             name: format!("service-{}", index + 1),
             kind: TargetKind::Service,
@@ -146,12 +150,12 @@
     }
 }
 
-fn lot_pace(percent: u64) -> TargetPace {
-    let middling = TargetPace::default();
+fn engine_pace(percent: u64) -> TargetPace {
+    let reference = TargetPace::default();
     TargetPace {
-        step_us: middling.step_us * percent / 100,
-        sequence_us: middling.sequence_us * percent / 100,
-        prefill_us: middling.prefill_us * percent / 100,
-        ..middling
+        step_us: reference.step_us * percent / 100,
+        sequence_us: reference.sequence_us * percent / 100,
+        prefill_us: reference.prefill_us * percent / 100,
+        ..reference
     }
 }
--- a/src/replay/trace_generator.rs
+++ b/src/replay/trace_generator.rs
@@ -1,4 +1,4 @@
-//! Traces made from a seed: a deployment under a pattern of load.
+//! Generates the trace of a deployment under a load pattern from a seed.
 
 use std::f64::consts::LN_2;
 use std::time::Duration;
@@ -20,26 +20,26 @@
 use super::TraceFault;
 use super::TraceHeader;
 use super::TraceTarget;
-use super::offline_bound::engine_rate;
+use super::offline_bound::engine_speed;
 use super::trace_deployment::ClassShape;
 use super::work_cost;
 
-/// The parts of the load that the accounts send: a few are large.
-const ACCOUNT_PARTS: [f64; 5] = [0.35, 0.30, 0.15, 0.10, 0.10];
-/// The same where two accounts take most of the load.
-const HOT_ACCOUNT_PARTS: [f64; 5] = [0.45, 0.35, 0.07, 0.07, 0.06];
-/// How many prompt prefixes each account has in each class.
-const PREFIXES: u64 = 4;
-/// The part of hot accounts' requests that bear the one hot prefix.
-const HOT_PREFIX_PART: f64 = 0.7;
-/// The part of a class's mean prompt that is a shared prefix.
-const PREFIX_PART: f64 = 0.5;
-/// Long work's part of the load where long work alone saturates the fleet.
-const LONG_PART: f64 = 0.95;
-/// The lag of reports that are late, in milliseconds.
+/// The fraction of the load that each account sends: a few accounts are large.
+const ACCOUNT_SHARES: [f64; 5] = [0.35, 0.30, 0.15, 0.10, 0.10];
+/// The same, with most of the load from two accounts.
+const HOT_ACCOUNT_SHARES: [f64; 5] = [0.45, 0.35, 0.07, 0.07, 0.06];
+/// Number of prompt prefixes of each account in each class.
+const PREFIXES_PER_ACCOUNT: u64 = 4;
+/// The fraction of the hot accounts' requests that have the hot prefix.
+const HOT_PREFIX_SHARE: f64 = 0.7;
+/// The length of the shared prefix, as a fraction of a class's mean prompt.
+const PREFIX_SHARE: f64 = 0.5;
+/// The fraction of the load that is long requests, in `LongAmongShort`.
+const LONG_SHARE: f64 = 0.95;
+/// The age of load reports on arrival in `LateReports`, in milliseconds.
 const LATE_REPORT_MS: u64 = 5_000;
 
-/// Makes the trace of a deployment under a pattern of load.
+/// Generates the trace of a deployment under a load pattern.
 pub fn generate_trace(
     deployment: TraceDeployment,
     pattern: LoadPattern,
@@ -49,7 +49,8 @@
     let header = make_header(deployment, pattern, length);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
-    // Other seeds have other prefixes, so that luck with their homes shows.
+    // Seeds have different prefixes, so that the effect of the prefixes' placement on
+    // engines is visible across seeds.
     let salt = u64::from(rng.random::<u32>());
     for shape in deployment.classes() {
         let load = ClassLoad {
@@ -77,7 +78,7 @@
             .map(|target| target.name.clone())
             .collect(),
     });
-    let accounts = (1..=ACCOUNT_PARTS.len()).map(|number| TraceAccount {
+    let accounts = (1..=ACCOUNT_SHARES.len()).map(|number| TraceAccount {
         name: format!("account-{number}"),
         weight: 1,
     });
@@ -100,7 +101,7 @@
     let length_ms = length.as_millis() as u64;
     let half = hosts[..hosts.len() / 2].to_vec();
     match pattern {
-        // The first engine is of the fastest lot, so it carries the most.
+        // The first engine is one of the fastest, so it has the highest load.
         LoadPattern::SlowEngine => vec![TraceFault::SlowTarget {
             target: "engine-01".to_string(),
             factor: 10,
@@ -120,7 +121,7 @@
     }
 }
 
-/// The load of one class.
+/// The parameters of the load of one class.
 struct ClassLoad<'a> {
     shape: &'a ClassShape,
     pattern: LoadPattern,
@@ -128,7 +129,7 @@
     salt: u64,
 }
 
-/// Adds the arrivals of one class: a Poisson stream thinned to the pattern's load.
+/// Adds the arrivals of one class: a Poisson process, thinned to the load of the pattern.
 fn add_class(
     arrivals: &mut Vec<TraceArrival>,
     header: &TraceHeader,
@@ -141,40 +142,41 @@
     loop {
         let uniform: f64 = rng.random();
         at -= (1.0 - uniform).ln() / (rate * peak);
-        let part = at / load.length.as_secs_f64();
-        if part >= 1.0 {
+        let fraction = at / load.length.as_secs_f64();
+        if fraction >= 1.0 {
             return;
         }
-        if rng.random::<f64>() < load.pattern.load_at(part) / peak {
+        if rng.random::<f64>() < load.pattern.load_at(fraction) / peak {
             arrivals.push(make_arrival(header, load, at, rng));
         }
     }
 }
 
-/// Returns the class's requests a second that belong to a load of 1.
+/// Returns the requests per second of the class at a load of 1.
 fn rate_at_full_load(header: &TraceHeader, shape: &ClassShape, pattern: LoadPattern) -> f64 {
     let targets = header.targets.iter().filter(|t| t.kind == shape.kind);
     if shape.kind == TargetKind::Service {
         let calls =
             |target: &TraceTarget| 1e6 * f64::from(target.slots) / target.pace.call_us as f64;
-        return shape.part * targets.map(calls).sum::<f64>();
+        return shape.capacity_share * targets.map(calls).sum::<f64>();
     }
-    let capacity: f64 = targets.map(engine_rate).sum();
+    let capacity: f64 = targets.map(engine_speed).sum();
     let mean = TraceArrival {
         prompt_tokens: shape.prompt_tokens,
         output_tokens: shape.output_tokens,
-        ..blank_arrival()
+        ..empty_arrival()
     };
     let long = shape.tier == 2;
-    let part = match pattern {
-        LoadPattern::LongAmongShort if long => LONG_PART,
+    let share = match pattern {
+        LoadPattern::LongAmongShort if long => LONG_SHARE,
         LoadPattern::LongAmongShort if shape.tier == 1 => return 1e-9,
-        LoadPattern::LongAmongShort => 1.0 - LONG_PART,
-        _ => shape.part,
+        LoadPattern::LongAmongShort => 1.0 - LONG_SHARE,
+        _ => shape.capacity_share,
     };
-    // Lengths spread evenly in the logarithm over a factor of 2 each way.
+    // Lengths are log-uniform between half and twice the mean; this is their expected value,
+    // relative to it.
     let spread = 1.5 / (2.0 * LN_2);
-    part * capacity / (work_cost(&mean).as_secs_f64() * spread)
+    share * capacity / (work_cost(&mean).as_secs_f64() * spread)
 }
 
 fn make_arrival(
@@ -185,31 +187,31 @@
 ) -> TraceArrival {
     let shape = load.shape;
     let hot = load.pattern == LoadPattern::HotAccounts;
-    let parts = if hot {
-        HOT_ACCOUNT_PARTS
+    let shares = if hot {
+        HOT_ACCOUNT_SHARES
     } else {
-        ACCOUNT_PARTS
+        ACCOUNT_SHARES
     };
-    let account = pick(&parts, rng.random());
-    // The balancer is a little uneven: the first host gets twice its part.
+    let account = pick_index(&shares, rng.random());
+    // The load balancer is slightly uneven: the first host gets twice the share of the others.
     let host = rng.random_range(0..=header.hosts.len()).saturating_sub(1);
     let engine = shape.kind == TargetKind::Engine;
     let spread = |rng: &mut ChaCha8Rng, ratio: f64| ratio.powf(rng.random_range(-1.0..1.0));
     let scale = if engine { spread(rng, 2.0) } else { 1.0 };
-    let guess = if engine { spread(rng, 1.4) } else { 1.0 };
+    let estimate_ratio = if engine { spread(rng, 1.4) } else { 1.0 };
     let output = (f64::from(shape.output_tokens) * scale).max(1.0);
     let prompt_scale = if engine { spread(rng, 1.5) } else { 1.0 };
     let prompt = f64::from(shape.prompt_tokens) * prompt_scale;
     let prefix_tokens = if engine {
-        (f64::from(shape.prompt_tokens) * PREFIX_PART) as u32
+        (f64::from(shape.prompt_tokens) * PREFIX_SHARE) as u32
     } else {
         0
     };
-    let shared = hot && account < 2 && rng.random::<f64>() < HOT_PREFIX_PART;
+    let shared = hot && account < 2 && rng.random::<f64>() < HOT_PREFIX_SHARE;
     let number = if shared {
         0
     } else {
-        1 + account as u64 * PREFIXES + rng.random_range(0..PREFIXES)
+        1 + account as u64 * PREFIXES_PER_ACCOUNT + rng.random_range(0..PREFIXES_PER_ACCOUNT)
     };
     let number = number + load.salt;
     let class = header.classes.iter().position(|c| c.name == shape.name);
@@ -221,7 +223,7 @@
         tier: shape.tier,
         prompt_tokens: prompt.max(1.0) as u32,
         output_tokens: output as u32,
-        expected_tokens: (output * guess).max(1.0) as u32,
+        expected_tokens: (output * estimate_ratio).max(1.0) as u32,
         prefix: xxh3_64_with_seed(&number.to_le_bytes(), 1 + class.unwrap_or(0) as u64),
         prefix_tokens,
         deadline_ms: shape.deadline_ms,
@@ -229,19 +231,19 @@
     }
 }
 
-/// Returns the index of the part that a uniform number falls into.
-fn pick(parts: &[f64], uniform: f64) -> usize {
+/// Returns the index of the fraction into which a uniform random number falls.
+fn pick_index(shares: &[f64], uniform: f64) -> usize {
     let mut sum = 0.0;
-    for (index, part) in parts.iter().enumerate() {
-        sum += part;
+    for (index, fraction) in shares.iter().enumerate() {
+        sum += fraction;
         if uniform < sum {
             return index;
         }
     }
-    parts.len() - 1
+    shares.len() - 1
 }
 
-const fn blank_arrival() -> TraceArrival {
+const fn empty_arrival() -> TraceArrival {
     TraceArrival {
         at_us: 0,
         host: String::new(),
--- a/src/replay/trace_header.rs
+++ b/src/replay/trace_header.rs
@@ -19,26 +19,26 @@
 pub struct TraceHeader {
     /// The version of the format; see [`TRACE_FORMAT`].
     pub format: u32,
-    /// What the trace is called in reports.
+    /// The name of the trace in reports.
     pub name: String,
     /// The entry hosts.
     pub hosts: Vec<HostName>,
-    /// The targets and how fast they are.
+    /// The targets and their speeds.
     pub targets: Vec<TraceTarget>,
-    /// The classes and where their requests may go.
+    /// The classes and their targets.
     pub classes: Vec<TraceClass>,
     /// The accounts and their weights.
     pub accounts: Vec<TraceAccount>,
-    /// What goes wrong, and when.
+    /// The faults to inject.
     #[serde(default)]
     pub faults: Vec<TraceFault>,
-    /// The one-way time between two hosts, in milliseconds.
+    /// The one-way network delay between two hosts, in milliseconds.
     #[serde(default = "default_network_ms")]
     pub network_ms: u64,
-    /// How old a target's report is when it arrives, in milliseconds.
+    /// The age of a target's load report on arrival, in milliseconds.
     #[serde(default = "default_report_lag_ms")]
     pub report_lag_ms: u64,
-    /// How long the platform's list takes to drop a lost host, in milliseconds.
+    /// The delay until the platform's list no longer contains a lost host, in milliseconds.
     #[serde(default = "default_list_lag_ms")]
     pub list_lag_ms: u64,
 }
@@ -61,32 +61,32 @@
 pub struct TraceTarget {
     /// The target's name.
     pub name: TargetName,
-    /// Engine or service.
+    /// Whether it is an engine or a service.
     pub kind: TargetKind,
-    /// How many requests run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// The target's availability zone.
     pub availability_zone: ZoneName,
-    /// How fast the model of the target is.
+    /// The speed of the target's model.
     #[serde(default)]
     pub pace: TargetPace,
 }
 
-/// How fast the model of a target is; the defaults are those of a middling lot.
+/// The speed of a target's model; the defaults are those of the reference engine.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetPace {
-    /// The time of a step with an empty batch, in microseconds.
+    /// The duration of a step with an empty batch, in microseconds.
     pub step_us: u64,
-    /// What each sequence of the batch adds to a step, in microseconds.
+    /// The time that each sequence of the batch adds to a step, in microseconds.
     pub sequence_us: u64,
-    /// What each prompt token adds to the step that reads it, in microseconds.
+    /// The time that each prefilled prompt token adds to a step, in microseconds.
     pub prefill_us: u64,
-    /// The most prompt tokens that one step reads.
+    /// Maximum number of prompt tokens that one step prefills.
     pub chunk_tokens: u32,
-    /// How many prefix tokens the cache holds.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u32,
-    /// The time of one call of a service, in microseconds.
+    /// The duration of one call of a service, in microseconds.
     pub call_us: u64,
 }
 
@@ -123,35 +123,35 @@
     pub weight: u32,
 }
 
-/// Something that goes wrong.
+/// A fault to inject.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "fault", deny_unknown_fields)]
 pub enum TraceFault {
-    /// A target becomes slower by a factor; its reports still look well.
+    /// A target becomes slower by a factor, which its load reports don't show.
     SlowTarget {
         /// The target.
         target: TargetName,
-        /// How many times slower.
+        /// The slowdown factor.
         factor: u32,
-        /// The beginning, in milliseconds.
+        /// Start, in milliseconds since the start of the trace.
         from_ms: u64,
-        /// The end, in milliseconds.
+        /// End, in milliseconds since the start of the trace.
         to_ms: u64,
     },
-    /// Hosts die with all they hold and never come back.
+    /// Hosts fail permanently, and their requests are lost.
     LostHosts {
         /// The hosts.
         hosts: Vec<HostName>,
-        /// The time, in milliseconds.
+        /// Time, in milliseconds since the start of the trace.
         at_ms: u64,
     },
-    /// Some hosts can't reach the others; callers and targets reach all.
+    /// Some hosts can't reach the others; callers and targets are not affected.
     Partition {
-        /// The hosts of one side.
+        /// The hosts on one side of the partition.
         hosts: Vec<HostName>,
-        /// The beginning, in milliseconds.
+        /// Start, in milliseconds since the start of the trace.
         from_ms: u64,
-        /// The end, in milliseconds.
+        /// End, in milliseconds since the start of the trace.
         to_ms: u64,
     },
 }
--- a/src/replay/work_record.rs
+++ b/src/replay/work_record.rs
@@ -1,39 +1,39 @@
-//! What became of one request of a trace.
+//! The record of one request of a replay.
 
 use std::time::Duration;
 
 use crate::ids::TokenCount;
 
-/// What became of one request of a trace.
+/// The progress and outcome of one request of a trace.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkRecord {
-    /// The host that holds it now, by its place in the header.
+    /// The host that currently has it, as an index into the header.
     pub(super) host: usize,
-    /// The target it was sent to, by its place in the header.
+    /// The target to which it was dispatched, as an index into the header.
     pub(super) target: Option<usize>,
-    /// How long the first token took.
+    /// The time from arrival to the first token.
     pub(super) first_token: Option<Duration>,
-    /// How it ended.
-    pub(super) end: Option<RecordEnd>,
-    /// How long the end took.
-    pub(super) taken: Duration,
-    /// How often it went to a peer.
-    pub(super) hand_overs: u32,
-    /// Prompt tokens that were read for it.
+    /// `None` until the request ends.
+    pub(super) outcome: Option<RecordOutcome>,
+    /// The time from arrival to the end.
+    pub(super) time_to_end: Duration,
+    /// Number of times that it was handed over to a peer.
+    pub(super) handover_count: u32,
+    /// Prompt tokens that were prefilled for it.
     pub(super) computed: TokenCount,
-    /// Prompt tokens that were read again though the fleet had read them.
+    /// Prompt tokens that were prefilled for it although another request had prefilled them.
     pub(super) repeated: TokenCount,
 }
 
-/// How a request of a trace ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum RecordEnd {
-    /// The whole answer came before the deadline.
+pub(super) enum RecordOutcome {
+    /// The complete answer arrived before the deadline.
     Useful,
-    /// It was dispatched, and its deadline came first.
+    /// It was dispatched, but the deadline passed first.
     Late,
     /// It was refused.
     Refused,
-    /// Its host died with it.
+    /// Its host failed.
     Lost,
 }
