--- a/tests/replay_format.rs
+++ b/tests/replay_format.rs
@@ -1,4 +1,5 @@
-//! The trace format and the replay's own promises.
+//! The trace format, and the guarantees of a replay: deterministic output, one outcome for
+//! each request, and the offline bound.
 
 use std::path::Path;
 use std::time::Duration;
@@ -25,12 +26,12 @@
 }
 
 #[test]
-fn trace_survives_writing_and_reading() {
+fn trace_is_unchanged_after_writing_and_parsing() {
     let trace = short_trace(LoadPattern::Partition);
 
-    let read = ReplayTrace::parse(&trace.to_json_lines().unwrap()).unwrap();
+    let parsed = ReplayTrace::parse(&trace.to_json_lines().unwrap()).unwrap();
 
-    assert_eq!(read, trace);
+    assert_eq!(parsed, trace);
 }
 
 #[test]
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn every_request_ends_once_and_nothing_beats_the_bound() {
+fn every_request_has_one_outcome_and_no_policy_exceeds_the_bound() {
     let trace = short_trace(LoadPattern::Saturation);
 
     let report = replay_trace(&trace, &ReplayOptions::default());
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn broken_traces_are_refused_with_their_line() {
+fn malformed_traces_are_refused_with_the_line_number() {
     let mut lines = short_trace(LoadPattern::Steady).to_json_lines().unwrap();
     lines.push_str("{\"at_us\": \"soon\"}\n");
     let count = lines.lines().count();
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn the_sample_trace_plays() {
+fn the_sample_trace_can_be_replayed() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("resources/sample-trace.jsonl");
 
     let report = replay_file(&path, &ReplayOptions::default()).unwrap();
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn jain_index_tells_even_from_uneven() {
+fn jain_index_of_equal_and_unequal_values() {
     assert!((jain_index(&[1.0, 1.0, 1.0]) - 1.0).abs() < 1e-9);
     assert!((jain_index(&[1.0, 0.0, 0.0, 0.0]) - 0.25).abs() < 1e-9);
 }
--- a/tests/replay_patterns.rs
+++ b/tests/replay_patterns.rs
@@ -1,6 +1,6 @@
-//! Both deployments under each pattern of load: what callers get.
+//! The results of the current_report policy for both deployments under each load pattern.
 //!
-//! The traces are shortened for CI; docs/POLICY.md has the full ones.
+//! The traces are shortened for CI; docs/POLICY.md has the results of the full ones.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     generate_trace(deployment, pattern, LENGTH, 1)
 }
 
-fn play_with(trace: &ReplayTrace, policies: &[PolicyKind]) -> ReplayReport {
+fn replay_with(trace: &ReplayTrace, policies: &[PolicyKind]) -> ReplayReport {
     let options = ReplayOptions {
         policies: policies.to_vec(),
         seed: 1,
@@ -30,26 +30,32 @@
     replay_trace(trace, &options)
 }
 
-fn current(report: &ReplayReport) -> &PolicyReport {
-    report.policy(PolicyKind::Current).expect("played")
+fn current_report(report: &ReplayReport) -> &PolicyReport {
+    report
+        .policy(PolicyKind::Current)
+        .expect("report of the current_report policy")
 }
 
-fn top(report: &PolicyReport) -> &GroupReport {
-    report.tier(0).expect("in every trace")
+fn top_tier(report: &PolicyReport) -> &GroupReport {
+    report.tier(0).expect("tier 0 in every trace")
 }
 
-/// Plays a pattern on both deployments and checks what holds in all of them:
-/// the top tier keeps its goodput, nobody waits long for a refusal of urgent
-/// work, and useful work keeps near the bound.
+/// Replays a pattern for both deployments and checks the thresholds common to the
+/// patterns: goodput of the top_tier tier, fairness among accounts, and useful work
+/// relative to the offline bound.
 fn check_pattern(pattern: LoadPattern) {
     for deployment in DEPLOYMENTS {
         let trace = trace(deployment, pattern);
 
-        let report = play_with(&trace, &[PolicyKind::Current]);
+        let report = replay_with(&trace, &[PolicyKind::Current]);
 
-        let policy = current(&report);
+        let policy = current_report(&report);
         let name = &report.trace;
-        assert!(top(policy).goodput() >= 0.99, "{name}: {:?}", top(policy));
+        assert!(
+            top_tier(policy).goodput() >= 0.99,
+            "{name}: {:?}",
+            top_tier(policy)
+        );
         assert!(policy.fairness >= 0.9, "{name}: {}", policy.fairness);
         let useful = policy.useful_seconds / report.bound_seconds;
         assert!(useful >= 0.9, "{name}: {useful} of the bound");
@@ -57,84 +63,85 @@
 }
 
 #[test]
-fn steady_load_is_served_whole() {
+fn steady_load_is_served_completely() {
     for deployment in DEPLOYMENTS {
         let trace = trace(deployment, LoadPattern::Steady);
 
-        let report = play_with(&trace, &[PolicyKind::Current]);
+        let report = replay_with(&trace, &[PolicyKind::Current]);
 
-        for tier in &current(&report).tiers {
+        for tier in &current_report(&report).tiers {
             assert_eq!(tier.useful, tier.offered, "{}: {tier:?}", report.trace);
         }
     }
 }
 
 #[test]
-fn a_burst_at_four_times_the_capacity_leaves_the_top_tier_whole() {
+fn a_burst_at_four_times_the_capacity_does_not_affect_the_top_tier() {
     check_pattern(LoadPattern::Burst);
 }
 
 #[test]
-fn two_large_accounts_and_a_hot_prefix_leave_the_others_their_part() {
+fn two_large_accounts_and_a_hot_prefix_leave_the_others_their_share() {
     check_pattern(LoadPattern::HotAccounts);
 }
 
 #[test]
-fn a_slow_engine_costs_next_to_nothing() {
+fn a_slow_engine_hardly_reduces_useful_work() {
     check_pattern(LoadPattern::SlowEngine);
 }
 
 #[test]
-fn saturation_leaves_the_top_tier_whole() {
+fn saturation_does_not_affect_the_top_tier() {
     check_pattern(LoadPattern::Saturation);
 }
 
 #[test]
-fn a_partition_costs_nothing() {
+fn a_partition_does_not_reduce_useful_work() {
     check_pattern(LoadPattern::Partition);
 }
 
 #[test]
-fn late_reports_cost_nothing() {
+fn late_reports_do_not_reduce_useful_work() {
     check_pattern(LoadPattern::LateReports);
 }
 
-/// Half the hosts die with what they hold. What arrives afterwards is served:
-/// the other half takes over the shares once the list has dropped the dead.
+/// Half of the hosts fail, and the requests that they hold are lost. Later requests are
+/// served: the other half takes over their slot shares once the platform's list no longer
+/// contains the failed hosts.
 #[test]
 fn losing_half_the_hosts_loses_only_what_they_held() {
     for deployment in DEPLOYMENTS {
         let trace = trace(deployment, LoadPattern::HalfLost);
 
-        let report = play_with(&trace, &[PolicyKind::Current]);
+        let report = replay_with(&trace, &[PolicyKind::Current]);
 
-        let policy = current(&report);
-        assert!(top(policy).goodput() >= 0.99, "{:?}", top(policy));
+        let policy = current_report(&report);
+        assert!(top_tier(policy).goodput() >= 0.99, "{:?}", top_tier(policy));
         for tier in &policy.tiers {
             assert_eq!(tier.useful + tier.lost, tier.offered, "{tier:?}");
         }
     }
 }
 
-/// Long work alone saturates the engines. Urgent checks must not wait behind
-/// it: their first token takes at most half as long again as when alone.
+/// Long requests alone saturate the engines. Urgent ones must not wait behind them: their
+/// time to the first token is at most 1.5 times that without the long requests.
 #[test]
-fn urgent_work_hardly_notices_that_long_work_saturates_the_fleet() {
+fn long_work_that_saturates_the_fleet_hardly_delays_urgent_work() {
     for deployment in DEPLOYMENTS {
         let trace = trace(deployment, LoadPattern::LongAmongShort);
         let alone = trace.filtered(|arrival| arrival.tier == 0);
 
-        let loaded = play_with(&trace, &[PolicyKind::Current]);
-        let idle = play_with(&alone, &[PolicyKind::Current]);
+        let loaded = replay_with(&trace, &[PolicyKind::Current]);
+        let idle = replay_with(&alone, &[PolicyKind::Current]);
 
-        let p99 = |report: &ReplayReport| current(report).classes[0].first_token_ms.p99;
+        let p99 = |report: &ReplayReport| current_report(report).classes[0].first_token_ms.p99;
         let (loaded, idle) = (p99(&loaded), p99(&idle));
         assert!(loaded <= 1.5 * idle, "{loaded} ms, alone {idle} ms");
     }
 }
 
-/// Prefixes go to their homes, so far fewer prompt tokens are read again than
-/// with the better baseline on the same trace.
+/// Requests with the same prefix go to the same engines, so at most half as many prompt
+/// tokens are prefilled in vain as with the better baseline on the same trace.
 #[test]
 fn steady_load_wastes_at_most_half_of_the_best_baseline() {
     for deployment in DEPLOYMENTS {
@@ -145,7 +152,7 @@
             PolicyKind::LeastLoad,
         ];
 
-        let report = play_with(&trace, &kinds);
+        let report = replay_with(&trace, &kinds);
 
         let waste = |kind| report.policy(kind).unwrap().waste.total();
         let best = waste(PolicyKind::RoundRobin).min(waste(PolicyKind::LeastLoad));
@@ -154,17 +161,17 @@
     }
 }
 
-/// The top tier is served at least as well as by every baseline.
+/// At least as many requests of the top_tier tier are useful as with every baseline.
 #[test]
 fn no_baseline_serves_the_top_tier_better_in_a_burst() {
     for deployment in DEPLOYMENTS {
         let trace = trace(deployment, LoadPattern::Burst);
 
-        let report = play_with(&trace, &PolicyKind::ALL);
+        let report = replay_with(&trace, &PolicyKind::ALL);
 
-        let own = top(current(&report));
+        let own = top_tier(current_report(&report));
         for policy in &report.policies {
-            assert!(own.useful >= top(policy).useful, "{}", policy.policy);
+            assert!(own.useful >= top_tier(policy).useful, "{}", policy.policy);
         }
     }
 }
