--- a/tests/replay_patterns.rs
+++ b/tests/replay_patterns.rs
@@ -1,4 +1,4 @@
-//! The results of the current_report policy for both deployments under each load pattern.
+//! The results of the current policy for both deployments under each load pattern.
 //!
 //! The traces are shortened for CI; docs/POLICY.md has the results of the full ones.
 
@@ -33,7 +33,7 @@
 fn current_report(report: &ReplayReport) -> &PolicyReport {
     report
         .policy(PolicyKind::Current)
-        .expect("report of the current_report policy")
+        .expect("report of the current policy")
 }
 
 fn top_tier(report: &PolicyReport) -> &GroupReport {
@@ -41,7 +41,7 @@
 }
 
 /// Replays a pattern for both deployments and checks the thresholds common to the
-/// patterns: goodput of the top_tier tier, fairness among accounts, and useful work
+/// patterns: goodput of the top tier, fairness among accounts, and useful work
 /// relative to the offline bound.
 fn check_pattern(pattern: LoadPattern) {
     for deployment in DEPLOYMENTS {
@@ -161,7 +161,7 @@
     }
 }
 
-/// At least as many requests of the top_tier tier are useful as with every baseline.
+/// At least as many requests of the top tier are useful as with every baseline.
 #[test]
 fn no_baseline_serves_the_top_tier_better_in_a_burst() {
     for deployment in DEPLOYMENTS {
--- a/tests/wire_answers.rs
+++ b/tests/wire_answers.rs
@@ -1,5 +1,5 @@
-//! Targets' bytes through a real host: an answer that is broken or cut never
-//! reads as a whole one, and nobody else loses an answer over it.
+//! Raw bytes from a target through a real host: a malformed or truncated answer is
+//! never reported as complete, and other requests are not affected.
 
 mod support;
 
@@ -21,7 +21,7 @@
 const STREAM: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\
                       Transfer-Encoding: chunked\r\n\r\n";
 
-/// A fleet with one more target, which writes any bytes.
+/// A fleet with an additional target that sends arbitrary bytes.
 struct RawFleet {
     fleet: TestFleet,
     target: RawTarget,
@@ -59,7 +59,7 @@
 }
 
 impl RawFleet {
-    /// Lets the target answer with these bytes and calls it once.
+    /// Makes the target answer with `bytes` and sends one request to it.
     async fn call(&self, id: &str, bytes: &str) -> Result<CallerAnswer, CallerError> {
         self.target.set_answer(bytes.as_bytes());
         let request = CallerRequest::new("POST", "/v1/bookings")
@@ -70,20 +70,21 @@
         call(self.fleet.caller_address(0), &request).await
     }
 
-    /// Asserts that other callers are served and the host is well.
-    async fn assert_serves(&self) {
+    /// Asserts that another request is served and that the host did not panic.
+    async fn assert_healthy(&self) {
         let id = new_request_id();
         let host = self.fleet.caller_address(0);
         let answer = call(host, &booking(&id))
             .await
-            .expect("another caller gets its answer");
+            .expect("answer to another request");
         assert_eq!((answer.status, answer.outcome()), (200, "done"));
         let log = self.fleet.hosts[0].process.log();
         assert!(!log.contains("panicked"), "{log}");
     }
 }
 
-/// Asserts for each answer that its caller is told of a failure after one call.
+/// Asserts for each answer that the caller gets the expected error and that the target was
+/// called once.
 async fn assert_failures(cases: Vec<(&str, String, &str)>) {
     let raw = raw_fleet().await;
     for (name, bytes, kind) in cases {
@@ -99,13 +100,14 @@
         assert_eq!(answer.header("request-id"), Some(id.as_str()), "{name}");
         assert_eq!(raw.target.post_count(&id), 1, "{name}");
     }
-    raw.assert_serves().await;
+    raw.assert_healthy().await;
 }
 
-/// A crew takes an empty or cut confirmation for a whole one: the parser reads
-/// an answer without a framing as empty, and one that ends early as whole.
+/// Guards against an empty or truncated answer that the caller takes for a complete one:
+/// the parser treats an answer without framing as empty and one that ends early as
+/// complete.
 #[async_std::test]
-async fn answers_that_do_not_say_where_they_end_are_faults() {
+async fn answers_with_invalid_or_missing_framing_are_faults() {
     let with = |lines: &str, body: &str| format!("{OK}{lines}\r\n{body}");
     let length = "Content-Length: 2\r\n";
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -190,10 +192,10 @@
     .await;
 }
 
-/// A caller reads half a briefing as the whole one: its engine's stream ends
-/// with a last chunk but without the event that ends the tokens.
+/// Guards against a partial stream that the caller takes for a complete one: the engine's
+/// stream ends with a last chunk but without the final event.
 #[async_std::test]
-async fn stream_without_its_own_end_is_cut() {
+async fn stream_without_its_final_event_is_truncated() {
     let raw = raw_fleet().await;
     let token = "data: {\"offset\":0,\"text\":\"t\"}\n\n";
     let chunk = format!("{:x}\r\n{token}\r\n", token.len());
@@ -213,12 +215,12 @@
         assert!(!answer.is_complete, "{name}: {}", answer.text());
         assert_eq!(raw.target.post_count(&id), 1, "{name}");
     }
-    raw.assert_serves().await;
+    raw.assert_healthy().await;
 }
 
-/// A crew reads header lines in place of its confirmation. Its service sends no
-/// `Date`; the parser makes one up with a line end in it, and passed on as it is
-/// that ends the head of the crew's answer early.
+/// Guards against header lines in the body of an answer: for an answer without a `Date`,
+/// the parser adds one that contains a line end. If it were forwarded, it would end the
+/// head of the caller's answer early.
 #[async_std::test]
 async fn answer_without_a_date_keeps_its_head() {
     let raw = raw_fleet().await;
@@ -238,10 +240,11 @@
     assert_eq!(answer.header("content-type"), None);
 }
 
-/// A confirmed booking is reported as unknown: its service sent an interim
-/// answer first, which HTTP allows at any time, and the host took it for the answer.
+/// Guards against a successful call that is reported as unknown: the service sends an
+/// interim answer first, which HTTP allows at any time, and the host takes it for the
+/// final answer.
 #[async_std::test]
-async fn interim_answers_are_passed_over() {
+async fn interim_answers_are_skipped() {
     let raw = raw_fleet().await;
     let id = new_request_id();
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
@@ -253,11 +256,11 @@
 
     assert_eq!((answer.status, answer.outcome()), (200, "done"));
     assert_eq!(answer.text(), "done");
-    raw.assert_serves().await;
+    raw.assert_healthy().await;
 }
 
 #[async_std::test]
-async fn whole_answers_of_any_status_are_passed_on() {
+async fn complete_answers_of_any_status_are_forwarded() {
     let raw = raw_fleet().await;
     let answers = [
         (
@@ -296,5 +299,5 @@
         assert_eq!(answer.text(), body, "{bytes}");
         assert_eq!(raw.target.post_count(&id), 1, "{bytes}");
     }
-    raw.assert_serves().await;
+    raw.assert_healthy().await;
 }
--- a/tests/wire_requests/connections.rs
+++ b/tests/wire_requests/connections.rs
@@ -1,6 +1,6 @@
-//! Connections that are slow, shared by several messages, or about to close.
+//! Slow, pipelined and closing connections, and `HEAD` and `Expect` requests.
 
-use crate::fixture::assert_serves;
+use crate::fixture::assert_healthy;
 use crate::fixture::booking_head;
 use crate::fixture::small_fleet;
 use crate::fixture::with_id;
@@ -10,15 +10,15 @@
 use crate::support::send_raw;
 use standins::new_request_id;
 
-/// A host has no connections left: callers send half a head and stay. Each gets
-/// its refusal after five seconds, and others are served meanwhile.
+/// Guards against exhaustion of connections by callers that send half a head and stay
+/// connected: each is refused after five seconds, and others are served meanwhile.
 #[async_std::test]
 async fn slow_head_is_refused_while_others_are_served() {
     let fleet = small_fleet().await;
     let mut slow = RawCaller::open(fleet.caller_address(0)).await;
     slow.send(b"POST /v1/bookings HTTP/1.1\r\nHost").await;
 
-    assert_serves(&fleet).await;
+    assert_healthy(&fleet).await;
     let answer = slow.read_answer().await.unwrap();
 
     assert_eq!(
@@ -58,9 +58,9 @@
     assert_eq!(caller.read_to_end().await, b"");
 }
 
-/// A caller reads the refusal of its `HEAD` request as the head of its next
-/// answer, and from then on each caller behind that connection gets another's
-/// answer: a body came where none may be (RFC 9110 section 9.3.2).
+/// Guards against answers that are assigned to the wrong requests: if the refusal of a
+/// `HEAD` request has a body (RFC 9110 section 9.3.2 forbids it), the caller reads the body
+/// as the head of the next answer, and every later answer on the connection is shifted.
 #[async_std::test]
 async fn answer_to_head_has_no_body() {
     let fleet = small_fleet().await;
@@ -76,10 +76,10 @@
     assert_eq!(String::from_utf8(rest).unwrap(), "");
 }
 
-/// A client that asks first (as curl does with large bodies) never sends its
-/// body: it waits for a word that does not come.
+/// Guards against a hanging request: a client that sends `Expect: 100-continue` (as curl
+/// does with large bodies) waits for the interim answer before it sends the body.
 #[async_std::test]
-async fn caller_that_asks_first_is_told_to_go_on() {
+async fn expect_continue_gets_an_interim_answer() {
     let fleet = small_fleet().await;
     let id = new_request_id();
     let body = booking_body(&id);
@@ -99,7 +99,7 @@
 }
 
 #[async_std::test]
-async fn stranger_that_asks_first_is_refused_at_once() {
+async fn expect_continue_of_an_unknown_account_is_refused_at_once() {
     let fleet = small_fleet().await;
     let lines = "Expect: 100-continue\r\nContent-Length: 1000\r\n";
     let request = booking_head(&new_request_id(), lines).replace(TOKEN, "other");
@@ -110,7 +110,7 @@
 }
 
 #[async_std::test]
-async fn connection_that_is_to_close_is_closed() {
+async fn connection_with_the_close_option_is_closed() {
     let fleet = small_fleet().await;
     let id = new_request_id();
     let request = booking_head(
--- a/tests/wire_requests/fixture.rs
+++ b/tests/wire_requests/fixture.rs
@@ -1,4 +1,4 @@
-//! Cases on raw bytes, and what must be true after each.
+//! Test cases of raw requests, and the assertions on their refusals.
 
 use crate::support::FleetPlan;
 use crate::support::RawAnswer;
@@ -12,12 +12,12 @@
 use standins::check_answer;
 use standins::new_request_id;
 
-/// One request and the refusal that it must get.
+/// A request and its expected refusal.
 pub(crate) struct WireCase {
     pub(crate) name: &'static str,
     pub(crate) bytes: Vec<u8>,
-    /// Whether the caller ends its side after these bytes.
-    pub(crate) ends: bool,
+    /// Whether the caller shuts down its write side after these bytes.
+    pub(crate) shuts_down: bool,
     pub(crate) status: u16,
     pub(crate) kind: &'static str,
 }
@@ -40,26 +40,26 @@
     WireCase {
         name,
         bytes: bytes.into(),
-        ends: false,
+        shuts_down: false,
         status,
         kind,
     }
 }
 
-/// A request whose caller ends its side after it.
-pub(crate) fn cut_case(
+/// A request after which the caller shuts down its write side.
+pub(crate) fn truncated_case(
     name: &'static str,
     bytes: String,
     status: u16,
     kind: &'static str,
 ) -> WireCase {
     WireCase {
-        ends: true,
+        shuts_down: true,
         ..case(name, bytes, status, kind)
     }
 }
 
-/// A booking's head with further lines, each of which ends itself.
+/// The head of a booking with additional lines, each with its line end.
 pub(crate) fn booking_head(id: &str, lines: &str) -> String {
     format!(
         "POST /v1/bookings HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer {TOKEN}\r\n\
@@ -78,7 +78,7 @@
     ) + "{}"
 }
 
-/// A UUIDv7 of a time, in milliseconds since the Unix epoch.
+/// A UUIDv7 with the given timestamp, in milliseconds since the Unix epoch.
 pub(crate) fn id_at(time: u64) -> String {
     let digits = format!("{time:012x}");
     format!("{}-{}-7000-8000-000000000000", &digits[..8], &digits[8..])
@@ -88,24 +88,24 @@
     cardamomgw::clock::unix_now()
 }
 
-pub(crate) async fn refuse(fleet: &TestFleet, case: &WireCase) -> RawAnswer {
+pub(crate) async fn send_case(fleet: &TestFleet, case: &WireCase) -> RawAnswer {
     let mut caller = RawCaller::open(fleet.caller_address(0)).await;
     caller.send(&case.bytes).await;
-    if case.ends {
+    if case.shuts_down {
         caller.shutdown_write();
     }
     let answer = caller.read_answer().await;
     answer.expect(case.name)
 }
 
-/// Asserts for each case its refusal, that nothing ran, and that another caller
-/// still gets its own answer.
+/// Asserts that each case gets its refusal, that no request ran, and that a valid request
+/// is still answered.
 pub(crate) async fn assert_refused(cases: Vec<WireCase>) {
     let fleet = small_fleet().await;
     for case in &cases {
-        let answer = refuse(&fleet, case).await;
-        let got = (answer.status, answer.kind());
-        assert_eq!(got, (case.status, case.kind.to_owned()), "{}", case.name);
+        let answer = send_case(&fleet, case).await;
+        let actual = (answer.status, answer.kind());
+        assert_eq!(actual, (case.status, case.kind.to_owned()), "{}", case.name);
         assert_eq!(answer.header("content-type"), "application/json");
         assert!(
             !answer.header("request-outcome").is_empty(),
@@ -114,14 +114,14 @@
         );
     }
     assert_eq!(fleet.executions().len(), 0);
-    assert_serves(&fleet).await;
+    assert_healthy(&fleet).await;
 }
 
-pub(crate) async fn assert_serves(fleet: &TestFleet) {
+pub(crate) async fn assert_healthy(fleet: &TestFleet) {
     let id = new_request_id();
     let answer = call(fleet.caller_address(0), &booking(&id))
         .await
-        .expect("another caller gets its answer");
+        .expect("answer to another request");
     let echo = ExpectedAnswer::Echo(booking_body(&id).into_bytes());
     assert_eq!(check_answer(&answer, &id, &echo), Ok(()));
     let log = fleet.hosts[0].process.log();
--- a/tests/wire_requests/main.rs
+++ b/tests/wire_requests/main.rs
@@ -1,5 +1,5 @@
-//! Callers' bytes against a real host: what is broken gets a clear refusal, and
-//! nobody else loses an answer over it.
+//! Raw bytes from callers to a real host: malformed requests get a specific refusal, and
+//! other requests are not affected.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/tests/wire_requests/refusals.rs
+++ b/tests/wire_requests/refusals.rs
@@ -1,18 +1,19 @@
-//! Messages that must be refused, each with its own answer.
+//! Requests that must be refused, each with a specific error.
 
 use crate::fixture::assert_refused;
 use crate::fixture::booking_head;
 use crate::fixture::case;
-use crate::fixture::cut_case;
 use crate::fixture::id_at;
 use crate::fixture::now;
+use crate::fixture::truncated_case;
 use crate::fixture::with_id;
 use crate::fixture::with_line;
 use crate::support::TOKEN;
 use standins::new_request_id;
 
-/// A caller gets the answer to somebody else's request. Two readers of one
-/// message disagree where its body ends, and the rest of it runs as a request.
+/// Guards against request smuggling, by which a caller gets the answer to another's request:
+/// two recipients of a message disagree on the end of its body, and the rest of the body
+/// runs as a separate request.
 #[async_std::test]
 async fn ambiguous_framing_is_refused() {
     let id = new_request_id();
@@ -70,22 +71,22 @@
     .await;
 }
 
-/// A prompt that was cut on its way runs, and its caller gets the answer to half
-/// a question: the parser takes the early end of a body for its end.
+/// Guards against running a truncated prompt: the parser reports a body that ends early as
+/// complete.
 #[async_std::test]
-async fn cut_bodies_are_refused() {
+async fn truncated_bodies_are_refused() {
     let id = new_request_id();
     let chunked = |body: &str| booking_head(&id, "Transfer-Encoding: chunked\r\n") + body;
     let counted = booking_head(&id, "Content-Length: 50\r\n") + "{\"booking\":";
     assert_refused(vec![
-        cut_case("shorter than its length", counted, 400, "malformed-message"),
-        cut_case(
+        truncated_case("shorter than its length", counted, 400, "malformed-message"),
+        truncated_case(
             "no last chunk",
             chunked("2\r\n{}\r\n"),
             400,
             "malformed-message",
         ),
-        cut_case(
+        truncated_case(
             "cut inside a chunk",
             chunked("9\r\n{}"),
             400,
@@ -97,7 +98,7 @@
             400,
             "malformed-message",
         ),
-        cut_case(
+        truncated_case(
             "cut inside the head",
             "POST /v1/bookings HTTP/1.1\r\nHost".into(),
             400,
@@ -107,9 +108,8 @@
     .await;
 }
 
-/// The host's memory is gone: a head line without an end grows for as long as
-/// its caller sends. And a caller that sends too much in good faith must learn
-/// why it is refused, while it still sends.
+/// Guards against memory exhaustion by a header line that never ends. A caller that sends
+/// too much must also receive the reason for the refusal while it is still sending.
 #[async_std::test]
 async fn oversize_messages_are_refused() {
     let id = new_request_id();
@@ -150,7 +150,7 @@
 }
 
 #[async_std::test]
-async fn what_is_no_request_of_this_version_is_refused() {
+async fn messages_other_than_http_1_1_requests_are_refused() {
     let id = new_request_id();
     let old = booking_head(&id, "Content-Length: 2\r\n").replace("HTTP/1.1", "HTTP/1.0") + "{}";
     let hostless = with_id(&id).replace("Host: h\r\n", "");
@@ -193,7 +193,7 @@
 }
 
 #[async_std::test]
-async fn heads_that_name_nothing_known_are_refused_before_their_bodies() {
+async fn heads_with_unknown_names_are_refused_before_their_bodies() {
     let id = new_request_id();
     let unsent = booking_head(&id, "Content-Length: 1000\r\n");
     assert_refused(vec![
@@ -250,7 +250,7 @@
 }
 
 #[async_std::test]
-async fn ids_that_no_seat_could_judge_are_refused() {
+async fn invalid_request_ids_are_refused() {
     let second = "-7000-8000-000000000000";
     assert_refused(vec![
         case(
