--- a/src/http/caller_connection.rs
+++ b/src/http/caller_connection.rs
@@ -99,8 +99,8 @@
         let Some(head_bytes) = filled.map_err(|_| ErrorKind::SlowCaller)?? else {
             return Ok(None);
         };
-        let framing = MessageFraming::of_head(self.buffer.head(head_bytes))?;
-        let target = RequestTarget::of_head(self.buffer.head(head_bytes))?;
+        let framing = MessageFraming::from_head(self.buffer.head(head_bytes))?;
+        let target = RequestTarget::from_head(self.buffer.head(head_bytes))?;
         let io = self.bound_message(head_bytes, framing);
         let (request, _) = async_h1::server::decode(io)
             .await
@@ -144,7 +144,7 @@
         }
         self.is_head_request = request.method() == Method::Head;
         CallerRequest {
-            head: RequestHead::of_request(&request, target),
+            head: RequestHead::from_request(&request, target),
             framing,
             body: request.take_body(),
         }
--- a/src/http/message_framing.rs
+++ b/src/http/message_framing.rs
@@ -23,7 +23,7 @@
     /// (request smuggling, RFC 9112 section 6.3). Refused are two lengths, a length
     /// together with chunked coding, a length that is not a number, any coding other
     /// than `chunked`, a space before the colon of a field and a folded line.
-    pub(crate) fn of_head(head: &[u8]) -> Result<Self, ErrorKind> {
+    pub(crate) fn from_head(head: &[u8]) -> Result<Self, ErrorKind> {
         let mut length = None;
         let mut chunked = false;
         let text = ascii_text(head)?;
--- a/src/http/request_head.rs
+++ b/src/http/request_head.rs
@@ -41,7 +41,7 @@
 
 impl RequestHead {
     /// Builds the head from a parsed request and the target read from its first line.
-    pub(crate) fn of_request(request: &http_types::Request, target: RequestTarget) -> Self {
+    pub(crate) fn from_request(request: &http_types::Request, target: RequestTarget) -> Self {
         Self {
             method: request.method().to_string(),
             path: target.path,
--- a/src/http/request_line.rs
+++ b/src/http/request_line.rs
@@ -28,7 +28,7 @@
     /// `MalformedMessage` for a version other than HTTP/1.1, a target that is not a
     /// path, and a `Host` field that is missing, repeated or invalid; `HeadTooLarge`
     /// for too many fields.
-    pub(crate) fn of_head(head: &[u8]) -> Result<Self, ErrorKind> {
+    pub(crate) fn from_head(head: &[u8]) -> Result<Self, ErrorKind> {
         let text = std::str::from_utf8(head).map_err(|_| ErrorKind::MalformedMessage)?;
         let mut lines = text.split(LINE_END).filter(|line| !line.is_empty());
         let target = parse_request_line(lines.next().unwrap_or_default())?;
--- a/src/http/target_exchange.rs
+++ b/src/http/target_exchange.rs
@@ -146,7 +146,7 @@
         let head_bytes = timeout(limit, final_head)
             .await
             .map_err(|_| ExchangeError::TimedOut)??;
-        let framing = MessageFraming::of_head(buffer.head(head_bytes))
+        let framing = MessageFraming::from_head(buffer.head(head_bytes))
             .map_err(|_| ExchangeError::Malformed)?;
         let sent = field_names(buffer.head(head_bytes));
         let buffered = buffer.take_message(head_bytes, u64::MAX);
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -16,7 +16,7 @@
 
 fn framing(fields: &str) -> Result<MessageFraming, ErrorKind> {
     let head = format!("POST / HTTP/1.1\r\nhost: h\r\n{fields}\r\n");
-    MessageFraming::of_head(head.as_bytes())
+    MessageFraming::from_head(head.as_bytes())
 }
 
 #[test]
--- a/src/wire/answer_message.rs
+++ b/src/wire/answer_message.rs
@@ -51,7 +51,7 @@
         let message = Self {
             status,
             is_http10: version == 0,
-            headers: MessageHeaders::of_parsed(parsed.headers),
+            headers: MessageHeaders::from_parsed(parsed.headers),
         };
         input.consume(used);
         Ok(Some(message))
--- a/src/wire/message_headers.rs
+++ b/src/wire/message_headers.rs
@@ -10,7 +10,7 @@
 
 impl MessageHeaders {
     /// Copies the header lines from the parser.
-    pub(crate) fn of_parsed(parsed: &[httparse::Header<'_>]) -> Self {
+    pub(crate) fn from_parsed(parsed: &[httparse::Header<'_>]) -> Self {
         let lines = parsed
             .iter()
             .map(|line| (line.name.to_owned(), line.value.to_vec()))
--- a/src/wire/request_message.rs
+++ b/src/wire/request_message.rs
@@ -49,7 +49,7 @@
             method: method.to_owned(),
             target: target.to_owned(),
             is_http10: version == 0,
-            headers: MessageHeaders::of_parsed(parsed.headers),
+            headers: MessageHeaders::from_parsed(parsed.headers),
         };
         input.consume(used);
         Ok(Some(message))
