--- a/benches/gateway_cost/main.rs
+++ b/benches/gateway_cost/main.rs
@@ -86,7 +86,7 @@
         callers,
         &direct,
         &gateway,
-        LoadReport::whole,
+        LoadReport::last_byte,
     );
 }
 
--- a/examples/demo/account.rs
+++ b/examples/demo/account.rs
@@ -47,11 +47,11 @@
 fn call_line(record: &CallRecord, target: &str) -> String {
     let (status, outcome, first) = match &record.answer {
         Ok(answer) => {
-            let first = answer.pieces_after.first().copied().unwrap_or_default();
+            let first = answer.chunk_times.first().copied().unwrap_or_default();
             (
                 answer.status.to_string(),
                 told(answer),
-                millis(first.max(answer.head_after)),
+                millis(first.max(answer.head_time)),
             )
         }
         Err(error) => ("-".to_owned(), error.to_string(), String::new()),
--- a/examples/demo/scenes.rs
+++ b/examples/demo/scenes.rs
@@ -219,7 +219,7 @@
         .count();
     let first = records.iter().filter_map(|record| {
         let answer = record.answer.as_ref().ok()?;
-        answer.pieces_after.first().copied()
+        answer.chunk_times.first().copied()
     });
     let whole = records.iter().map(|record| record.took);
     tell(&format!(
--- a/standins/src/caller/answer_check.rs
+++ b/standins/src/caller/answer_check.rs
@@ -1,4 +1,4 @@
-//! Whether an answer is whole and the caller's own.
+//! Verifies that an answer is complete and belongs to the caller's request.
 
 use std::fmt;
 
@@ -7,29 +7,29 @@
 use super::CallerAnswer;
 use crate::engine::token_text;
 
-/// What the stand-ins answer to a request.
+/// The answer that a stand-in gives to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ExpectedAnswer {
-    /// An engine's stream of this many tokens.
+    /// An event stream of this many tokens from an engine.
     Stream(u32),
-    /// An engine's answer in one piece, of this many tokens.
+    /// An unstreamed engine answer of this many tokens.
     Text(u32),
-    /// A service's answer, which repeats this body.
+    /// A service answer that echoes this request body.
     Echo(Vec<u8>),
 }
 
-/// What is wrong with an answer that claims to be good.
+/// Why an answer failed verification.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnswerFault {
     /// The status is not 200.
-    NotDone,
-    /// The framing was cut.
-    Cut,
-    /// The body is no answer of a stand-in.
-    Unreadable,
+    NotOk,
+    /// The body ended before its framing was complete.
+    Truncated,
+    /// The body does not have the format of a stand-in's answer.
+    Malformed,
     /// The answer belongs to another request.
-    Foreign,
-    /// Tokens are missing, doubled or out of order.
+    WrongRequest,
+    /// Tokens are missing, duplicated or out of order.
     WrongTokens,
 }
 
@@ -61,23 +61,23 @@
     echo: String,
 }
 
-/// Checks that `answer` is the whole answer to the request `id`.
+/// Checks that `answer` is the complete answer to the request `id`.
 pub fn check_answer(
     answer: &CallerAnswer,
     id: &str,
     expected: &ExpectedAnswer,
 ) -> Result<(), AnswerFault> {
     if answer.status != 200 {
-        return Err(AnswerFault::NotDone);
+        return Err(AnswerFault::NotOk);
     }
     if !answer.is_complete {
-        return Err(AnswerFault::Cut);
+        return Err(AnswerFault::Truncated);
     }
     if answer
         .header("Request-Id")
         .is_some_and(|echoed| echoed != id)
     {
-        return Err(AnswerFault::Foreign);
+        return Err(AnswerFault::WrongRequest);
     }
     match expected {
         ExpectedAnswer::Stream(tokens) => check_stream(&answer.text(), id, *tokens),
@@ -90,8 +90,8 @@
     let mut next = 0;
     let mut done = false;
     for line in text.split("\n\n").filter(|line| !line.is_empty()) {
-        let data = line.strip_prefix("data: ").ok_or(AnswerFault::Unreadable)?;
-        let event: TokenEvent = serde_json::from_str(data).map_err(|_| AnswerFault::Unreadable)?;
+        let data = line.strip_prefix("data: ").ok_or(AnswerFault::Malformed)?;
+        let event: TokenEvent = serde_json::from_str(data).map_err(|_| AnswerFault::Malformed)?;
         if done {
             return Err(AnswerFault::WrongTokens);
         }
@@ -103,7 +103,7 @@
             return Err(AnswerFault::WrongTokens);
         }
         if event.text != Some(token_text(id, next)) {
-            return Err(AnswerFault::Foreign);
+            return Err(AnswerFault::WrongRequest);
         }
         next += 1;
     }
@@ -115,9 +115,9 @@
 }
 
 fn check_text(body: &[u8], id: &str, tokens: u32) -> Result<(), AnswerFault> {
-    let answer: TextAnswer = serde_json::from_slice(body).map_err(|_| AnswerFault::Unreadable)?;
+    let answer: TextAnswer = serde_json::from_slice(body).map_err(|_| AnswerFault::Malformed)?;
     if answer.id != id {
-        return Err(AnswerFault::Foreign);
+        return Err(AnswerFault::WrongRequest);
     }
     let texts: Vec<String> = (0..tokens).map(|offset| token_text(id, offset)).collect();
     if answer.text == texts.join(" ") {
@@ -128,10 +128,10 @@
 }
 
 fn check_echo(body: &[u8], id: &str, sent: &[u8]) -> Result<(), AnswerFault> {
-    let answer: EchoAnswer = serde_json::from_slice(body).map_err(|_| AnswerFault::Unreadable)?;
+    let answer: EchoAnswer = serde_json::from_slice(body).map_err(|_| AnswerFault::Malformed)?;
     if answer.id == id && answer.echo.as_bytes() == sent {
         Ok(())
     } else {
-        Err(AnswerFault::Foreign)
+        Err(AnswerFault::WrongRequest)
     }
 }
--- a/standins/src/caller/caller_answer.rs
+++ b/standins/src/caller/caller_answer.rs
@@ -1,26 +1,26 @@
-//! What a caller gets.
+//! Answers as a client receives them.
 
 use std::fmt;
 use std::time::Duration;
 
-/// One answer with its framing checked.
+/// An answer whose framing has been checked.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallerAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The headers in the order in which they came.
+    /// The headers in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body, as far as it came.
+    /// The part of the body that was received.
     pub body: Vec<u8>,
-    /// Whether the body came to the end that its framing declares. A body that
-    /// declares none is not whole.
+    /// Whether the body reached the end that its framing declares. A body without declared
+    /// framing is never complete.
     pub is_complete: bool,
-    /// Whether the connection may be used again.
-    pub keeps_alive: bool,
-    /// The time from the send to the head.
-    pub head_after: Duration,
-    /// The times from the send to each piece of the body.
-    pub pieces_after: Vec<Duration>,
+    /// Whether the connection can carry another request.
+    pub reusable: bool,
+    /// The time from sending the request to receiving the head.
+    pub head_time: Duration,
+    /// The times from sending the request to receiving each chunk of the body.
+    pub chunk_times: Vec<Duration>,
 }
 
 impl CallerAnswer {
@@ -32,12 +32,13 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Returns `Request-Outcome`, or nothing at all.
+    /// Returns the `Request-Outcome` header, or an empty string.
     pub fn outcome(&self) -> &str {
         self.header("Request-Outcome").unwrap_or_default()
     }
 
-    /// Returns when the caller may come back.
+    /// Returns the delay after which the request may be sent again, in milliseconds where the
+    /// answer gives them and in seconds otherwise.
     pub fn retry_after(&self) -> Option<Duration> {
         let millis = self
             .header("Retry-After-Ms")
@@ -56,26 +57,26 @@
     }
 }
 
-/// Why there is no answer at all.
+/// Why a call ended without an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallerError {
     /// The host refused the connection.
     Refused,
-    /// The connection ended before the head of an answer had come.
+    /// The connection closed before the head of an answer was received.
     Cut,
-    /// The head of the answer is not well-formed.
+    /// The head or framing of the answer is malformed.
     Malformed,
-    /// No whole answer came in the client's time.
+    /// No complete answer arrived within the client's timeout.
     TimedOut,
 }
 
 impl fmt::Display for CallerError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::Refused => "the connection was refused",
-            Self::Cut => "the connection ended before an answer",
-            Self::Malformed => "the answer is not well-formed",
-            Self::TimedOut => "no answer in time",
+            Self::Refused => "connection refused",
+            Self::Cut => "connection closed before an answer",
+            Self::Malformed => "malformed answer",
+            Self::TimedOut => "timed out waiting for a complete answer",
         })
     }
 }
--- a/standins/src/caller/caller_client.rs
+++ b/standins/src/caller/caller_client.rs
@@ -1,4 +1,4 @@
-//! A caller with its kept connections.
+//! An HTTP client that reuses connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,59 +10,59 @@
 use super::CallerError;
 use super::CallerRequest;
 
-/// How long a client waits for a whole answer when nobody says.
-const USUAL_TIMEOUT: Duration = Duration::from_secs(60);
+/// Default time limit for a complete answer.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A client that calls one request after the other.
+/// A client that sends one request at a time.
 pub struct CallerClient {
-    kept: Vec<CallerConnection>,
+    idle: Vec<CallerConnection>,
     timeout: Duration,
 }
 
 impl Default for CallerClient {
     fn default() -> Self {
-        Self::new(USUAL_TIMEOUT)
+        Self::new(DEFAULT_TIMEOUT)
     }
 }
 
 impl CallerClient {
-    /// Makes a client that gives up a request after `timeout`.
+    /// Creates a client that abandons a request after `timeout`.
     pub const fn new(timeout: Duration) -> Self {
         Self {
-            kept: Vec::new(),
+            idle: Vec::new(),
             timeout,
         }
     }
 
-    /// Sends `request` to `host`, on a kept connection where there is one.
+    /// Sends `request` to `host`, on an idle connection if there is one.
     ///
-    /// A kept connection that turns out to be closed is an error like any other:
-    /// the client can't know whether the request ran, and resends nothing itself.
+    /// A closed idle connection is reported as an error: the client cannot tell whether the
+    /// request was executed, so it never resends by itself.
     pub async fn call(
         &mut self,
         host: SocketAddr,
         request: &CallerRequest,
     ) -> Result<CallerAnswer, CallerError> {
-        let kept = self.take(host);
-        let called = async {
-            let mut connection = match kept {
+        let idle = self.take_idle(host);
+        let exchange = async {
+            let mut connection = match idle {
                 Some(connection) => connection,
                 None => CallerConnection::open(host).await?,
             };
             let answer = connection.call(request).await?;
             Ok((connection, answer))
         };
-        let (connection, answer) = future::timeout(self.timeout, called)
+        let (connection, answer) = future::timeout(self.timeout, exchange)
             .await
             .map_err(|_| CallerError::TimedOut)??;
-        if answer.keeps_alive {
-            self.kept.push(connection);
+        if answer.reusable {
+            self.idle.push(connection);
         }
         Ok(answer)
     }
 
-    fn take(&mut self, host: SocketAddr) -> Option<CallerConnection> {
-        let index = self.kept.iter().position(|kept| kept.host() == host)?;
-        Some(self.kept.swap_remove(index))
+    fn take_idle(&mut self, host: SocketAddr) -> Option<CallerConnection> {
+        let index = self.idle.iter().position(|idle| idle.host() == host)?;
+        Some(self.idle.swap_remove(index))
     }
 }
--- a/standins/src/caller/caller_connection.rs
+++ b/standins/src/caller/caller_connection.rs
@@ -1,4 +1,4 @@
-//! One connection, down to its bytes.
+//! An HTTP/1.1 client connection that exposes the framing of answers.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -13,20 +13,20 @@
 use super::CallerError;
 use super::CallerRequest;
 
-/// The most headers that an answer may have.
-const HEADER_BOUND: usize = 64;
-/// The largest head or chunk line, in bytes.
-const LINE_BOUND: usize = 64 << 10;
-/// How much of a body is read at once, in bytes.
-const PIECE_BYTES: usize = 16 << 10;
+/// Maximum number of headers in an answer.
+const MAX_HEADERS: usize = 64;
+/// Maximum size of an answer head, in bytes.
+const MAX_LINE_BYTES: usize = 64 << 10;
+/// Size of the buffer for reading bodies, in bytes.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// An open connection to one host.
+/// An open connection to a host.
 pub struct CallerConnection {
     host: SocketAddr,
     reader: BufReader<TcpStream>,
 }
 
-/// How an answer says where its body ends.
+/// How the end of an answer's body is determined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum BodyFraming {
     None,
@@ -36,7 +36,7 @@
 }
 
 impl CallerConnection {
-    /// Connects to `host`.
+    /// Opens a connection to `host`.
     pub async fn open(host: SocketAddr) -> Result<Self, CallerError> {
         let stream = TcpStream::connect(host)
             .await
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Returns the host at the other end.
+    /// Returns the address of the connected host.
     pub const fn host(&self) -> SocketAddr {
         self.host
     }
@@ -60,21 +60,21 @@
         self.read_answer(sent).await
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     pub async fn send_bytes(&mut self, bytes: &[u8]) -> Result<(), CallerError> {
         let stream = self.reader.get_mut();
         stream.write_all(bytes).await.map_err(|_| CallerError::Cut)
     }
 
-    /// Reads everything up to the end of the connection.
+    /// Reads until the peer closes the connection.
     pub async fn read_to_end(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
-        // What came before a reset still counts.
+        // On a reset, the bytes received before it are kept.
         self.reader.read_to_end(&mut bytes).await.ok();
         bytes
     }
 
-    /// Reads one answer to a request that was sent at `sent`.
+    /// Reads one answer; its times are relative to `sent`.
     pub async fn read_answer(&mut self, sent: Instant) -> Result<CallerAnswer, CallerError> {
         let mut answer = self.read_head(sent).await?;
         let framing = body_framing(&answer)?;
@@ -90,17 +90,17 @@
         let closes = answer
             .header("Connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"));
-        answer.keeps_alive = answer.is_complete && !closes;
+        answer.reusable = answer.is_complete && !closes;
         Ok(answer)
     }
 
-    /// Reads the head of an answer; its body follows with [`Self::read_chunk`] or at once.
+    /// Reads only the head of an answer; a chunked body is then read with [`Self::read_chunk`].
     pub async fn read_head(&mut self, sent: Instant) -> Result<CallerAnswer, CallerError> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let count = self.reader.read_until(b'\n', &mut head).await;
             match count {
-                Ok(1..) if head.len() < LINE_BOUND => {}
+                Ok(1..) if head.len() < MAX_LINE_BYTES => {}
                 Ok(1..) => return Err(CallerError::Malformed),
                 _ => return Err(CallerError::Cut),
             }
@@ -108,7 +108,8 @@
         parse_head(&head, sent)
     }
 
-    /// Reads one chunk; nothing when it is the last. An error means a cut body.
+    /// Reads one chunk of a chunked body; returns `None` for the terminating chunk, and an error
+    /// when the body is truncated or malformed.
     pub async fn read_chunk(&mut self) -> Result<Option<Vec<u8>>, CallerError> {
         let mut line = Vec::new();
         let count = self.reader.read_until(b'\n', &mut line).await;
@@ -131,7 +132,7 @@
             match self.read_chunk().await {
                 Ok(Some(chunk)) => {
                     answer.body.extend_from_slice(&chunk);
-                    answer.pieces_after.push(sent.elapsed());
+                    answer.chunk_times.push(sent.elapsed());
                 }
                 Ok(None) => return true,
                 Err(_) => return false,
@@ -140,21 +141,21 @@
     }
 
     async fn read_length(&mut self, answer: &mut CallerAnswer, length: u64, sent: Instant) -> bool {
-        let mut piece = vec![0; PIECE_BYTES];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         while (answer.body.len() as u64) < length {
-            let rest = (length - answer.body.len() as u64).min(PIECE_BYTES as u64) as usize;
-            match self.reader.read(&mut piece[..rest]).await {
-                Ok(count) if count > 0 => answer.body.extend_from_slice(&piece[..count]),
+            let rest = (length - answer.body.len() as u64).min(READ_BUFFER_BYTES as u64) as usize;
+            match self.reader.read(&mut buffer[..rest]).await {
+                Ok(count) if count > 0 => answer.body.extend_from_slice(&buffer[..count]),
                 _ => return false,
             }
-            answer.pieces_after.push(sent.elapsed());
+            answer.chunk_times.push(sent.elapsed());
         }
         true
     }
 }
 
 fn parse_head(head: &[u8], sent: Instant) -> Result<CallerAnswer, CallerError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADER_BOUND];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     parsed.parse(head).map_err(|_| CallerError::Malformed)?;
     let headers = parsed
@@ -170,9 +171,9 @@
         headers,
         body: Vec::new(),
         is_complete: false,
-        keeps_alive: false,
-        head_after: sent.elapsed(),
-        pieces_after: Vec::new(),
+        reusable: false,
+        head_time: sent.elapsed(),
+        chunk_times: Vec::new(),
     })
 }
 
--- a/standins/src/caller/mod.rs
+++ b/standins/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! A caller: a small HTTP/1.1 client that believes nothing it can't check.
+//! A small HTTP/1.1 client that verifies the framing and content of every answer.
 
 mod answer_check;
 mod caller_answer;
--- a/standins/src/command_line.rs
+++ b/standins/src/command_line.rs
@@ -1,75 +1,75 @@
-//! The command line of `standins`.
+//! Command line of `standins`.
 
 use std::net::SocketAddr;
 
 xflags::xflags! {
-    /// Stand-ins for what cardamomgw meets. Each prints `listening ADDR` first.
+    /// Test doubles for the systems around cardamomgw. Servers print `listening ADDR` first.
     cmd standins {
-        /// The read-and-watch configuration service.
+        /// The configuration platform, which serves documents with long-poll watches.
         cmd platform {
-            /// Where to listen; any free port of the loopback otherwise.
+            /// Listen address; any free port on loopback by default.
             optional --listen listen: SocketAddr
         }
         /// A model engine.
         cmd engine {
-            /// Where to listen; any free port of the loopback otherwise.
+            /// Listen address; any free port on loopback by default.
             optional --listen listen: SocketAddr
-            /// How fast one request decodes.
+            /// Decoding speed of one request.
             optional --tokens-per-second tokens: f64
-            /// How many requests run before they share the pace.
+            /// Number of concurrent requests above which they share the throughput.
             optional --slots slots: u32
-            /// How fast prompts are processed.
+            /// Prefill speed.
             optional --prefill-tokens-per-second tokens: f64
-            /// How many prompt tokens the prefix cache holds.
+            /// Capacity of the prefix cache, in tokens.
             optional --cache-tokens tokens: u32
-            /// How old a load report is, in milliseconds.
+            /// Age of a load report when it is served, in milliseconds.
             optional --report-lag-ms lag: u64
-            /// Takes orders with an old fencing number.
+            /// Accept orders with an outdated fencing number.
             optional --ignores-fences
         }
-        /// A plain service.
+        /// A plain service, which echoes each call.
         cmd service {
-            /// Where to listen; any free port of the loopback otherwise.
+            /// Listen address; any free port on loopback by default.
             optional --listen listen: SocketAddr
-            /// How long each call takes, in milliseconds.
+            /// Execution time of each call, in milliseconds.
             optional --delay-ms delay: u64
         }
-        /// A TCP link that can be cut, delayed or go silent.
+        /// A TCP proxy that can cut, delay or silence connections.
         cmd link {
-            /// What the link leads to.
+            /// Address to forward connections to.
             required --upstream upstream: SocketAddr
-            /// Where to listen; any free port of the loopback otherwise.
+            /// Listen address; any free port on loopback by default.
             optional --listen listen: SocketAddr
-            /// Where to take `POST /control`; any free port otherwise.
+            /// Listen address for `POST /control`; any free port on loopback by default.
             optional --control control: SocketAddr
         }
-        /// Many callers that check every answer.
+        /// A load generator that verifies every answer.
         cmd load {
-            /// A host's caller address; may be given several times.
+            /// Caller address of a host; may be given several times.
             repeated --gateway gateway: SocketAddr
-            /// A target's address: the same load straight at it, for comparison.
+            /// Address of a target, which gets the same load directly, for comparison.
             optional --direct direct: SocketAddr
             /// The bearer token.
             optional --token token: String
-            /// The path; `/v1/generate` when absent.
+            /// Path; `/v1/generate` by default.
             optional --path path: String
             /// The request class.
             optional --class class: String
-            /// How many callers call at once; 1 when absent.
+            /// Number of concurrent callers; 1 by default.
             optional --callers callers: usize
-            /// How many requests each caller makes; 1 when absent.
+            /// Number of requests per caller; 1 by default.
             optional --requests requests: usize
-            /// How long a caller waits before each request, in milliseconds.
+            /// Pause of a caller before each request, in milliseconds.
             optional --pause-ms pause: u64
-            /// Asks engines for streams.
+            /// Request streamed answers from engines.
             optional --stream
-            /// How many tokens an engine makes for a request.
+            /// Number of tokens that an engine generates per request.
             optional --max-tokens tokens: u32
-            /// How long a prompt is, in bytes.
+            /// Prompt length in bytes.
             optional --prompt-bytes bytes: usize
-            /// The deadline that each request bears, in milliseconds.
+            /// Deadline of each request, in milliseconds.
             optional --deadline-ms deadline: u64
-            /// Prints JSON.
+            /// Print the report as JSON.
             optional --json
         }
     }
--- a/standins/src/engine/engine_handler.rs
+++ b/standins/src/engine/engine_handler.rs
@@ -1,4 +1,4 @@
-//! The engine's answers, request by request.
+//! Request handler of the engine stand-in.
 
 use std::io;
 use std::sync::Arc;
@@ -26,12 +26,12 @@
 use crate::http::json_reply;
 use crate::http::status_reply;
 
-/// The id that a faulty engine echoes.
+/// Request id in answers with the `wrong_id` fault.
 const WRONG_ID: &str = "00000000-0000-7000-8000-000000000000";
-/// Where streams are resumed and cancelled.
+/// Path prefix for resuming and cancelling streams.
 const STREAM_PREFIX: &str = "/v1/streams/";
 
-/// The body of `POST /v1/generate`.
+/// Body of `POST /v1/generate`.
 #[derive(Debug, Deserialize)]
 struct GenerateBody {
     prompt: String,
@@ -40,14 +40,14 @@
     stream: bool,
 }
 
-/// The query of a resumed stream.
+/// Query parameters of a resumed stream.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct ResumeQuery {
     from: u32,
 }
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn answer(
     shared: Arc<EngineShared>,
     mut request: Request,
@@ -61,10 +61,10 @@
             Ok(resume(&shared, id, query.from))
         }
         (Method::Delete, _, Some(id)) => Ok(cancel(&shared, id)),
-        (Method::Get, "/v1/load", _) => json_reply(&shared.lagging_load()),
+        (Method::Get, "/v1/load", _) => json_reply(&shared.delayed_load()),
         (Method::Post, "/v1/orders", _) => {
             let order: EngineOrder = request.body_json().await?;
-            Ok(take_order(&shared, order))
+            Ok(accept_order(&shared, order))
         }
         (Method::Post, "/control", _) => {
             shared.control(request.body_json().await?);
@@ -80,8 +80,8 @@
     mut request: Request,
 ) -> http_types::Result<Response> {
     let (faults, state) = {
-        let conduct = shared.conduct();
-        (conduct.faults.clone(), conduct.state)
+        let control_state = shared.control_state();
+        (control_state.faults.clone(), control_state.state)
     };
     if state == TargetState::Leaving {
         let mut response = status_reply(StatusCode::ServiceUnavailable);
@@ -92,11 +92,11 @@
     let Ok(body) = serde_json::from_str::<GenerateBody>(&text) else {
         return Ok(status_reply(StatusCode::BadRequest));
     };
-    let id = shared.executions.note(&request);
+    let id = shared.executions.record(&request);
     if faults
         .crash_on
         .as_ref()
-        .is_some_and(|mark| text.contains(mark))
+        .is_some_and(|trigger| text.contains(trigger))
     {
         shared.crash();
         return Err(http_types::format_err!("the engine crashed"));
@@ -107,7 +107,7 @@
     if body.stream {
         Ok(stream_reply(stream, 0, faults))
     } else {
-        whole_reply(&stream, &faults).await
+        complete_reply(&stream, &faults).await
     }
 }
 
@@ -115,7 +115,7 @@
     let Some(stream) = shared.streams().find(id) else {
         return status_reply(StatusCode::NotFound);
     };
-    let mut faults = shared.conduct().faults.clone();
+    let mut faults = shared.control_state().faults.clone();
     if !faults.on_resume {
         faults.cut_after = None;
         faults.silent_after = None;
@@ -129,22 +129,22 @@
         return status_reply(StatusCode::NotFound);
     };
     stream.cancel();
-    shared.conduct().cancelled.push(id.to_owned());
+    shared.control_state().cancelled.push(id.to_owned());
     status_reply(StatusCode::Ok)
 }
 
-fn take_order(shared: &EngineShared, order: EngineOrder) -> Response {
-    let mut conduct = shared.conduct();
-    let newest = conduct.orders.iter().map(|taken| taken.fence).max();
-    if conduct.checks_fences && newest.is_some_and(|fence| order.fence < fence) {
+fn accept_order(shared: &EngineShared, order: EngineOrder) -> Response {
+    let mut control_state = shared.control_state();
+    let newest = control_state.orders.iter().map(|taken| taken.fence).max();
+    if control_state.checks_fences && newest.is_some_and(|fence| order.fence < fence) {
         return status_reply(StatusCode::Conflict);
     }
-    conduct.orders.push(order);
+    control_state.orders.push(order);
     status_reply(StatusCode::Ok)
 }
 
-/// Returns the id that the answer bears.
-fn answered_id<'a>(stream: &'a TokenStream, faults: &EngineFaults) -> &'a str {
+/// Returns the request id for the answer, which differs from the real one under `wrong_id`.
+fn reply_id<'a>(stream: &'a TokenStream, faults: &EngineFaults) -> &'a str {
     if faults.wrong_id {
         WRONG_ID
     } else {
@@ -153,55 +153,55 @@
 }
 
 fn stream_reply(stream: Arc<TokenStream>, from: u32, faults: EngineFaults) -> Response {
-    let (pieces, body) = ChannelBody::open();
+    let (chunks, body) = ChannelBody::open();
     let mut response = Response::new(StatusCode::Ok);
     response.set_body(Body::from_reader(body, None));
     response.insert_header("Content-Type", "text/event-stream");
-    let id = answered_id(&stream, &faults);
+    let id = reply_id(&stream, &faults);
     if !id.is_empty() {
         response.insert_header("Request-Id", id);
     }
     task::spawn(async move {
-        // A reader that went away ends this task, not the generation.
-        relay(&stream, from, &faults, &pieces).await.ok();
+        // A client disconnect ends this task but not the generation.
+        send_events(&stream, from, &faults, &chunks).await.ok();
     });
     response
 }
 
-/// Sends the stream's events from `from` on, until its end or a fault.
-async fn relay(
+/// Sends the stream's events starting at `from`, until the end or an injected fault.
+async fn send_events(
     stream: &TokenStream,
     from: u32,
     faults: &EngineFaults,
-    pieces: &Sender<io::Result<Vec<u8>>>,
+    chunks: &Sender<io::Result<Vec<u8>>>,
 ) -> Result<(), async_channel::SendError<io::Result<Vec<u8>>>> {
     let mut offset = from;
     let mut sent = 0;
     loop {
-        if faults.silent_after.is_some_and(|bound| sent >= bound) {
+        if faults.silent_after.is_some_and(|limit| sent >= limit) {
             futures_lite::future::pending::<()>().await;
         }
-        if faults.cut_after.is_some_and(|bound| sent >= bound) {
-            return pieces.send(Err(broken())).await;
+        if faults.cut_after.is_some_and(|limit| sent >= limit) {
+            return chunks.send(Err(connection_aborted())).await;
         }
         if offset >= stream.max_tokens {
             break;
         }
-        stream.reach_beyond(offset).await;
+        stream.wait_for_token(offset).await;
         if stream.produced() <= offset {
-            return pieces.send(Err(broken())).await;
+            return chunks.send(Err(connection_aborted())).await;
         }
-        let text = token_text(answered_id(stream, faults), offset);
+        let text = token_text(reply_id(stream, faults), offset);
         let event = json!({"offset": offset, "text": text});
-        pieces.send(Ok(event_bytes(&event))).await?;
+        chunks.send(Ok(event_bytes(&event))).await?;
         offset += 1;
         sent += 1;
     }
     let end = json!({"done": true, "tokens": stream.max_tokens});
-    pieces.send(Ok(event_bytes(&end))).await
+    chunks.send(Ok(event_bytes(&end))).await
 }
 
-fn broken() -> io::Error {
+fn connection_aborted() -> io::Error {
     io::ErrorKind::ConnectionAborted.into()
 }
 
@@ -209,21 +209,24 @@
     format!("data: {event}\n\n").into_bytes()
 }
 
-/// Waits for all tokens and answers them at once.
-async fn whole_reply(stream: &TokenStream, faults: &EngineFaults) -> http_types::Result<Response> {
+/// Waits for all tokens and answers with the complete text.
+async fn complete_reply(
+    stream: &TokenStream,
+    faults: &EngineFaults,
+) -> http_types::Result<Response> {
     while !stream.is_complete() {
-        stream.reach_beyond(stream.produced()).await;
+        stream.wait_for_token(stream.produced()).await;
         if stream.is_cancelled() {
             return Err(http_types::format_err!("the stream was cancelled"));
         }
     }
-    let id = answered_id(stream, faults);
+    let id = reply_id(stream, faults);
     let texts: Vec<String> = (0..stream.max_tokens)
         .map(|offset| token_text(id, offset))
         .collect();
     let answer = json!({"id": id, "text": texts.join(" "), "tokens": stream.max_tokens});
     let mut response = Response::new(StatusCode::Ok);
-    response.set_body(whole_body(serde_json::to_vec(&answer)?, faults));
+    response.set_body(complete_body(serde_json::to_vec(&answer)?, faults));
     response.insert_header("Content-Type", "application/json");
     if !id.is_empty() {
         response.insert_header("Request-Id", id);
@@ -231,10 +234,10 @@
     Ok(response)
 }
 
-fn whole_body(mut bytes: Vec<u8>, faults: &EngineFaults) -> Body {
+fn complete_body(mut bytes: Vec<u8>, faults: &EngineFaults) -> Body {
     let ending = match faults {
-        faults if faults.cut_after.is_some() => BodyEnding::Cut,
-        faults if faults.silent_after.is_some() => BodyEnding::Silent,
+        faults if faults.cut_after.is_some() => BodyEnding::Abort,
+        faults if faults.silent_after.is_some() => BodyEnding::Stall,
         _ => return Body::from_bytes(bytes),
     };
     let length = bytes.len();
--- a/standins/src/engine/engine_server.rs
+++ b/standins/src/engine/engine_server.rs
@@ -1,4 +1,4 @@
-//! The handle of a running engine.
+//! Handle of a running engine stand-in.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use crate::http::HttpServer;
 use crate::http::TargetState;
 
-/// A running engine; it ends when dropped.
+/// A running engine stand-in; it stops when dropped.
 pub struct EngineServer {
     server: Arc<HttpServer>,
     shared: Arc<EngineShared>,
@@ -37,17 +37,17 @@
         Ok(Self { server, shared })
     }
 
-    /// Returns where the engine listens.
+    /// Returns the address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes what is given and leaves the rest.
+    /// Applies the fields that are set in `control`.
     pub fn control(&self, control: EngineControl) {
         self.shared.control(control);
     }
 
-    /// Sets what is wrong with the engine.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.control(EngineControl {
             faults: Some(faults),
@@ -55,7 +55,7 @@
         });
     }
 
-    /// Sets whether the engine takes new work.
+    /// Sets whether the engine accepts new work.
     pub fn set_state(&self, state: TargetState) {
         self.control(EngineControl {
             state: Some(state),
@@ -63,42 +63,42 @@
         });
     }
 
-    /// Returns every execution that started, in order, crashes included.
+    /// Returns every execution that started, in order, including those lost in crashes.
     pub fn executions(&self) -> Vec<ExecutionRecord> {
         self.shared.executions.all()
     }
 
-    /// Returns the orders that were taken, in order.
+    /// Returns the accepted orders, in order.
     pub fn orders(&self) -> Vec<EngineOrder> {
-        self.shared.conduct().orders.clone()
+        self.shared.control_state().orders.clone()
     }
 
-    /// Returns the ids of the streams that were cancelled, in order.
+    /// Returns the ids of cancelled streams, in order.
     pub fn cancelled(&self) -> Vec<String> {
-        self.shared.conduct().cancelled.clone()
+        self.shared.control_state().cancelled.clone()
     }
 
-    /// Returns how many requests run now.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.shared.batch.running()
     }
 
-    /// Returns how many prompt tokens were processed.
+    /// Returns the number of prompt tokens that were prefilled.
     pub fn prefilled_tokens(&self) -> u64 {
         self.shared.prefilled_tokens.load(Ordering::Relaxed)
     }
 
-    /// Returns how many prompt tokens the cache spared.
+    /// Returns the number of prompt tokens that were found in the prefix cache.
     pub fn cached_tokens(&self) -> u64 {
         self.shared.cached_tokens.load(Ordering::Relaxed)
     }
 
-    /// Crashes as the settings say.
+    /// Simulates a crash according to the crash mode.
     pub fn crash(&self) {
         self.shared.crash();
     }
 
-    /// Comes back after a crash at the same address, with empty memory.
+    /// Restarts after a crash at the same address, without streams and cached prefixes.
     pub async fn restart(&self) -> io::Result<()> {
         self.server.restart().await
     }
--- a/standins/src/engine/engine_settings.rs
+++ b/standins/src/engine/engine_settings.rs
@@ -1,4 +1,4 @@
-//! What an engine is like and what is wrong with it.
+//! Performance settings and injectable faults of an engine.
 
 use std::time::Duration;
 
@@ -8,22 +8,22 @@
 use crate::http::CrashMode;
 use crate::http::TargetState;
 
-/// What an engine is like.
+/// Performance and behaviour of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSettings {
-    /// How fast one request decodes while no more than `slots` run.
+    /// Decoding speed of one request while at most `slots` requests run.
     pub tokens_per_second: f64,
-    /// How many requests run before they share the whole pace.
+    /// Number of concurrent requests above which they share the throughput.
     pub slots: u32,
-    /// How fast prompts are processed.
+    /// Prefill speed.
     pub prefill_tokens_per_second: f64,
-    /// How many prompt tokens the prefix cache holds.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u32,
-    /// How old a load report is when it is given.
+    /// Age of a load report when it is served.
     pub report_lag: Duration,
-    /// Whether an order with an old fence is refused.
+    /// Whether an order with an outdated fencing number is refused.
     pub checks_fences: bool,
-    /// What a crash does.
+    /// How crashes are simulated.
     pub crash_mode: CrashMode,
 }
 
@@ -41,25 +41,25 @@
     }
 }
 
-/// What is wrong with an engine.
+/// Injected faults of an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// How many times slower than its settings the engine runs.
+    /// Factor by which the engine runs slower than its settings.
     pub slow: f64,
-    /// Crashes when a body holds this text, after the execution was recorded.
+    /// Crashes when a request body contains this text, after recording the execution.
     pub crash_on: Option<String>,
-    /// Answers with another request's id and text.
+    /// Answers with the id and text of another request.
     pub wrong_id: bool,
-    /// Cuts the connection after this many tokens.
+    /// Closes the connection after this many tokens.
     pub cut_after: Option<u32>,
-    /// Sends nothing more after this many tokens, on an open connection.
+    /// Stops sending after this many tokens while keeping the connection open.
     pub silent_after: Option<u32>,
-    /// Whether `cut_after` and `silent_after` also befall resumed streams.
+    /// Whether `cut_after` and `silent_after` also apply to resumed streams.
     pub on_resume: bool,
-    /// How many tokens before the asked offset a resumed stream starts.
+    /// Number of tokens before the requested offset at which a resumed stream starts.
     pub overlap: u32,
-    /// How many tokens after the asked offset a resumed stream starts.
+    /// Number of tokens after the requested offset at which a resumed stream starts.
     pub gap: u32,
 }
 
@@ -78,28 +78,28 @@
     }
 }
 
-/// The body of `POST /control`; an absent field leaves what stands.
+/// Body of `POST /control`; absent fields are left unchanged.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineControl {
-    /// The faults, as a whole.
+    /// The complete new set of faults.
     pub faults: Option<EngineFaults>,
-    /// Whether the engine takes new work.
+    /// Whether the engine accepts new work.
     pub state: Option<TargetState>,
-    /// Whether an order with an old fence is refused.
+    /// Whether an order with an outdated fencing number is refused.
     pub checks_fences: Option<bool>,
 }
 
-/// An order that the engine took.
+/// An operator's order to an engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineOrder {
-    /// The fencing number: the version of the document that the order comes from.
+    /// Fencing number: the version of the document that the order is derived from.
     pub fence: u64,
     /// The model to load.
     #[serde(default)]
     pub model: String,
-    /// The role to take.
+    /// The role to assume.
     #[serde(default)]
     pub role: String,
 }
--- a/standins/src/engine/engine_shared.rs
+++ b/standins/src/engine/engine_shared.rs
@@ -1,4 +1,4 @@
-//! What an engine's connections and generations share.
+//! State shared by the connections and generation tasks of an engine.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -22,12 +22,12 @@
 use crate::http::TargetState;
 use crate::http::unix_now;
 
-/// The exit code of a crashed stand-in.
-const CRASH_CODE: i32 = 70;
+/// Exit code of a stand-in that simulates a crash.
+const CRASH_EXIT_CODE: i32 = 70;
 
-/// What may be changed from outside.
+/// State that control requests and tests read or change.
 #[derive(Debug)]
-pub(crate) struct EngineConduct {
+pub(crate) struct ControlState {
     pub(crate) faults: EngineFaults,
     pub(crate) state: TargetState,
     pub(crate) checks_fences: bool,
@@ -35,7 +35,7 @@
     pub(crate) cancelled: Vec<String>,
 }
 
-/// Everything that one engine is.
+/// State of one engine.
 pub(crate) struct EngineShared {
     pub(crate) settings: EngineSettings,
     pub(crate) batch: BatchState,
@@ -43,7 +43,7 @@
     pub(crate) server: OnceLock<Weak<HttpServer>>,
     pub(crate) prefilled_tokens: AtomicU64,
     pub(crate) cached_tokens: AtomicU64,
-    conduct: Mutex<EngineConduct>,
+    control_state: Mutex<ControlState>,
     cache: Mutex<PrefixCache>,
     streams: Mutex<StreamTable>,
     history: Mutex<LoadHistory>,
@@ -58,7 +58,7 @@
             server: OnceLock::new(),
             prefilled_tokens: AtomicU64::new(0),
             cached_tokens: AtomicU64::new(0),
-            conduct: Mutex::new(EngineConduct {
+            control_state: Mutex::new(ControlState {
                 faults: EngineFaults::default(),
                 state: TargetState::Live,
                 checks_fences: settings.checks_fences,
@@ -69,12 +69,14 @@
             streams: Mutex::new(StreamTable::default()),
             history: Mutex::new(LoadHistory::default()),
         };
-        shared.note_load();
+        shared.record_load();
         shared
     }
 
-    pub(crate) fn conduct(&self) -> MutexGuard<'_, EngineConduct> {
-        self.conduct.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn control_state(&self) -> MutexGuard<'_, ControlState> {
+        self.control_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn cache(&self) -> MutexGuard<'_, PrefixCache> {
@@ -89,57 +91,61 @@
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns how many times slower than its settings the engine runs.
-    pub(crate) fn slow(&self) -> f64 {
-        self.conduct().faults.slow
+    /// Returns the factor by which the engine runs slower than its settings.
+    pub(crate) fn slowdown(&self) -> f64 {
+        self.control_state().faults.slow
     }
 
-    /// Notes the load for later reports.
-    pub(crate) fn note_load(&self) {
-        let conduct = self.conduct();
-        let pace = self.batch.token_time(&self.settings, conduct.faults.slow);
+    /// Records the current load for later reports.
+    pub(crate) fn record_load(&self) {
+        let control_state = self.control_state();
+        let pace = self
+            .batch
+            .token_time(&self.settings, control_state.faults.slow);
         let report = LoadReport {
             taken_ms: unix_now(),
             running: self.batch.running(),
             waiting: self.batch.prefilling(),
             tokens_per_second: 1.0 / pace.as_secs_f64(),
-            state: conduct.state,
+            state: control_state.state,
         };
-        drop(conduct);
-        self.history().note(report, self.settings.report_lag);
+        drop(control_state);
+        self.history().record(report, self.settings.report_lag);
     }
 
-    /// Returns the load as it stood one lag ago.
-    pub(crate) fn lagging_load(&self) -> Option<LoadReport> {
-        self.history().lagging(unix_now(), self.settings.report_lag)
+    /// Returns the load report of `report_lag` ago.
+    pub(crate) fn delayed_load(&self) -> Option<LoadReport> {
+        self.history()
+            .report_at_lag(unix_now(), self.settings.report_lag)
     }
 
-    /// Changes what an operator or a test asks to change.
+    /// Applies a control request.
     pub(crate) fn control(&self, control: EngineControl) {
         {
-            let mut conduct = self.conduct();
+            let mut control_state = self.control_state();
             if let Some(faults) = control.faults {
-                conduct.faults = faults;
+                control_state.faults = faults;
             }
             if let Some(state) = control.state {
-                conduct.state = state;
+                control_state.state = state;
             }
             if let Some(checks) = control.checks_fences {
-                conduct.checks_fences = checks;
+                control_state.checks_fences = checks;
             }
         }
-        self.note_load();
+        self.record_load();
     }
 
-    /// Crashes: every connection and every stream is lost.
+    /// Simulates a crash: drops all connections, streams and the prefix cache, or exits the
+    /// process.
     pub(crate) fn crash(&self) {
         if self.settings.crash_mode == CrashMode::ExitProcess {
-            std::process::exit(CRASH_CODE);
+            std::process::exit(CRASH_EXIT_CODE);
         }
         if let Some(server) = self.server.get().and_then(Weak::upgrade) {
             server.crash();
         }
-        self.streams().drop_all();
+        self.streams().cancel_all();
         *self.cache() = PrefixCache::new(self.settings.cache_tokens);
     }
 }
--- a/standins/src/engine/load_history.rs
+++ b/standins/src/engine/load_history.rs
@@ -1,4 +1,4 @@
-//! The lagging load report.
+//! History of load reports, which are served with a delay.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,30 +7,30 @@
 
 use crate::http::TargetState;
 
-/// What an engine says of its load.
+/// An engine's load report.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct LoadReport {
-    /// When it was true, in milliseconds since the Unix epoch.
+    /// Time of the report, in milliseconds since the Unix epoch.
     pub(crate) taken_ms: u64,
-    /// How many requests ran.
+    /// Number of running requests.
     pub(crate) running: u32,
-    /// How many of them still had their prompt processed.
+    /// Number of running requests still in prefill.
     pub(crate) waiting: u32,
-    /// How fast one request decoded.
+    /// Decoding speed of one request.
     pub(crate) tokens_per_second: f64,
-    /// Whether the engine took new work.
+    /// Whether the engine accepted new work.
     pub(crate) state: TargetState,
 }
 
-/// The reports of the last while; what is given is as old as the lag.
+/// Load reports covering at least the report lag.
 #[derive(Debug, Default)]
 pub(crate) struct LoadHistory {
     reports: VecDeque<LoadReport>,
 }
 
 impl LoadHistory {
-    /// Notes how things stand, and forgets what no report can show any more.
-    pub(crate) fn note(&mut self, report: LoadReport, lag: Duration) {
+    /// Appends a report and evicts those older than the lag requires.
+    pub(crate) fn record(&mut self, report: LoadReport, lag: Duration) {
         let oldest = report.taken_ms.saturating_sub(lag.as_millis() as u64);
         self.reports.push_back(report);
         while self.reports.len() > 1 && self.reports[1].taken_ms <= oldest {
@@ -38,16 +38,16 @@
         }
     }
 
-    /// Returns how things stood `lag` before `now_ms`, or first of all.
-    pub(crate) fn lagging(&self, now_ms: u64, lag: Duration) -> Option<LoadReport> {
-        let moment = now_ms.saturating_sub(lag.as_millis() as u64);
-        let stood = self
+    /// Returns the report in effect `lag` before `now_ms`, or the oldest one.
+    pub(crate) fn report_at_lag(&self, now_ms: u64, lag: Duration) -> Option<LoadReport> {
+        let reported_ms = now_ms.saturating_sub(lag.as_millis() as u64);
+        let report_then = self
             .reports
             .iter()
             .rev()
-            .find(|report| report.taken_ms <= moment);
-        let mut report = stood.or_else(|| self.reports.front())?.clone();
-        report.taken_ms = moment;
+            .find(|report| report.taken_ms <= reported_ms);
+        let mut report = report_then.or_else(|| self.reports.front())?.clone();
+        report.taken_ms = reported_ms;
         Some(report)
     }
 }
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -1,4 +1,5 @@
-//! A model engine: continuous batching, a prompt-prefix cache, resumable streams.
+//! Stand-in for a model engine with continuous batching, a prompt-prefix cache and resumable
+//! streams.
 
 mod batch_state;
 mod engine_handler;
--- a/standins/src/engine/prefix_cache.rs
+++ b/standins/src/engine/prefix_cache.rs
@@ -1,21 +1,21 @@
-//! The prompt-prefix cache: blocks of prompts in limited memory.
+//! LRU cache of prompt prefixes, in fixed-size blocks.
 
 use std::collections::VecDeque;
 use std::hash::DefaultHasher;
 use std::hash::Hash;
 use std::hash::Hasher;
 
-/// How many bytes of a prompt make one token.
+/// Prompt bytes per token in the simulated tokenizer.
 const BYTES_PER_TOKEN: usize = 4;
-/// How many tokens make one block.
+/// Tokens per cache block.
 const TOKENS_PER_BLOCK: usize = 16;
 
-/// Returns how many tokens a prompt has.
+/// Returns the number of tokens in a prompt.
 pub(crate) fn prompt_tokens(prompt: &str) -> u32 {
     prompt.len().div_ceil(BYTES_PER_TOKEN) as u32
 }
 
-/// The blocks that were used last, oldest first.
+/// Hashes of cached blocks, least recently used first.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     blocks: VecDeque<u64>,
@@ -23,7 +23,7 @@
 }
 
 impl PrefixCache {
-    /// Makes an empty cache that holds `tokens`.
+    /// Creates an empty cache with room for `tokens`.
     pub(crate) fn new(tokens: u32) -> Self {
         Self {
             blocks: VecDeque::new(),
@@ -31,35 +31,35 @@
         }
     }
 
-    /// Returns how many of the prompt's first tokens were there, and keeps all of it.
-    pub(crate) fn take_in(&mut self, prompt: &str) -> u32 {
-        let chain = block_chain(prompt);
-        let mut hits = 0;
-        let mut whole = true;
-        for block in chain {
-            let known = self.touch(block);
-            whole &= known;
-            hits += u32::from(whole);
+    /// Returns the length of the cached prefix in tokens, and caches the whole prompt.
+    pub(crate) fn lookup_and_insert(&mut self, prompt: &str) -> u32 {
+        let hashes = block_hashes(prompt);
+        let mut hit_blocks = 0;
+        let mut contiguous = true;
+        for block in hashes {
+            let hit = self.touch(block);
+            contiguous &= hit;
+            hit_blocks += u32::from(contiguous);
         }
-        hits * TOKENS_PER_BLOCK as u32
+        hit_blocks * TOKENS_PER_BLOCK as u32
     }
 
-    /// Makes a block the newest; tells whether it was there.
+    /// Marks a block as the most recently used; returns whether it was cached.
     fn touch(&mut self, block: u64) -> bool {
-        let place = self.blocks.iter().rposition(|kept| *kept == block);
-        if let Some(index) = place {
+        let position = self.blocks.iter().rposition(|cached| *cached == block);
+        if let Some(index) = position {
             self.blocks.remove(index);
         }
         self.blocks.push_back(block);
         while self.blocks.len() > self.capacity {
             self.blocks.pop_front();
         }
-        place.is_some()
+        position.is_some()
     }
 }
 
-/// Returns the hash of each whole block together with all before it.
-fn block_chain(prompt: &str) -> Vec<u64> {
+/// Returns for each full block the hash of the prompt up to its end.
+fn block_hashes(prompt: &str) -> Vec<u64> {
     let mut hasher = DefaultHasher::new();
     prompt
         .as_bytes()
--- a/standins/src/engine/token_stream.rs
+++ b/standins/src/engine/token_stream.rs
@@ -1,4 +1,4 @@
-//! One request's tokens as they come into being.
+//! Progress of a request's token generation.
 
 use std::hash::DefaultHasher;
 use std::hash::Hash;
@@ -9,21 +9,21 @@
 
 use event_listener::Event;
 
-/// Returns the text of one token: it tells the offset and the request.
+/// Returns the text of a token, which identifies its offset and request.
 pub fn token_text(request_id: &str, offset: u32) -> String {
     let mut hasher = DefaultHasher::new();
     request_id.hash(&mut hasher);
     format!("t{offset}-{:08x}", hasher.finish() as u32)
 }
 
-/// A request's tokens: how many there are and how many there will be.
+/// Number of tokens that a request has generated, and its maximum.
 #[derive(Debug)]
 pub(crate) struct TokenStream {
     pub(crate) id: String,
     pub(crate) max_tokens: u32,
     produced: AtomicU32,
     cancelled: AtomicBool,
-    grown: Event,
+    changed: Event,
 }
 
 impl TokenStream {
@@ -33,44 +33,44 @@
             max_tokens,
             produced: AtomicU32::new(0),
             cancelled: AtomicBool::new(false),
-            grown: Event::new(),
+            changed: Event::new(),
         }
     }
 
-    /// Returns how many tokens there are.
+    /// Returns the number of tokens generated so far.
     pub(crate) fn produced(&self) -> u32 {
         self.produced.load(Ordering::Acquire)
     }
 
     /// Adds one token.
-    pub(crate) fn grow(&self) {
+    pub(crate) fn push_token(&self) {
         self.produced.fetch_add(1, Ordering::Release);
-        self.grown.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 
-    /// Ends the generation before its time.
+    /// Aborts the generation.
     pub(crate) fn cancel(&self) {
         self.cancelled.store(true, Ordering::Release);
-        self.grown.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 
     pub(crate) fn is_cancelled(&self) -> bool {
         self.cancelled.load(Ordering::Acquire)
     }
 
-    /// Tells whether all tokens are there.
+    /// Returns whether all tokens have been generated.
     pub(crate) fn is_complete(&self) -> bool {
         self.produced() >= self.max_tokens
     }
 
-    /// Waits until more than `offset` tokens are there, or until no more will come.
-    pub(crate) async fn reach_beyond(&self, offset: u32) {
+    /// Waits until the token at `offset` exists or no more tokens will be generated.
+    pub(crate) async fn wait_for_token(&self, offset: u32) {
         loop {
-            let grown = self.grown.listen();
+            let changed = self.changed.listen();
             if self.produced() > offset || self.is_complete() || self.is_cancelled() {
                 return;
             }
-            grown.await;
+            changed.await;
         }
     }
 }
--- a/standins/src/http/channel_body.rs
+++ b/standins/src/http/channel_body.rs
@@ -1,4 +1,4 @@
-//! A response body that another task writes piece by piece.
+//! Answer body that another task writes through a channel.
 
 use std::io;
 use std::pin::Pin;
@@ -12,23 +12,23 @@
 use futures_lite::Stream;
 use futures_lite::ready;
 
-/// How many pieces may wait for the connection.
-const PIECE_BOUND: usize = 16;
+/// Channel capacity, in chunks.
+const MAX_PENDING_CHUNKS: usize = 16;
 
-/// A body read from a channel of pieces; an error in the channel cuts the message.
+/// A body read from a channel of chunks; an error in the channel aborts the connection.
 pub(crate) struct ChannelBody {
-    pieces: Pin<Box<Receiver<io::Result<Vec<u8>>>>>,
-    piece: Vec<u8>,
+    chunks: Pin<Box<Receiver<io::Result<Vec<u8>>>>>,
+    chunk: Vec<u8>,
     consumed: usize,
 }
 
 impl ChannelBody {
-    /// Opens the channel.
+    /// Creates the body and the sender of its chunks.
     pub(crate) fn open() -> (Sender<io::Result<Vec<u8>>>, Self) {
-        let (sender, receiver) = async_channel::bounded(PIECE_BOUND);
+        let (sender, receiver) = async_channel::bounded(MAX_PENDING_CHUNKS);
         let body = Self {
-            pieces: Box::pin(receiver),
-            piece: Vec::new(),
+            chunks: Box::pin(receiver),
+            chunk: Vec::new(),
             consumed: 0,
         };
         (sender, body)
@@ -38,14 +38,14 @@
 impl AsyncBufRead for ChannelBody {
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let body = self.get_mut();
-        while body.consumed == body.piece.len() {
-            match ready!(body.pieces.as_mut().poll_next(context)) {
-                Some(piece) => body.piece = piece?,
+        while body.consumed == body.chunk.len() {
+            match ready!(body.chunks.as_mut().poll_next(context)) {
+                Some(chunk) => body.chunk = chunk?,
                 None => return Poll::Ready(Ok(&[])),
             }
             body.consumed = 0;
         }
-        Poll::Ready(Ok(&body.piece[body.consumed..]))
+        Poll::Ready(Ok(&body.chunk[body.consumed..]))
     }
 
     fn consume(self: Pin<&mut Self>, count: usize) {
@@ -59,9 +59,9 @@
         context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let piece = ready!(self.as_mut().poll_fill_buf(context))?;
-        let count = piece.len().min(buffer.len());
-        buffer[..count].copy_from_slice(&piece[..count]);
+        let chunk = ready!(self.as_mut().poll_fill_buf(context))?;
+        let count = chunk.len().min(buffer.len());
+        buffer[..count].copy_from_slice(&chunk[..count]);
         self.consume(count);
         Poll::Ready(Ok(count))
     }
--- a/standins/src/http/execution_log.rs
+++ b/standins/src/http/execution_log.rs
@@ -1,4 +1,4 @@
-//! What a target remembers of everything that it ever ran.
+//! Log of the requests that a target executed.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -18,37 +18,37 @@
         .map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetState {
-    /// Takes new work.
+    /// Accepts new work.
     #[default]
     Live,
-    /// Finishes what runs and refuses what is new.
+    /// Completes running requests and refuses new ones.
     Leaving,
 }
 
-/// One start of a request on a target.
+/// The start of a request's execution on a target.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ExecutionRecord {
-    /// The request's `Request-Id`; empty when there was none.
+    /// The `Request-Id` header; empty if absent.
     pub id: String,
-    /// The request's `Request-Attempt`; 1 when there was none.
+    /// The `Request-Attempt` header; 1 if absent.
     pub attempt: u32,
-    /// When the request started, in milliseconds since the Unix epoch.
+    /// Start time, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// Every execution of a target's life, crashes included.
+/// All executions of a target; the log survives simulated crashes.
 #[derive(Debug, Default)]
 pub(crate) struct ExecutionLog {
     records: Mutex<Vec<ExecutionRecord>>,
 }
 
 impl ExecutionLog {
-    /// Notes the start of `request` and returns its id.
-    pub(crate) fn note(&self, request: &Request) -> String {
+    /// Records the start of `request` and returns its id.
+    pub(crate) fn record(&self, request: &Request) -> String {
         let id = header_text(request, "Request-Id").unwrap_or_default();
         let attempt = header_text(request, "Request-Attempt")
             .and_then(|text| text.parse().ok())
@@ -61,7 +61,7 @@
         id
     }
 
-    /// Returns everything noted.
+    /// Returns all records.
     pub(crate) fn all(&self) -> Vec<ExecutionRecord> {
         self.records().clone()
     }
--- a/standins/src/http/faulty_body.rs
+++ b/standins/src/http/faulty_body.rs
@@ -1,4 +1,4 @@
-//! A body of known length that does not end as its length says.
+//! Answer body that is shorter than its declared length.
 
 use std::io;
 use std::pin::Pin;
@@ -9,18 +9,18 @@
 use futures_lite::AsyncRead;
 use futures_lite::ready;
 
-/// What comes after the bytes of a [`FaultyBody`].
+/// What happens after the last byte of a [`FaultyBody`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum BodyEnding {
-    /// The reader ends; short of the length, the connection stays open.
+    /// End of file before the declared length; the connection stays open.
     Short,
-    /// The connection is cut.
-    Cut,
-    /// Nothing comes any more and the connection stays open.
-    Silent,
+    /// The connection is aborted.
+    Abort,
+    /// No further data; the connection stays open.
+    Stall,
 }
 
-/// A body that sends its bytes and then ends as it was told.
+/// A body that sends its bytes and then behaves as `ending` says.
 pub(crate) struct FaultyBody {
     bytes: Vec<u8>,
     sent: usize,
@@ -28,7 +28,7 @@
 }
 
 impl FaultyBody {
-    /// Makes a body of `bytes` that ends with `ending`.
+    /// Creates a body of `bytes` followed by `ending`.
     pub(crate) const fn new(bytes: Vec<u8>, ending: BodyEnding) -> Self {
         Self {
             bytes,
@@ -46,8 +46,8 @@
         }
         match body.ending {
             BodyEnding::Short => Poll::Ready(Ok(&[])),
-            BodyEnding::Cut => Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into())),
-            BodyEnding::Silent => Poll::Pending,
+            BodyEnding::Abort => Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into())),
+            BodyEnding::Stall => Poll::Pending,
         }
     }
 
--- a/standins/src/http/http_server.rs
+++ b/standins/src/http/http_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server that can crash and come back.
+//! HTTP/1.1 server that can simulate crashes and restarts.
 
 use std::future::Future;
 use std::io;
@@ -19,28 +19,28 @@
 use http_types::Request;
 use http_types::Response;
 
-/// How long a restart waits between tries to bind its old address.
-const REBIND_PAUSE: Duration = Duration::from_millis(5);
-/// How often a restart tries to bind its old address.
-const REBIND_TRIES: usize = 2000;
+/// Delay between attempts to bind the previous address on a restart.
+const REBIND_DELAY: Duration = Duration::from_millis(5);
+/// Maximum number of attempts to bind the previous address on a restart.
+const MAX_REBIND_ATTEMPTS: usize = 2000;
 
-/// What a handler's answer comes as; an error cuts the connection.
+/// Future of a handler's answer; an error closes the connection.
 pub(crate) type ReplyFuture = Pin<Box<dyn Future<Output = http_types::Result<Response>> + Send>>;
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) type RequestHandler = dyn Fn(Request) -> ReplyFuture + Send + Sync;
 
-/// What a crash does.
+/// How a crash is simulated.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum CrashMode {
-    /// Cuts every connection and refuses new ones, inside a living process.
+    /// Closes all connections and refuses new ones; the process keeps running.
     #[default]
     InProcess,
-    /// Ends the process.
+    /// Exits the process.
     ExitProcess,
 }
 
-/// A listener with its connections, which all end at once in a crash.
+/// A listener whose connections are all closed together in a crash.
 pub(crate) struct HttpServer {
     address: SocketAddr,
     handler: Arc<RequestHandler>,
@@ -48,7 +48,7 @@
 }
 
 impl HttpServer {
-    /// Binds `address` and answers with `handler` until dropped or crashed.
+    /// Binds `address` and serves requests with `handler` until dropped or crashed.
     pub(crate) async fn bind(
         address: SocketAddr,
         handler: Arc<RequestHandler>,
@@ -63,17 +63,17 @@
         })
     }
 
-    /// Returns where the server listens, or listened.
+    /// Returns the address that the server listens on, or listened on before a crash.
     pub(crate) const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Cuts every connection, drops every running handler and refuses new ones.
+    /// Closes the listener and all connections, and drops running handlers.
     pub(crate) fn crash(&self) {
         self.stop().close();
     }
 
-    /// Listens at the old address again; does nothing to a server that runs.
+    /// Listens on the previous address again; does nothing if the server is running.
     pub(crate) async fn restart(&self) -> io::Result<()> {
         if !self.stop().is_closed() {
             return Ok(());
@@ -85,19 +85,19 @@
 
     async fn rebind(&self) -> io::Result<TcpListener> {
         let mut last = io::ErrorKind::AddrInUse.into();
-        for _ in 0..REBIND_TRIES {
+        for _ in 0..MAX_REBIND_ATTEMPTS {
             match TcpListener::bind(self.address).await {
                 Ok(listener) => return Ok(listener),
                 Err(error) => last = error,
             }
-            task::sleep(REBIND_PAUSE).await;
+            task::sleep(REBIND_DELAY).await;
         }
         Err(last)
     }
 
     fn serve(listener: TcpListener, handler: Arc<RequestHandler>) -> Sender<()> {
         let (stop, stopped) = async_channel::bounded(1);
-        task::spawn(accept_all(listener, handler, stopped));
+        task::spawn(accept_loop(listener, handler, stopped));
         stop
     }
 
@@ -112,8 +112,8 @@
     }
 }
 
-/// Accepts until the server stops.
-async fn accept_all(listener: TcpListener, handler: Arc<RequestHandler>, stopped: Receiver<()>) {
+/// Accepts connections until the server stops.
+async fn accept_loop(listener: TcpListener, handler: Arc<RequestHandler>, stopped: Receiver<()>) {
     loop {
         let accepted = async { listener.accept().await.ok() };
         let stop = async {
@@ -126,14 +126,18 @@
             }
             continue;
         };
-        task::spawn(serve_one(stream, Arc::clone(&handler), stopped.clone()));
+        task::spawn(serve_connection(
+            stream,
+            Arc::clone(&handler),
+            stopped.clone(),
+        ));
     }
 }
 
-/// Serves one connection until it ends or the server stops.
-async fn serve_one(stream: TcpStream, handler: Arc<RequestHandler>, stopped: Receiver<()>) {
+/// Serves one connection until it closes or the server stops.
+async fn serve_connection(stream: TcpStream, handler: Arc<RequestHandler>, stopped: Receiver<()>) {
     stream.set_nodelay(true).ok();
-    let served = async {
+    let serving = async {
         async_h1::accept(stream.clone(), |request| handler(request))
             .await
             .ok();
@@ -141,6 +145,6 @@
     let stop = async {
         stopped.recv().await.ok();
     };
-    stop.or(served).await;
+    stop.or(serving).await;
     stream.shutdown(std::net::Shutdown::Both).ok();
 }
--- a/standins/src/http/mod.rs
+++ b/standins/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! What the HTTP stand-ins share: the server, body readers and records.
+//! HTTP server, body types and execution log shared by the stand-ins.
 
 mod channel_body;
 mod execution_log;
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what cardamomgw meets: platform, engine, service and link.
+//! Test doubles for the systems around cardamomgw: platform, engine, service and network link.
 //!
-//! Each is bound to an address and runs until its handle is dropped; tests keep
-//! the handle to set faults and to read what was recorded.
+//! Each is bound to an address and runs until its handle is dropped. Tests use the handle to
+//! inject faults and to read recorded executions.
 
 mod caller;
 mod engine;
--- a/standins/src/link/link_connection.rs
+++ b/standins/src/link/link_connection.rs
@@ -1,4 +1,4 @@
-//! One connection through a link.
+//! A connection proxied by a link.
 
 use std::net::Shutdown;
 use std::net::SocketAddr;
@@ -17,15 +17,15 @@
 
 use super::link_server::LinkMode;
 
-/// How much is passed on at once, in bytes.
-const PIECE_BYTES: usize = 16 << 10;
+/// Size of the forwarding buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// What befalls one connection.
+/// Faults injected into one connection.
 #[derive(Debug)]
 pub(crate) struct LinkConnection {
     pub(crate) client: SocketAddr,
-    silent_forth: AtomicBool,
-    silent_back: AtomicBool,
+    drop_upstream: AtomicBool,
+    drop_downstream: AtomicBool,
     cut: AtomicBool,
     ended: AtomicBool,
     changed: Event,
@@ -35,30 +35,30 @@
     pub(crate) fn new(client: SocketAddr, mode: LinkMode) -> Self {
         Self {
             client,
-            silent_forth: AtomicBool::new(mode.swallows_forth()),
-            silent_back: AtomicBool::new(mode.swallows_back()),
+            drop_upstream: AtomicBool::new(mode.drops_upstream()),
+            drop_downstream: AtomicBool::new(mode.drops_downstream()),
             cut: AtomicBool::new(false),
             ended: AtomicBool::new(false),
             changed: Event::new(),
         }
     }
 
-    /// Swallows from now on what `mode` says, without an end. A direction that was
-    /// silenced stays so.
+    /// Discards the directions that `mode` silences, without closing the connection. A direction
+    /// that is already silenced stays so.
     pub(crate) fn silence(&self, mode: LinkMode) {
-        self.silent_forth
-            .fetch_or(mode.swallows_forth(), Ordering::AcqRel);
-        self.silent_back
-            .fetch_or(mode.swallows_back(), Ordering::AcqRel);
+        self.drop_upstream
+            .fetch_or(mode.drops_upstream(), Ordering::AcqRel);
+        self.drop_downstream
+            .fetch_or(mode.drops_downstream(), Ordering::AcqRel);
     }
 
-    /// Ends the connection on both sides.
+    /// Closes the connection on both sides.
     pub(crate) fn cut(&self) {
         self.cut.store(true, Ordering::Release);
         self.changed.notify(usize::MAX);
     }
 
-    pub(crate) fn has_ended(&self) -> bool {
+    pub(crate) fn is_closed(&self) -> bool {
         self.ended.load(Ordering::Acquire)
     }
 
@@ -72,28 +72,28 @@
         }
     }
 
-    /// Passes bytes on in both directions until an end or a cut.
+    /// Forwards both directions until both ends close or the link is cut.
     pub(crate) async fn run(
         self: Arc<Self>,
         client: TcpStream,
         upstream: TcpStream,
         delay_ms: Arc<AtomicU64>,
     ) {
-        let forth = pump(
+        let upstream_copy = copy_bytes(
             client.clone(),
             upstream.clone(),
-            &self.silent_forth,
+            &self.drop_upstream,
             &self.cut,
             &delay_ms,
         );
-        let back = pump(
+        let downstream_copy = copy_bytes(
             upstream.clone(),
             client.clone(),
-            &self.silent_back,
+            &self.drop_downstream,
             &self.cut,
             &delay_ms,
         );
-        let both = futures_lite::future::zip(forth, back);
+        let both = futures_lite::future::zip(upstream_copy, downstream_copy);
         async {
             both.await;
         }
@@ -105,39 +105,39 @@
     }
 }
 
-/// Passes bytes on in one direction. A silent one also hides the end.
-async fn pump(
+/// Forwards one direction. A silenced direction does not propagate the end of the stream.
+async fn copy_bytes(
     mut from: TcpStream,
     mut to: TcpStream,
-    silent: &AtomicBool,
+    dropping: &AtomicBool,
     cut: &AtomicBool,
     delay_ms: &AtomicU64,
 ) {
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
-        let count = from.read(&mut piece).await.unwrap_or(0);
+        let count = from.read(&mut buffer).await.unwrap_or(0);
         let delay = Duration::from_millis(delay_ms.load(Ordering::Relaxed));
         if !delay.is_zero() {
             task::sleep(delay).await;
         }
-        if silent.load(Ordering::Acquire) {
-            swallow(&mut from).await;
+        if dropping.load(Ordering::Acquire) {
+            discard(&mut from).await;
         }
-        // What came behind a cut may be read before the task that waits for the cut has
-        // its turn; a request and its whole answer got through.
+        // Data may be read after the cut but before the task that waits for the cut runs; without
+        // this check, a request and its complete answer could still pass.
         if cut.load(Ordering::Acquire) {
             return;
         }
-        if count == 0 || to.write_all(&piece[..count]).await.is_err() {
+        if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
             to.shutdown(Shutdown::Write).ok();
             return;
         }
     }
 }
 
-/// Reads and drops what still comes, and never returns.
-async fn swallow(from: &mut TcpStream) {
-    let mut piece = vec![0; PIECE_BYTES];
-    while from.read(&mut piece).await.unwrap_or(0) > 0 {}
+/// Reads and discards all further data; never returns.
+async fn discard(from: &mut TcpStream) {
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    while from.read(&mut buffer).await.unwrap_or(0) > 0 {}
     futures_lite::future::pending::<()>().await;
 }
--- a/standins/src/link/link_server.rs
+++ b/standins/src/link/link_server.rs
@@ -1,4 +1,4 @@
-//! The link and what can be done to it.
+//! Fault-injecting TCP proxy.
 
 use std::io;
 use std::net::Shutdown;
@@ -25,58 +25,60 @@
 use crate::http::HttpServer;
 use crate::http::status_reply;
 
-/// What a link does with a connection.
+/// How the link treats a connection.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkMode {
-    /// Passes everything on.
+    /// Forwards both directions.
     #[default]
     Open,
-    /// Ends connections, and new ones as soon as they come.
+    /// Closes existing connections, and new ones as soon as they are accepted.
     Cut,
-    /// Swallows everything, on new connections too, and ends none.
+    /// Discards data in both directions, also on new connections, and closes none.
     Silent,
-    /// Swallows what clients write, and passes answers on.
+    /// Discards data from clients and forwards data from the upstream.
     SilentForth,
-    /// Swallows answers, and passes on what clients write.
+    /// Discards data from the upstream and forwards data from clients.
     SilentBack,
 }
 
 impl LinkMode {
-    pub(super) const fn swallows_forth(self) -> bool {
+    pub(super) const fn drops_upstream(self) -> bool {
         matches!(self, Self::Silent | Self::SilentForth)
     }
 
-    pub(super) const fn swallows_back(self) -> bool {
+    pub(super) const fn drops_downstream(self) -> bool {
         matches!(self, Self::Silent | Self::SilentBack)
     }
 }
 
-/// The body of a link process's `POST /control`; what is absent stays.
+/// Body of a link process's `POST /control`; absent fields are left unchanged.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkControl {
-    /// What the link does with every connection from now on.
+    /// The mode of all connections from now on.
     pub mode: Option<LinkMode>,
-    /// How much later each piece arrives, in milliseconds.
+    /// Delay added to each read before it is forwarded, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// Silences the connections that stand now, for good; new ones work.
+    /// Discards all further data on the existing connections; new ones are not affected.
     pub silence_existing: bool,
 }
 
-/// Tells by a connection's client what the link does with it.
-type LinkGate = dyn Fn(SocketAddr) -> LinkMode + Send + Sync;
+/// Returns the mode of a connection from its client's address.
+type ModeSelector = dyn Fn(SocketAddr) -> LinkMode + Send + Sync;
 
 struct LinkShared {
     upstream: SocketAddr,
-    gate: Mutex<Arc<LinkGate>>,
+    mode_selector: Mutex<Arc<ModeSelector>>,
     delay_ms: Arc<AtomicU64>,
     connections: Mutex<Vec<Arc<LinkConnection>>>,
 }
 
 impl LinkShared {
-    fn gate(&self) -> MutexGuard<'_, Arc<LinkGate>> {
-        self.gate.lock().unwrap_or_else(PoisonError::into_inner)
+    fn mode_selector(&self) -> MutexGuard<'_, Arc<ModeSelector>> {
+        self.mode_selector
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn connections(&self) -> MutexGuard<'_, Vec<Arc<LinkConnection>>> {
@@ -85,17 +87,17 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Asks the gate what to do with a client's connection.
-    fn mode_of(&self, client: SocketAddr) -> LinkMode {
-        let gate = Arc::clone(&self.gate());
-        gate(client)
+    /// Returns the mode of a client's connection.
+    fn mode_for(&self, client: SocketAddr) -> LinkMode {
+        let mode_selector = Arc::clone(&self.mode_selector());
+        mode_selector(client)
     }
 
-    fn set_gate(&self, gate: Arc<LinkGate>) {
-        *self.gate() = gate;
+    fn set_mode_selector(&self, mode_selector: Arc<ModeSelector>) {
+        *self.mode_selector() = mode_selector;
         let connections = self.connections().clone();
         for connection in connections {
-            match self.mode_of(connection.client) {
+            match self.mode_for(connection.client) {
                 LinkMode::Cut => connection.cut(),
                 mode => connection.silence(mode),
             }
@@ -116,12 +118,12 @@
             self.silence_existing();
         }
         if let Some(mode) = control.mode {
-            self.set_gate(Arc::new(move |_| mode));
+            self.set_mode_selector(Arc::new(move |_| mode));
         }
     }
 }
 
-/// A running link; it ends with all its connections when dropped.
+/// A running link; dropping it closes the listener and all connections.
 pub struct LinkServer {
     address: SocketAddr,
     shared: Arc<LinkShared>,
@@ -130,17 +132,17 @@
 }
 
 impl LinkServer {
-    /// Binds `address` and passes every connection on to `upstream`.
+    /// Binds `address` and forwards every connection to `upstream`.
     pub async fn bind(address: SocketAddr, upstream: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(LinkShared {
             upstream,
-            gate: Mutex::new(Arc::new(|_| LinkMode::Open)),
+            mode_selector: Mutex::new(Arc::new(|_| LinkMode::Open)),
             delay_ms: Arc::new(AtomicU64::new(0)),
             connections: Mutex::new(Vec::new()),
         });
-        let accepting = task::spawn(accept_all(listener, Arc::clone(&shared)));
+        let accepting = task::spawn(accept_loop(listener, Arc::clone(&shared)));
         Ok(Self {
             address,
             shared,
@@ -149,7 +151,7 @@
         })
     }
 
-    /// Binds like [`Self::bind`] and takes `POST /control` at `control_address`.
+    /// Like [`Self::bind`], and accepts `POST /control` on `control_address`.
     pub async fn bind_controlled(
         address: SocketAddr,
         upstream: SocketAddr,
@@ -166,7 +168,7 @@
         Ok(server)
     }
 
-    /// Returns where the link takes `POST /control`, if it does.
+    /// Returns the address of the control endpoint, if there is one.
     pub fn control_address(&self) -> Option<SocketAddr> {
         Some(self.control.as_ref()?.address())
     }
@@ -178,33 +180,36 @@
 
     /// Does the same with every connection, standing ones and new ones.
     pub fn set_mode(&self, mode: LinkMode) {
-        self.shared.set_gate(Arc::new(move |_| mode));
+        self.shared.set_mode_selector(Arc::new(move |_| mode));
     }
 
-    /// Decides by the client of each connection, standing ones and new ones.
+    /// Sets a function that selects the mode of existing and new connections by client address.
     ///
-    /// A connection that was silenced or cut stays so.
-    pub fn set_gate(&self, gate: impl Fn(SocketAddr) -> LinkMode + Send + Sync + 'static) {
-        self.shared.set_gate(Arc::new(gate));
+    /// A connection that was silenced or closed stays so.
+    pub fn set_mode_selector(
+        &self,
+        mode_selector: impl Fn(SocketAddr) -> LinkMode + Send + Sync + 'static,
+    ) {
+        self.shared.set_mode_selector(Arc::new(mode_selector));
     }
 
-    /// Delays each piece from now on.
+    /// Sets the delay added to each read before it is forwarded.
     pub fn set_delay(&self, delay: Duration) {
         let millis = delay.as_millis() as u64;
         self.shared.delay_ms.store(millis, Ordering::Relaxed);
     }
 
-    /// Silences the connections that stand now, for good; new ones work.
+    /// Discards all further data on the existing connections; new ones are not affected.
     pub fn silence_existing(&self) {
         self.shared.silence_existing();
     }
 
-    /// Returns how many connections stand.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         let connections = self.shared.connections();
         connections
             .iter()
-            .filter(|connection| !connection.has_ended())
+            .filter(|connection| !connection.is_closed())
             .count()
     }
 }
@@ -229,17 +234,17 @@
     Ok(status_reply(StatusCode::Ok))
 }
 
-async fn accept_all(listener: TcpListener, shared: Arc<LinkShared>) {
+async fn accept_loop(listener: TcpListener, shared: Arc<LinkShared>) {
     loop {
         let Ok((stream, client)) = listener.accept().await else {
             continue;
         };
-        task::spawn(pass_on(stream, client, Arc::clone(&shared)));
+        task::spawn(forward(stream, client, Arc::clone(&shared)));
     }
 }
 
-async fn pass_on(stream: TcpStream, client: SocketAddr, shared: Arc<LinkShared>) {
-    let mode = shared.mode_of(client);
+async fn forward(stream: TcpStream, client: SocketAddr, shared: Arc<LinkShared>) {
+    let mode = shared.mode_for(client);
     if mode == LinkMode::Cut {
         stream.shutdown(Shutdown::Both).ok();
         return;
@@ -253,11 +258,11 @@
     let connection = Arc::new(LinkConnection::new(client, mode));
     {
         let mut connections = shared.connections();
-        connections.retain(|connection| !connection.has_ended());
+        connections.retain(|connection| !connection.is_closed());
         connections.push(Arc::clone(&connection));
     }
-    // The gate may have changed since it was asked.
-    if shared.mode_of(client) == LinkMode::Cut {
+    // The mode may have changed while the upstream connection was being opened.
+    if shared.mode_for(client) == LinkMode::Cut {
         connection.cut();
     }
     connection
--- a/standins/src/link/mod.rs
+++ b/standins/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! A TCP link that can be cut, delayed or go silent.
+//! A TCP proxy that can cut, delay or silence connections.
 
 mod link_connection;
 mod link_server;
--- a/standins/src/load/load_caller.rs
+++ b/standins/src/load/load_caller.rs
@@ -1,4 +1,4 @@
-//! One caller of a load run: resends as the interface asks it to.
+//! A client of a load run, which resends requests as the gateway's answers instruct.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,42 +11,42 @@
 use crate::caller::check_answer;
 use crate::caller::new_request_id;
 
-/// How long a caller waits before it tries the next host.
-const RESEND_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a request is sent to the next host after a failure.
+const RESEND_DELAY: Duration = Duration::from_millis(20);
 
-/// How a request ended for its caller.
+/// Final outcome of a request as its caller saw it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum CallEnd {
+pub(crate) enum CallOutcome {
     Done,
     NotRun,
     Unknown,
     Refused,
     Lost,
-    Wrong,
+    Invalid,
 }
 
-/// One request of a load run.
+/// Result of one request of a load run.
 #[derive(Clone, Debug)]
 pub(crate) struct CallRecord {
     pub(crate) id: String,
-    pub(crate) end: CallEnd,
+    pub(crate) outcome: CallOutcome,
     pub(crate) status: Option<u16>,
     pub(crate) resends: u64,
     pub(crate) refusals: u64,
-    pub(crate) whole_after: Duration,
-    pub(crate) pieces_after: Vec<Duration>,
+    pub(crate) total_time: Duration,
+    pub(crate) chunk_times: Vec<Duration>,
 }
 
 /// What a caller does after an answer.
 enum NextStep {
-    End(CallEnd),
-    /// Come back with a higher attempt.
+    Finish(CallOutcome),
+    /// Resend with the next attempt number after this delay.
     RaiseAttempt(Duration),
-    /// Send the same attempt again.
+    /// Resend with the same attempt number after this delay.
     Resend(Duration),
 }
 
-/// A caller with its connections and the host that it uses now.
+/// A caller with its connections and the index of its current host.
 pub(crate) struct LoadCaller<'a> {
     plan: &'a LoadPlan,
     client: CallerClient,
@@ -62,40 +62,40 @@
         }
     }
 
-    /// Makes one request and sees it to its end.
+    /// Sends one request, with resends, until it has a final outcome.
     pub(crate) async fn call(&mut self) -> CallRecord {
         let id = new_request_id();
         let mut request = self.plan.request(&id);
         let mut attempt = 1_u32;
         let mut record = CallRecord {
             id,
-            end: CallEnd::Lost,
+            outcome: CallOutcome::Lost,
             status: None,
             resends: 0,
             refusals: 0,
-            whole_after: Duration::ZERO,
-            pieces_after: Vec::new(),
+            total_time: Duration::ZERO,
+            chunk_times: Vec::new(),
         };
         for round in 0..self.plan.max_sends {
             record.resends = u64::from(round);
             request.set_header("Request-Attempt", attempt);
             let answered = self.client.call(self.host(), &request).await;
             let step = match answered {
-                Ok(answer) => self.judge(&answer, &mut record),
+                Ok(answer) => self.next_step(&answer, &mut record),
                 Err(_) => {
-                    record.end = CallEnd::Lost;
-                    NextStep::Resend(RESEND_PAUSE)
+                    record.outcome = CallOutcome::Lost;
+                    NextStep::Resend(RESEND_DELAY)
                 }
             };
             match step {
-                NextStep::End(end) => {
-                    record.end = end;
+                NextStep::Finish(outcome) => {
+                    record.outcome = outcome;
                     return record;
                 }
                 NextStep::RaiseAttempt(pause) => {
-                    record.end = CallEnd::NotRun;
+                    record.outcome = CallOutcome::NotRun;
                     attempt += 1;
-                    // The balancer seldom picks the same host again.
+                    // Imitates a load balancer, which rarely picks the same host twice in a row.
                     self.host += 1;
                     task::sleep(pause).await;
                 }
@@ -112,10 +112,10 @@
         self.plan.gateways[self.host % self.plan.gateways.len()]
     }
 
-    fn judge(&self, answer: &CallerAnswer, record: &mut CallRecord) -> NextStep {
+    fn next_step(&self, answer: &CallerAnswer, record: &mut CallRecord) -> NextStep {
         record.status = Some(answer.status);
         if answer.status == 200 {
-            return self.judge_body(answer, record);
+            return self.check_body(answer, record);
         }
         let pause = answer.retry_after();
         match (answer.outcome(), pause) {
@@ -123,31 +123,31 @@
                 record.refusals += 1;
                 NextStep::RaiseAttempt(pause)
             }
-            ("not-run", None) => NextStep::End(CallEnd::NotRun),
+            ("not-run", None) => NextStep::Finish(CallOutcome::NotRun),
             ("unknown", Some(pause)) => {
                 record.refusals += 1;
-                record.end = CallEnd::Unknown;
-                NextStep::Resend(pause.max(RESEND_PAUSE))
+                record.outcome = CallOutcome::Unknown;
+                NextStep::Resend(pause.max(RESEND_DELAY))
             }
-            ("unknown", None) if answer.status >= 500 => NextStep::End(CallEnd::Unknown),
-            _ => NextStep::End(CallEnd::Refused),
+            ("unknown", None) if answer.status >= 500 => NextStep::Finish(CallOutcome::Unknown),
+            _ => NextStep::Finish(CallOutcome::Refused),
         }
     }
 
-    fn judge_body(&self, answer: &CallerAnswer, record: &mut CallRecord) -> NextStep {
+    fn check_body(&self, answer: &CallerAnswer, record: &mut CallRecord) -> NextStep {
         if !answer.is_complete {
-            // A cut body is no answer; the same request may have another host's.
-            record.end = CallEnd::Unknown;
-            return NextStep::Resend(RESEND_PAUSE);
+            // A truncated body is no answer; another host may still answer the same request.
+            record.outcome = CallOutcome::Unknown;
+            return NextStep::Resend(RESEND_DELAY);
         }
         match check_answer(answer, &record.id, &self.plan.expected(&record.id)) {
             Ok(()) => {
-                let last = answer.pieces_after.last();
-                record.whole_after = *last.unwrap_or(&answer.head_after);
-                record.pieces_after.clone_from(&answer.pieces_after);
-                NextStep::End(CallEnd::Done)
+                let last = answer.chunk_times.last();
+                record.total_time = *last.unwrap_or(&answer.head_time);
+                record.chunk_times.clone_from(&answer.chunk_times);
+                NextStep::Finish(CallOutcome::Done)
             }
-            Err(_) => NextStep::End(CallEnd::Wrong),
+            Err(_) => NextStep::Finish(CallOutcome::Invalid),
         }
     }
 }
--- a/standins/src/load/load_plan.rs
+++ b/standins/src/load/load_plan.rs
@@ -1,4 +1,4 @@
-//! What a load run sends.
+//! Configuration of a load run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,35 +6,35 @@
 use crate::caller::CallerRequest;
 use crate::caller::ExpectedAnswer;
 
-/// What a load run sends, and how often a caller tries.
+/// Configuration of a load run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoadPlan {
-    /// The hosts; a caller starts at one of them and goes on to the next.
+    /// Caller addresses of the hosts; after a failure a caller moves on to the next one.
     pub gateways: Vec<SocketAddr>,
     /// The bearer token.
     pub token: String,
-    /// The path; `/v1/generate` gets an engine's body, others a service's.
+    /// The path; `/v1/generate` gets a generation request as body, any other path a service call.
     pub path: String,
-    /// The class, where the path leaves it open.
+    /// The request class, if the path does not determine it.
     pub class: Option<String>,
-    /// How many callers call at once.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// How many requests each caller makes, one after the other.
+    /// Number of requests that each caller sends sequentially.
     pub requests: usize,
-    /// How long a caller waits before each request; without a pause, many
-    /// callers measure saturation and not the path.
+    /// Pause of a caller before each request. Without it, many concurrent callers measure
+    /// saturation instead of the latency of the request path.
     pub pause: Duration,
-    /// Whether an engine streams.
+    /// Whether to request streamed answers from engines.
     pub stream: bool,
-    /// How many tokens an engine makes.
+    /// Number of tokens that an engine generates.
     pub max_tokens: u32,
-    /// How long a prompt is, in bytes.
+    /// Prompt length in bytes.
     pub prompt_bytes: usize,
-    /// The deadline that each request bears.
+    /// The deadline header of each request.
     pub deadline: Option<Duration>,
-    /// How often a request is sent before its caller gives up.
+    /// Number of sends after which a caller gives up on a request.
     pub max_sends: u32,
-    /// How long a caller waits for one answer.
+    /// Time limit for one answer.
     pub timeout: Duration,
 }
 
@@ -59,9 +59,9 @@
 }
 
 impl LoadPlan {
-    /// Returns the request with the id `id`, as its first try.
+    /// Builds the request with the id `id`.
     pub(crate) fn request(&self, id: &str) -> CallerRequest {
-        let mut request = if self.calls_engine() {
+        let mut request = if self.targets_engine() {
             let prompt = self.prompt(id);
             CallerRequest::generate(&prompt, self.max_tokens, self.stream)
         } else {
@@ -78,20 +78,21 @@
         request
     }
 
-    /// Returns what the stand-ins answer to [`Self::request`].
+    /// Returns the answer that a stand-in gives to [`Self::request`].
     pub(crate) fn expected(&self, id: &str) -> ExpectedAnswer {
-        match (self.calls_engine(), self.stream) {
+        match (self.targets_engine(), self.stream) {
             (true, true) => ExpectedAnswer::Stream(self.max_tokens),
             (true, false) => ExpectedAnswer::Text(self.max_tokens),
             (false, _) => ExpectedAnswer::Echo(self.service_body(id).into_bytes()),
         }
     }
 
-    fn calls_engine(&self) -> bool {
+    fn targets_engine(&self) -> bool {
         self.path == "/v1/generate"
     }
 
-    /// Makes a prompt that no other request has from its first byte on.
+    /// Builds a prompt that starts with the request id, so that no two requests share a prefix
+    /// in the engine's cache.
     fn prompt(&self, id: &str) -> String {
         let mut prompt = id.to_owned();
         while prompt.len() < self.prompt_bytes {
--- a/standins/src/load/load_report.rs
+++ b/standins/src/load/load_report.rs
@@ -1,4 +1,4 @@
-//! What a load run saw.
+//! Results of a load run.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,52 +7,52 @@
 use serde_json::Value;
 use serde_json::json;
 
-use super::load_caller::CallEnd;
+use super::load_caller::CallOutcome;
 use super::load_caller::CallRecord;
 
-/// The longest time that the histograms tell apart, in microseconds.
-const LONGEST_MICROS: u64 = 600_000_000;
-/// How many decimal digits the histograms keep.
-const DIGITS: u8 = 3;
+/// Upper bound of the histograms, in microseconds.
+const MAX_RECORDED_MICROS: u64 = 600_000_000;
+/// Decimal precision of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Counts by outcome, and times.
+/// Request counts by outcome, and latency histograms.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
-    /// Whole answers that were the caller's own.
+    /// Requests with a complete and correct answer.
     pub done: u64,
-    /// Requests that were told `not-run` on every try.
+    /// Requests whose last answer was `not-run`.
     pub not_run: u64,
-    /// Requests that were told `unknown`.
+    /// Requests whose outcome was reported as `unknown`.
     pub unknown: u64,
-    /// Requests that were refused without an outcome or for good.
+    /// Requests that were refused permanently or without an outcome.
     pub refused: u64,
-    /// Requests whose connections all failed.
+    /// Requests whose last connection failed.
     pub lost: u64,
-    /// Answers that claimed to be good and were short, broken or another's.
+    /// Requests with a 200 answer that failed verification.
     pub wrong: u64,
-    /// Sends beyond the first of each request.
+    /// Sends after the first one of each request.
     pub resends: u64,
-    /// Refusals that a later try made good.
+    /// Refusals with a retry delay.
     pub refusals: u64,
-    /// Ids of the requests that were told `unknown`, were lost or were answered wrongly.
-    pub suspects: Vec<String>,
-    /// Ids of the requests whose answers were good.
+    /// Ids of the requests that ended as `unknown`, lost or wrong.
+    pub unconfirmed_ids: Vec<String>,
+    /// Ids of the requests with a correct answer.
     pub done_ids: Vec<String>,
-    /// Ids of the requests that were told `not-run` on every try.
+    /// Ids of the requests whose last answer was `not-run`.
     pub not_run_ids: Vec<String>,
-    /// Statuses with their counts, by status.
+    /// Counts of the last HTTP status of each request, sorted by status.
     pub statuses: Vec<(u16, u64)>,
-    /// The time of the whole run.
+    /// Duration of the whole run.
     pub elapsed: Duration,
     first_byte: Histogram<u64>,
-    whole: Histogram<u64>,
+    last_byte: Histogram<u64>,
     token_gap: Histogram<u64>,
 }
 
-/// Makes a histogram for the times of a run.
-fn time_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_MICROS, DIGITS)
-        .expect("the bounds are constants that the library allows")
+/// Creates an empty latency histogram.
+fn latency_histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS)
+        .expect("constant histogram bounds are valid")
 }
 
 impl Default for LoadReport {
@@ -66,40 +66,40 @@
             wrong: 0,
             resends: 0,
             refusals: 0,
-            suspects: Vec::new(),
+            unconfirmed_ids: Vec::new(),
             done_ids: Vec::new(),
             not_run_ids: Vec::new(),
             statuses: Vec::new(),
             elapsed: Duration::ZERO,
-            first_byte: time_histogram(),
-            whole: time_histogram(),
-            token_gap: time_histogram(),
+            first_byte: latency_histogram(),
+            last_byte: latency_histogram(),
+            token_gap: latency_histogram(),
         }
     }
 }
 
 impl LoadReport {
-    /// Returns how many requests were made.
+    /// Returns the number of requests.
     pub const fn total(&self) -> u64 {
         self.done + self.not_run + self.unknown + self.refused + self.lost + self.wrong
     }
 
-    /// Returns the time to the first byte of a body at a quantile of the good answers.
+    /// Returns a quantile of the time to the first body byte of correct answers.
     pub fn first_byte(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.first_byte.value_at_quantile(quantile))
     }
 
-    /// Returns the time to the whole answer at a quantile of the good answers.
-    pub fn whole(&self, quantile: f64) -> Duration {
-        Duration::from_micros(self.whole.value_at_quantile(quantile))
+    /// Returns a quantile of the time to the last body byte of correct answers.
+    pub fn last_byte(&self, quantile: f64) -> Duration {
+        Duration::from_micros(self.last_byte.value_at_quantile(quantile))
     }
 
-    /// Returns the time between two pieces of a stream at a quantile.
+    /// Returns a quantile of the time between two chunks of a stream.
     pub fn token_gap(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.token_gap.value_at_quantile(quantile))
     }
 
-    /// Returns the report as JSON; times in microseconds.
+    /// Returns the report as JSON, with times in microseconds.
     pub fn to_json(&self) -> Value {
         json!({
             "total": self.total(),
@@ -113,53 +113,53 @@
             "refusals": self.refusals,
             "statuses": self.statuses,
             "elapsed_us": self.elapsed.as_micros() as u64,
-            "first_byte_us": times(&self.first_byte),
-            "whole_us": times(&self.whole),
-            "token_gap_us": times(&self.token_gap),
+            "first_byte_us": quantiles(&self.first_byte),
+            "whole_us": quantiles(&self.last_byte),
+            "token_gap_us": quantiles(&self.token_gap),
         })
     }
 
-    /// Counts one request.
-    pub(crate) fn add(&mut self, record: &CallRecord) {
-        let count = match record.end {
-            CallEnd::Done => &mut self.done,
-            CallEnd::NotRun => &mut self.not_run,
-            CallEnd::Unknown => &mut self.unknown,
-            CallEnd::Refused => &mut self.refused,
-            CallEnd::Lost => &mut self.lost,
-            CallEnd::Wrong => &mut self.wrong,
+    /// Adds the result of one request.
+    pub(crate) fn record(&mut self, record: &CallRecord) {
+        let count = match record.outcome {
+            CallOutcome::Done => &mut self.done,
+            CallOutcome::NotRun => &mut self.not_run,
+            CallOutcome::Unknown => &mut self.unknown,
+            CallOutcome::Refused => &mut self.refused,
+            CallOutcome::Lost => &mut self.lost,
+            CallOutcome::Invalid => &mut self.wrong,
         };
         *count += 1;
-        match record.end {
-            CallEnd::Done => self.done_ids.push(record.id.clone()),
-            CallEnd::NotRun => self.not_run_ids.push(record.id.clone()),
-            CallEnd::Unknown | CallEnd::Lost | CallEnd::Wrong => {
-                self.suspects.push(record.id.clone());
+        match record.outcome {
+            CallOutcome::Done => self.done_ids.push(record.id.clone()),
+            CallOutcome::NotRun => self.not_run_ids.push(record.id.clone()),
+            CallOutcome::Unknown | CallOutcome::Lost | CallOutcome::Invalid => {
+                self.unconfirmed_ids.push(record.id.clone());
             }
-            CallEnd::Refused => {}
+            CallOutcome::Refused => {}
         }
         self.resends += record.resends;
         self.refusals += record.refusals;
         if let Some(status) = record.status {
-            self.add_status(status);
+            self.record_status(status);
         }
-        if record.end == CallEnd::Done {
-            self.add_times(record);
+        if record.outcome == CallOutcome::Done {
+            self.record_times(record);
         }
     }
 
-    fn add_status(&mut self, status: u16) {
+    fn record_status(&mut self, status: u16) {
         match self.statuses.binary_search_by_key(&status, |entry| entry.0) {
             Ok(index) => self.statuses[index].1 += 1,
             Err(index) => self.statuses.insert(index, (status, 1)),
         }
     }
 
-    fn add_times(&mut self, record: &CallRecord) {
-        let first = record.pieces_after.first().unwrap_or(&record.whole_after);
+    fn record_times(&mut self, record: &CallRecord) {
+        let first = record.chunk_times.first().unwrap_or(&record.total_time);
         self.first_byte.saturating_record(micros(*first));
-        self.whole.saturating_record(micros(record.whole_after));
-        for pair in record.pieces_after.windows(2) {
+        self.last_byte.saturating_record(micros(record.total_time));
+        for pair in record.chunk_times.windows(2) {
             self.token_gap.saturating_record(micros(pair[1] - pair[0]));
         }
     }
@@ -169,7 +169,7 @@
     (time.as_micros() as u64).max(1)
 }
 
-fn times(histogram: &Histogram<u64>) -> Value {
+fn quantiles(histogram: &Histogram<u64>) -> Value {
     json!({
         "count": histogram.len(),
         "p50": histogram.value_at_quantile(0.50),
@@ -205,7 +205,7 @@
         )?;
         let rows = [
             ("first byte", &self.first_byte),
-            ("whole", &self.whole),
+            ("whole", &self.last_byte),
             ("token gap", &self.token_gap),
         ];
         for (name, histogram) in rows {
--- a/standins/src/load/load_run.rs
+++ b/standins/src/load/load_run.rs
@@ -1,4 +1,4 @@
-//! A running load.
+//! A running load test.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -14,7 +14,7 @@
 use super::load_caller::CallRecord;
 use super::load_caller::LoadCaller;
 
-/// Callers at work.
+/// The running callers of a load test.
 pub struct LoadRun {
     began: Instant,
     callers: Vec<JoinHandle<Vec<CallRecord>>>,
@@ -23,7 +23,7 @@
 }
 
 impl LoadRun {
-    /// Starts the plan's callers.
+    /// Starts the callers of `plan`.
     pub fn spawn(plan: LoadPlan) -> Self {
         let plan = Arc::new(plan);
         let stop = Arc::new(AtomicBool::new(false));
@@ -44,22 +44,22 @@
         }
     }
 
-    /// Returns how many requests have ended.
+    /// Returns the number of requests that have a final outcome.
     pub fn completed_requests(&self) -> u64 {
         self.ended.load(Ordering::Relaxed)
     }
 
-    /// Lets each caller end its present request and make no further one.
+    /// Makes each caller stop after its current request.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 
-    /// Waits for all callers and reports.
+    /// Waits for all callers and returns their combined report.
     pub async fn finish(self) -> LoadReport {
         let mut report = LoadReport::default();
         for caller in self.callers {
             for record in caller.await {
-                report.add(&record);
+                report.record(&record);
             }
         }
         report.elapsed = self.began.elapsed();
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load tool: many callers that check every answer.
+//! Load generator that verifies every answer.
 
 mod load_caller;
 mod load_plan;
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary `standins`: each stand-in as a process of its own.
+//! The `standins` binary, which runs each stand-in as a separate process.
 
 mod command_line;
 
@@ -20,7 +20,7 @@
 use standins::ServiceServer;
 use standins::ServiceSettings;
 
-/// Where a stand-in listens when the command line does not say.
+/// Default listen address: any free port on loopback.
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
@@ -40,12 +40,12 @@
     match command {
         StandinsCmd::Platform(platform) => {
             let server = PlatformServer::bind(platform.listen.unwrap_or(ANY_PORT)).await?;
-            stand(server.address()).await
+            serve_until_killed(server.address()).await
         }
         StandinsCmd::Engine(engine) => {
             let address = engine.listen.unwrap_or(ANY_PORT);
             let server = EngineServer::bind(address, engine_settings(&engine)).await?;
-            stand(server.address()).await
+            serve_until_killed(server.address()).await
         }
         StandinsCmd::Service(service) => {
             let settings = ServiceSettings {
@@ -54,7 +54,7 @@
             };
             let address = service.listen.unwrap_or(ANY_PORT);
             let server = ServiceServer::bind(address, settings).await?;
-            stand(server.address()).await
+            serve_until_killed(server.address()).await
         }
         StandinsCmd::Link(link) => {
             let address = link.listen.unwrap_or(ANY_PORT);
@@ -63,38 +63,39 @@
             if let Some(control) = server.control_address() {
                 eprintln!("control {control}");
             }
-            stand(server.address()).await
+            serve_until_killed(server.address()).await
         }
         StandinsCmd::Load(load) => run_load(load).await,
     }
 }
 
-/// Runs the load and prints its report; the same straight at a target where asked.
+/// Runs the load against the gateways, or first directly against a target with `--direct`, and
+/// prints the reports.
 async fn run_load(load: command_line::Load) -> io::Result<()> {
     let json = load.json;
     let direct = load.direct;
     let plan = load_plan(load);
     if plan.gateways.is_empty() && direct.is_none() {
-        return Err(io::Error::other("give --gateway or --direct"));
+        return Err(io::Error::other("either --gateway or --direct is required"));
     }
-    let mut wrong = 0;
+    let mut invalid = 0;
     if let Some(target) = direct {
-        let straight = LoadPlan {
+        let direct_plan = LoadPlan {
             gateways: vec![target],
             ..plan.clone()
         };
-        wrong += report_load("direct", straight, json).await;
+        invalid += report_load("direct", direct_plan, json).await;
     }
     if !plan.gateways.is_empty() {
-        wrong += report_load("gateway", plan, json).await;
+        invalid += report_load("gateway", plan, json).await;
     }
-    match wrong {
+    match invalid {
         0 => Ok(()),
-        _ => Err(io::Error::other(format!("{wrong} wrong answers"))),
+        _ => Err(io::Error::other(format!("{invalid} wrong answers"))),
     }
 }
 
-/// Runs one load, prints it and returns how many answers were wrong.
+/// Runs one load, prints its report and returns the number of invalid answers.
 async fn report_load(name: &str, plan: LoadPlan, json: bool) -> u64 {
     let report = LoadRun::spawn(plan).finish().await;
     if json {
@@ -108,43 +109,45 @@
 }
 
 fn load_plan(load: command_line::Load) -> LoadPlan {
-    let usual = LoadPlan::default();
+    let defaults = LoadPlan::default();
     LoadPlan {
         gateways: load.gateway,
-        token: load.token.unwrap_or(usual.token),
-        path: load.path.unwrap_or(usual.path),
+        token: load.token.unwrap_or(defaults.token),
+        path: load.path.unwrap_or(defaults.path),
         class: load.class,
-        callers: load.callers.unwrap_or(usual.callers),
-        requests: load.requests.unwrap_or(usual.requests),
+        callers: load.callers.unwrap_or(defaults.callers),
+        requests: load.requests.unwrap_or(defaults.requests),
         pause: Duration::from_millis(load.pause_ms.unwrap_or(0)),
         stream: load.stream,
-        max_tokens: load.max_tokens.unwrap_or(usual.max_tokens),
-        prompt_bytes: load.prompt_bytes.unwrap_or(usual.prompt_bytes),
+        max_tokens: load.max_tokens.unwrap_or(defaults.max_tokens),
+        prompt_bytes: load.prompt_bytes.unwrap_or(defaults.prompt_bytes),
         deadline: load.deadline_ms.map(Duration::from_millis),
-        max_sends: usual.max_sends,
-        timeout: usual.timeout,
+        max_sends: defaults.max_sends,
+        timeout: defaults.timeout,
     }
 }
 
 fn engine_settings(engine: &command_line::Engine) -> EngineSettings {
-    let usual = EngineSettings::default();
+    let defaults = EngineSettings::default();
     EngineSettings {
-        tokens_per_second: engine.tokens_per_second.unwrap_or(usual.tokens_per_second),
-        slots: engine.slots.unwrap_or(usual.slots),
+        tokens_per_second: engine
+            .tokens_per_second
+            .unwrap_or(defaults.tokens_per_second),
+        slots: engine.slots.unwrap_or(defaults.slots),
         prefill_tokens_per_second: engine
             .prefill_tokens_per_second
-            .unwrap_or(usual.prefill_tokens_per_second),
-        cache_tokens: engine.cache_tokens.unwrap_or(usual.cache_tokens),
+            .unwrap_or(defaults.prefill_tokens_per_second),
+        cache_tokens: engine.cache_tokens.unwrap_or(defaults.cache_tokens),
         report_lag: engine
             .report_lag_ms
-            .map_or(usual.report_lag, Duration::from_millis),
+            .map_or(defaults.report_lag, Duration::from_millis),
         checks_fences: !engine.ignores_fences,
         crash_mode: CrashMode::ExitProcess,
     }
 }
 
-/// Says where the stand-in listens and stays until the process is ended.
-async fn stand(address: SocketAddr) -> io::Result<()> {
+/// Prints the listen address and waits until the process is killed.
+async fn serve_until_killed(address: SocketAddr) -> io::Result<()> {
     let mut output = io::stdout();
     writeln!(output, "listening {address}")?;
     output.flush()?;
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The platform: a read-and-watch service of documents and a lagging list of hosts.
+//! Stand-in for the configuration platform: versioned documents with long-poll watches, and a
+//! host list that may be out of date.
 
 mod platform_server;
 mod platform_state;
--- a/standins/src/platform/platform_server.rs
+++ b/standins/src/platform/platform_server.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP interface.
+//! HTTP interface of the platform stand-in.
 
 use std::io;
 use std::net::SocketAddr;
@@ -29,12 +29,12 @@
 use crate::http::status_reply;
 use crate::http::unix_now;
 
-/// Where documents live.
+/// Path prefix of configuration documents.
 const DOCUMENT_PREFIX: &str = "/v1/documents/";
-/// What a refused caller is told, in seconds.
-const RETRY_SECONDS: &str = "1";
+/// `Retry-After` of the 503 answers in flapping mode, in seconds.
+const RETRY_AFTER_SECONDS: &str = "1";
 
-/// The query of a waiting watch.
+/// Query parameters of a long-poll watch.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct WatchQuery {
@@ -42,26 +42,26 @@
     wait_ms: u64,
 }
 
-/// The body of `POST /control`.
+/// Body of `POST /control`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlatformControl {
     mode: PlatformMode,
 }
 
-/// The body of `PUT /v1/hosts`.
+/// Body of `PUT /v1/hosts`.
 #[derive(Debug, Deserialize)]
 struct HostUpdate {
     hosts: Vec<HostEntry>,
 }
 
-/// The part of a document that the platform reads.
+/// The only document field that the platform parses.
 #[derive(Debug, Deserialize)]
 struct VersionField {
     version: u64,
 }
 
-/// The state and the signal that it changed.
+/// The platform state and the event that wakes watches after a change.
 struct PlatformShared {
     state: Mutex<PlatformState>,
     changed: Event,
@@ -72,20 +72,20 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn change(&self, edit: impl FnOnce(&mut PlatformState)) {
+    fn update(&self, edit: impl FnOnce(&mut PlatformState)) {
         edit(&mut self.state());
         self.changed.notify(usize::MAX);
     }
 }
 
-/// A running platform; it ends when dropped.
+/// A running platform stand-in; it stops when dropped.
 pub struct PlatformServer {
     server: HttpServer,
     shared: Arc<PlatformShared>,
 }
 
 impl PlatformServer {
-    /// Binds `address` and serves an empty platform.
+    /// Binds `address` and serves a platform without documents.
     pub async fn bind(address: SocketAddr) -> io::Result<Self> {
         let shared = Arc::new(PlatformShared {
             state: Mutex::new(PlatformState::new(unix_now())),
@@ -100,23 +100,23 @@
         Ok(Self { server, shared })
     }
 
-    /// Returns where the platform listens.
+    /// Returns the address that the platform listens on.
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Publishes a document, whatever version it bears.
+    /// Publishes a document, even with a version below the current one.
     ///
-    /// Fails when `document` has no whole number as its `version`.
+    /// Fails when the `version` field of `document` is not an unsigned integer.
     pub fn publish<T: Serialize>(&self, scope: &str, document: &T) -> io::Result<()> {
         self.publish_text(scope, serde_json::to_string(document)?)
     }
 
-    /// Publishes a document's text; only its `version` needs to be well-formed.
+    /// Publishes a document as text; only its `version` has to be valid.
     pub fn publish_text(&self, scope: &str, body: String) -> io::Result<()> {
         let field: VersionField = serde_json::from_str(&body)?;
-        self.shared.change(|state| {
-            state.content.put(StoredDocument {
+        self.shared.update(|state| {
+            state.content.replace(StoredDocument {
                 scope: scope.to_owned(),
                 version: field.version,
                 body,
@@ -125,17 +125,17 @@
         Ok(())
     }
 
-    /// Publishes the lagging list of hosts, taken now.
+    /// Replaces the host list, with the current time as its timestamp.
     pub fn set_hosts(&self, hosts: Vec<HostEntry>) {
-        self.shared.change(|state| set_hosts(state, hosts));
+        self.shared.update(|state| set_hosts(state, hosts));
     }
 
-    /// Sets how the platform behaves.
+    /// Sets the platform's failure mode.
     pub fn set_mode(&self, mode: PlatformMode) {
-        self.shared.change(|state| state.set_mode(mode));
+        self.shared.update(|state| state.set_mode(mode));
     }
 
-    /// Returns how many calls readers made, a waiting watch counting as one.
+    /// Returns the number of read requests so far; a long poll counts as one.
     pub fn call_count(&self) -> u64 {
         self.shared.state().calls
     }
@@ -154,26 +154,26 @@
     match (request.method(), path.as_str(), scope) {
         (Method::Post, "/control", _) => {
             let control: PlatformControl = request.body_json().await?;
-            shared.change(|state| state.set_mode(control.mode));
+            shared.update(|state| state.set_mode(control.mode));
             Ok(status_reply(StatusCode::Ok))
         }
         (Method::Put, "/v1/hosts", _) => {
             let update: HostUpdate = request.body_json().await?;
-            shared.change(|state| set_hosts(state, update.hosts));
+            shared.update(|state| set_hosts(state, update.hosts));
             Ok(status_reply(StatusCode::Ok))
         }
         (Method::Put, _, Some(scope)) => {
             let body = request.body_string().await?;
             put_document(&shared, scope, body)
         }
-        (Method::Get, "/v1/hosts", _) => match refusal(&shared)? {
+        (Method::Get, "/v1/hosts", _) => match simulated_failure(&shared)? {
             Some(response) => Ok(response),
             None => {
                 let list = shared.state().visible().hosts.clone();
                 json_reply(&list)
             }
         },
-        (Method::Get, _, Some(scope)) => match refusal(&shared)? {
+        (Method::Get, _, Some(scope)) => match simulated_failure(&shared)? {
             Some(response) => Ok(response),
             None => watch(&shared, scope, request.query().unwrap_or_default()).await,
         },
@@ -189,8 +189,8 @@
     let Ok(field) = serde_json::from_str::<VersionField>(&body) else {
         return Ok(status_reply(StatusCode::BadRequest));
     };
-    shared.change(|state| {
-        state.content.put(StoredDocument {
+    shared.update(|state| {
+        state.content.replace(StoredDocument {
             scope: scope.to_owned(),
             version: field.version,
             body,
@@ -199,22 +199,23 @@
     Ok(status_reply(StatusCode::Ok))
 }
 
-/// Counts a reader's call, and refuses it as the mode says.
-fn refusal(shared: &PlatformShared) -> http_types::Result<Option<Response>> {
+/// Counts a read request and returns the failure that the current mode simulates.
+fn simulated_failure(shared: &PlatformShared) -> http_types::Result<Option<Response>> {
     let mut state = shared.state();
     state.calls += 1;
     match state.mode {
         PlatformMode::Down => Err(http_types::format_err!("the platform is down")),
         PlatformMode::Flapping if state.calls.is_multiple_of(2) => {
             let mut response = status_reply(StatusCode::ServiceUnavailable);
-            response.insert_header("Retry-After", RETRY_SECONDS);
+            response.insert_header("Retry-After", RETRY_AFTER_SECONDS);
             Ok(Some(response))
         }
         _ => Ok(None),
     }
 }
 
-/// Answers with the document, at once or when a version above `after` stands.
+/// Answers with the document as soon as its version exceeds `after`, or with 304 once the
+/// wait time is over.
 async fn watch(
     shared: &PlatformShared,
     scope: &str,
@@ -223,17 +224,17 @@
     let end = Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         let changed = shared.changed.listen();
-        if let Some(response) = look_up(shared, scope, query.after)? {
+        if let Some(response) = find_newer(shared, scope, query.after)? {
             return Ok(response);
         }
-        let rest = end.saturating_duration_since(Instant::now());
-        if future::timeout(rest, changed).await.is_err() {
+        let remaining = end.saturating_duration_since(Instant::now());
+        if future::timeout(remaining, changed).await.is_err() {
             return Ok(status_reply(StatusCode::NotModified));
         }
     }
 }
 
-fn look_up(
+fn find_newer(
     shared: &PlatformShared,
     scope: &str,
     after: Option<u64>,
--- a/standins/src/platform/platform_state.rs
+++ b/standins/src/platform/platform_state.rs
@@ -1,43 +1,43 @@
-//! What the platform holds and how it answers.
+//! State of the platform stand-in.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::http::TargetState;
 
-/// How the platform behaves.
+/// Failure mode of the platform.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlatformMode {
-    /// Answers with what was published last.
+    /// Serves the latest published documents.
     #[default]
     Ok,
-    /// Cuts each connection without an answer.
+    /// Closes each connection without an answer.
     Down,
-    /// Answers with what stood when the mode was set.
+    /// Serves the documents that were current when the mode was set.
     Stale,
-    /// Refuses every other call with 503.
+    /// Answers every other read with 503.
     Flapping,
 }
 
-/// One name in the lagging list.
+/// An entry of the host list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostEntry {
-    /// The name of an entry host or a target.
+    /// Name of an entry host or a target.
     pub name: String,
-    /// Whether it is leaving.
+    /// Whether it accepts new work or is leaving.
     pub state: TargetState,
 }
 
-/// The lagging list with the time at which it was taken.
+/// The host list with the time at which it was compiled.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct HostList {
     pub(crate) taken_ms: u64,
     pub(crate) hosts: Vec<HostEntry>,
 }
 
-/// One scope's document.
+/// The current document of a scope.
 #[derive(Clone, Debug)]
 pub(crate) struct StoredDocument {
     pub(crate) scope: String,
@@ -45,7 +45,7 @@
     pub(crate) body: String,
 }
 
-/// Everything that readers see.
+/// Everything that read requests return.
 #[derive(Clone, Debug)]
 pub(crate) struct PlatformContent {
     documents: Vec<StoredDocument>,
@@ -63,14 +63,14 @@
         }
     }
 
-    /// Returns a scope's document.
+    /// Returns the document of a scope.
     pub(crate) fn document(&self, scope: &str) -> Option<&StoredDocument> {
         let index = self.position(scope).ok()?;
         Some(&self.documents[index])
     }
 
-    /// Puts a document in the place of its scope's former one.
-    pub(crate) fn put(&mut self, document: StoredDocument) {
+    /// Inserts a document, replacing the previous one of its scope.
+    pub(crate) fn replace(&mut self, document: StoredDocument) {
         match self.position(&document.scope) {
             Ok(index) => self.documents[index] = document,
             Err(index) => self.documents.insert(index, document),
@@ -83,12 +83,12 @@
     }
 }
 
-/// The content with the mode; while stale, readers see the frozen copy.
+/// The content and the failure mode; in stale mode, reads return `stale_copy`.
 #[derive(Debug)]
 pub(crate) struct PlatformState {
     pub(crate) mode: PlatformMode,
     pub(crate) content: PlatformContent,
-    pub(crate) frozen: Option<PlatformContent>,
+    pub(crate) stale_copy: Option<PlatformContent>,
     pub(crate) calls: u64,
 }
 
@@ -97,25 +97,25 @@
         Self {
             mode: PlatformMode::Ok,
             content: PlatformContent::new(now_ms),
-            frozen: None,
+            stale_copy: None,
             calls: 0,
         }
     }
 
-    /// Sets the mode and freezes what readers see when it is `Stale`.
+    /// Sets the mode; entering `Stale` takes a copy of the content for readers.
     pub(crate) fn set_mode(&mut self, mode: PlatformMode) {
         self.mode = mode;
         match mode {
-            PlatformMode::Stale if self.frozen.is_none() => {
-                self.frozen = Some(self.content.clone());
+            PlatformMode::Stale if self.stale_copy.is_none() => {
+                self.stale_copy = Some(self.content.clone());
             }
             PlatformMode::Stale => {}
-            _ => self.frozen = None,
+            _ => self.stale_copy = None,
         }
     }
 
-    /// Returns what readers see.
+    /// Returns the content that reads return in the current mode.
     pub(crate) fn visible(&self) -> &PlatformContent {
-        self.frozen.as_ref().unwrap_or(&self.content)
+        self.stale_copy.as_ref().unwrap_or(&self.content)
     }
 }
--- a/standins/src/service/mod.rs
+++ b/standins/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A plain service: one answer a call, and a record of every call that ran.
+//! Stand-in for a plain service, which echoes each call and records every execution.
 
 mod service_server;
 mod service_settings;
--- a/standins/src/service/service_server.rs
+++ b/standins/src/service/service_server.rs
@@ -1,4 +1,4 @@
-//! The service's HTTP interface.
+//! HTTP interface of the service stand-in.
 
 use std::io;
 use std::net::SocketAddr;
@@ -33,10 +33,10 @@
 use crate::http::status_reply;
 use crate::http::unix_now;
 
-/// The id that a faulty service echoes.
+/// Request id in answers with the `wrong_id` fault.
 const WRONG_ID: &str = "00000000-0000-7000-8000-000000000000";
-/// The exit code of a crashed stand-in.
-const CRASH_CODE: i32 = 70;
+/// Exit code of a stand-in that simulates a crash.
+const CRASH_EXIT_CODE: i32 = 70;
 
 struct ServiceShared {
     settings: ServiceSettings,
@@ -53,7 +53,7 @@
 
     fn crash(&self) {
         if self.settings.crash_mode == CrashMode::ExitProcess {
-            std::process::exit(CRASH_CODE);
+            std::process::exit(CRASH_EXIT_CODE);
         }
         if let Some(server) = self.server.get().and_then(Weak::upgrade) {
             server.crash();
@@ -61,7 +61,7 @@
     }
 }
 
-/// A running service; it ends when dropped.
+/// A running service stand-in; it stops when dropped.
 pub struct ServiceServer {
     server: Arc<HttpServer>,
     shared: Arc<ServiceShared>,
@@ -89,32 +89,32 @@
         Ok(Self { server, shared })
     }
 
-    /// Returns where the service listens.
+    /// Returns the address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets what is wrong with the service.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         *self.shared.faults() = faults;
     }
 
-    /// Returns every call that started, in order.
+    /// Returns every call that started, in order, including those lost in crashes.
     pub fn executions(&self) -> Vec<ExecutionRecord> {
         self.shared.executions.all()
     }
 
-    /// Returns how many calls run now.
+    /// Returns the number of running calls.
     pub fn running(&self) -> usize {
         self.shared.running.load(Ordering::Relaxed)
     }
 
-    /// Crashes as the settings say.
+    /// Simulates a crash according to the crash mode.
     pub fn crash(&self) {
         self.shared.crash();
     }
 
-    /// Comes back after a crash at the same address.
+    /// Restarts after a crash at the same address.
     pub async fn restart(&self) -> io::Result<()> {
         self.server.restart().await
     }
@@ -139,7 +139,7 @@
     }
 }
 
-/// Counts a running call for as long as it lives.
+/// Counts a call as running until dropped.
 struct RunningGuard<'a>(&'a AtomicUsize);
 
 impl<'a> RunningGuard<'a> {
@@ -167,12 +167,12 @@
         return Ok(response);
     }
     let body = request.body_bytes().await?;
-    let id = shared.executions.note(&request);
+    let id = shared.executions.record(&request);
     let _running = RunningGuard::enter(&shared.running);
     if faults
         .crash_on
         .as_ref()
-        .is_some_and(|text| holds(&body, text))
+        .is_some_and(|text| contains_text(&body, text))
     {
         shared.crash();
         return Err(http_types::format_err!("the service crashed"));
@@ -189,8 +189,7 @@
     reply(&faults, &id, path, &body)
 }
 
-/// Tells whether `body` holds `text`.
-fn holds(body: &[u8], text: &str) -> bool {
+fn contains_text(body: &[u8], text: &str) -> bool {
     String::from_utf8_lossy(body).contains(text)
 }
 
@@ -215,8 +214,8 @@
 fn faulty_body(faults: &ServiceFaults, mut bytes: Vec<u8>) -> Body {
     let length = bytes.len();
     let ending = match faults {
-        faults if faults.cut => BodyEnding::Cut,
-        faults if faults.silent => BodyEnding::Silent,
+        faults if faults.cut => BodyEnding::Abort,
+        faults if faults.silent => BodyEnding::Stall,
         faults if faults.short_body => BodyEnding::Short,
         _ => return Body::from_bytes(bytes),
     };
--- a/standins/src/service/service_settings.rs
+++ b/standins/src/service/service_settings.rs
@@ -1,4 +1,4 @@
-//! What a service is like and what is wrong with it.
+//! Settings and injectable faults of a service.
 
 use std::time::Duration;
 
@@ -8,33 +8,33 @@
 use crate::http::CrashMode;
 use crate::http::TargetState;
 
-/// What a service is like.
+/// Settings of a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceSettings {
-    /// How long each call takes.
+    /// Execution time of each call.
     pub delay: Duration,
-    /// What a crash does.
+    /// How crashes are simulated.
     pub crash_mode: CrashMode,
 }
 
-/// What is wrong with a service, as `POST /control` sets it whole.
+/// Injected faults of a service; `POST /control` replaces the complete set.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Takes the place of the settings' delay, in milliseconds.
+    /// Overrides the delay of the settings, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// Cuts the connection in the middle of each body.
+    /// Closes the connection in the middle of each body.
     pub cut: bool,
-    /// Sends half of each body and then nothing, on an open connection.
+    /// Sends half of each body and then nothing, keeping the connection open.
     pub silent: bool,
-    /// Runs the call and never answers, on an open connection.
+    /// Executes the call and never answers, keeping the connection open.
     pub never_answers: bool,
-    /// Echoes another request's id.
+    /// Answers with the id of another request.
     pub wrong_id: bool,
-    /// Ends each body short of its `Content-Length`, on an open connection.
+    /// Ends each body before its `Content-Length`, keeping the connection open.
     pub short_body: bool,
-    /// Crashes when a body holds this text, after the call was recorded.
+    /// Crashes when a request body contains this text, after recording the call.
     pub crash_on: Option<String>,
-    /// Whether the service takes new work.
+    /// Whether the service accepts new work.
     pub state: TargetState,
 }
--- a/standins/tests/binary.rs
+++ b/standins/tests/binary.rs
@@ -1,6 +1,6 @@
-//! The binary `standins`: says where it listens, and a crash ends the process.
+//! The `standins` binary prints its listen address, and a simulated crash exits the process.
 
-#![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
+#![allow(clippy::unwrap_used, reason = "fixtures fail by panicking")]
 
 mod support;
 
@@ -45,7 +45,7 @@
 }
 
 #[async_std::test]
-async fn each_standin_says_where_it_listens() {
+async fn each_standin_prints_its_listen_address() {
     for name in ["platform", "engine", "service"] {
         let process = StandinProcess::spawn(&[name]);
 
@@ -56,7 +56,7 @@
 }
 
 #[async_std::test]
-async fn a_link_leads_to_its_upstream() {
+async fn a_link_forwards_to_its_upstream() {
     let service = StandinProcess::spawn(&["service"]);
     let link = StandinProcess::spawn(&["link", "--upstream", &service.address.to_string()]);
 
@@ -66,7 +66,7 @@
 }
 
 #[async_std::test]
-async fn a_crashed_engine_process_is_gone() {
+async fn a_crashed_engine_process_exits() {
     let mut engine = StandinProcess::spawn(&["engine"]);
     let control =
         CallerRequest::new("POST", "/control").with_body(r#"{"faults":{"crash_on":"boom"}}"#);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_load_reports_as_json() {
+fn a_load_run_prints_its_report_as_json() {
     let engine = StandinProcess::spawn(&["engine"]);
 
     let output = Command::new(env!("CARGO_BIN_EXE_standins"))
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -1,6 +1,6 @@
-//! The engine stand-in: whole answers, its model of load, and its faults.
+//! The engine stand-in: complete answers, the load model and injected faults.
 
-#![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
+#![allow(clippy::unwrap_used, reason = "fixtures fail by panicking")]
 
 mod support;
 
@@ -33,7 +33,7 @@
     CallerRequest::new("GET", &format!("/v1/streams/{ID}?from={from}"))
 }
 
-/// Returns the offsets of a stream's events.
+/// Returns the token offsets of a stream's events.
 fn offsets(answer: &CallerAnswer) -> Vec<u64> {
     let text = answer.text();
     text.split("\n\n")
@@ -49,7 +49,7 @@
 }
 
 #[async_std::test]
-async fn a_stream_is_whole_and_its_callers_own() {
+async fn a_stream_is_complete_and_answers_its_own_request() {
     let engine = engine().await;
 
     let answer = call(engine.address(), &stream_request(5)).await.unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[async_std::test]
-async fn an_answer_in_one_piece_is_whole() {
+async fn an_unstreamed_answer_is_complete() {
     let engine = engine().await;
     let request = CallerRequest::generate("the weather", 4, false)
         .with_id(ID)
@@ -97,7 +97,7 @@
 }
 
 #[async_std::test]
-async fn a_cut_stream_is_never_whole_and_resumes() {
+async fn a_cut_stream_is_incomplete_and_can_be_resumed() {
     let engine = faulty_engine(EngineFaults {
         cut_after: Some(2),
         ..EngineFaults::default()
@@ -108,14 +108,14 @@
     let rest = call(engine.address(), &resume_request(2)).await.unwrap();
 
     let fault = check_answer(&answer, ID, &ExpectedAnswer::Stream(5));
-    assert_eq!(fault, Err(AnswerFault::Cut));
+    assert_eq!(fault, Err(AnswerFault::Truncated));
     assert_eq!(offsets(&answer), [0, 1]);
     assert_eq!(offsets(&rest), [2, 3, 4]);
     assert!(rest.is_complete);
 }
 
 #[async_std::test]
-async fn a_silent_stream_leaves_new_connections_alone() {
+async fn a_silent_stream_does_not_affect_new_connections() {
     let engine = faulty_engine(EngineFaults {
         silent_after: Some(1),
         ..EngineFaults::default()
@@ -130,7 +130,7 @@
 }
 
 #[async_std::test]
-async fn a_resumed_stream_may_overlap_or_gap() {
+async fn a_resumed_stream_can_overlap_or_leave_a_gap() {
     let engine = faulty_engine(EngineFaults {
         overlap: 2,
         ..EngineFaults::default()
@@ -150,7 +150,7 @@
 }
 
 #[async_std::test]
-async fn a_wrong_id_shows_as_foreign() {
+async fn a_wrong_id_is_detected() {
     let engine = faulty_engine(EngineFaults {
         wrong_id: true,
         ..EngineFaults::default()
@@ -160,11 +160,11 @@
     let answer = call(engine.address(), &stream_request(2)).await.unwrap();
 
     let fault = check_answer(&answer, ID, &ExpectedAnswer::Stream(2));
-    assert_eq!(fault, Err(AnswerFault::Foreign));
+    assert_eq!(fault, Err(AnswerFault::WrongRequest));
 }
 
 #[async_std::test]
-async fn a_crash_loses_streams_and_keeps_the_record() {
+async fn a_crash_loses_streams_and_keeps_the_execution_log() {
     let engine = faulty_engine(EngineFaults {
         crash_on: Some("boom".to_owned()),
         ..EngineFaults::default()
@@ -179,7 +179,7 @@
     let lost = call(engine.address(), &resume_request(0)).await.unwrap();
 
     assert_eq!(crashed, Err(CallerError::Cut));
-    // The listener goes a moment after the connections.
+    // The listener closes shortly after the connections.
     assert!(matches!(
         refused,
         Err(CallerError::Refused | CallerError::Cut)
@@ -189,7 +189,7 @@
 }
 
 #[async_std::test]
-async fn a_leaving_engine_refuses_new_work_and_ends_what_runs() {
+async fn a_leaving_engine_refuses_new_work_and_completes_running_requests() {
     let engine = engine().await;
     let address = engine.address();
     let running = async_std::task::spawn(async move { call(address, &stream_request(200)).await });
@@ -225,9 +225,9 @@
 }
 
 #[async_std::test]
-async fn fences_are_checked_or_ignored() {
-    let checks = engine().await;
-    let ignores = EngineServer::bind(
+async fn fencing_numbers_are_checked_or_ignored() {
+    let checking = engine().await;
+    let ignoring = EngineServer::bind(
         any_port(),
         EngineSettings {
             checks_fences: false,
@@ -241,18 +241,18 @@
             .with_body(format!(r#"{{"fence":{fence},"model":"m"}}"#))
     };
 
-    for engine in [&checks, &ignores] {
+    for engine in [&checking, &ignoring] {
         call(engine.address(), &order(5)).await.unwrap();
     }
-    let refused = call(checks.address(), &order(4)).await.unwrap();
-    let taken = call(ignores.address(), &order(4)).await.unwrap();
+    let refused = call(checking.address(), &order(4)).await.unwrap();
+    let accepted = call(ignoring.address(), &order(4)).await.unwrap();
 
-    assert_eq!((refused.status, taken.status), (409, 200));
-    assert_eq!((checks.orders().len(), ignores.orders().len()), (1, 2));
+    assert_eq!((refused.status, accepted.status), (409, 200));
+    assert_eq!((checking.orders().len(), ignoring.orders().len()), (1, 2));
 }
 
 #[async_std::test]
-async fn a_known_prefix_costs_no_second_prefill() {
+async fn a_cached_prefix_is_not_prefilled_again() {
     let engine = engine().await;
     let prompt = "p".repeat(64 * 20);
     let request = CallerRequest::generate(&prompt, 1, false).with_id(ID);
@@ -267,7 +267,7 @@
 }
 
 #[async_std::test]
-async fn the_load_report_lags() {
+async fn the_load_report_is_delayed() {
     let engine = EngineServer::bind(
         any_port(),
         EngineSettings {
@@ -292,7 +292,7 @@
 }
 
 #[async_std::test]
-async fn a_crowded_engine_shares_its_pace() {
+async fn concurrent_requests_share_the_throughput() {
     let engine = EngineServer::bind(
         any_port(),
         EngineSettings {
@@ -308,7 +308,7 @@
     let calls: Vec<_> = (0..4)
         .map(|_| async_std::task::spawn(async move { call(address, &stream_request(100)).await }))
         .collect();
-    support::wait_for("the crowd", || engine.running() == 4).await;
+    support::wait_for("concurrent requests", || engine.running() == 4).await;
 
     let load = call(address, &CallerRequest::new("GET", "/v1/load"))
         .await
@@ -323,7 +323,7 @@
 }
 
 #[async_std::test]
-async fn faults_are_switched_over_http() {
+async fn faults_can_be_set_over_http() {
     let engine = engine().await;
     let control = CallerRequest::new("POST", "/control")
         .with_body(r#"{"faults":{"wrong_id":true},"state":"leaving"}"#);
--- a/standins/tests/link.rs
+++ b/standins/tests/link.rs
@@ -1,6 +1,6 @@
-//! The link: cut, delayed, silent.
+//! The link: open, cut and silent modes.
 
-#![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
+#![allow(clippy::unwrap_used, reason = "fixtures fail by panicking")]
 
 mod support;
 
@@ -28,7 +28,7 @@
 }
 
 #[async_std::test]
-async fn an_open_link_passes_on() {
+async fn an_open_link_forwards() {
     let (_service, link) = linked_service().await;
 
     let answer = call(link.address(), &request()).await.unwrap();
@@ -37,30 +37,30 @@
 }
 
 #[async_std::test]
-async fn a_cut_ends_standing_and_new_connections() {
+async fn a_cut_closes_existing_and_new_connections() {
     let (_service, link) = linked_service().await;
-    let mut standing = CallerConnection::open(link.address()).await.unwrap();
-    standing.call(&request()).await.unwrap();
+    let mut existing = CallerConnection::open(link.address()).await.unwrap();
+    existing.call(&request()).await.unwrap();
 
     link.set_mode(LinkMode::Cut);
 
-    assert_eq!(standing.call(&request()).await, Err(CallerError::Cut));
+    assert_eq!(existing.call(&request()).await, Err(CallerError::Cut));
     assert!(call(link.address(), &request()).await.is_err());
     link.set_mode(LinkMode::Open);
     assert!(call(link.address(), &request()).await.is_ok());
 }
 
 #[async_std::test]
-async fn silenced_connections_stay_silent_while_new_ones_work() {
+async fn existing_connections_stay_silent_while_new_ones_work() {
     let (service, link) = linked_service().await;
-    let mut standing = CallerConnection::open(link.address()).await.unwrap();
-    standing.call(&request()).await.unwrap();
+    let mut existing = CallerConnection::open(link.address()).await.unwrap();
+    existing.call(&request()).await.unwrap();
 
     link.silence_existing();
 
     let silent = async_std::future::timeout(
         std::time::Duration::from_millis(200),
-        standing.call(&request()),
+        existing.call(&request()),
     )
     .await;
     assert!(silent.is_err());
@@ -70,7 +70,7 @@
 }
 
 #[async_std::test]
-async fn a_silent_link_swallows_new_connections() {
+async fn a_silent_link_discards_data_on_new_connections() {
     let (service, link) = linked_service().await;
 
     link.set_mode(LinkMode::Silent);
@@ -81,21 +81,21 @@
 }
 
 #[async_std::test]
-async fn a_gate_decides_by_the_client() {
+async fn the_mode_can_depend_on_the_client() {
     let (_service, link) = linked_service().await;
-    let mut standing = CallerConnection::open(link.address()).await.unwrap();
-    standing.call(&request()).await.unwrap();
+    let mut existing = CallerConnection::open(link.address()).await.unwrap();
+    existing.call(&request()).await.unwrap();
 
-    link.set_gate(|client| match client.port() {
+    link.set_mode_selector(|client| match client.port() {
         0 => LinkMode::Open,
         _ => LinkMode::Cut,
     });
 
-    assert_eq!(standing.call(&request()).await, Err(CallerError::Cut));
+    assert_eq!(existing.call(&request()).await, Err(CallerError::Cut));
 }
 
 #[async_std::test]
-async fn a_link_is_switched_over_http() {
+async fn the_mode_can_be_set_over_http() {
     let service = service().await;
     let link = LinkServer::bind_controlled(any_port(), service.address(), any_port())
         .await
--- a/standins/tests/load.rs
+++ b/standins/tests/load.rs
@@ -1,6 +1,6 @@
-//! The load tool against the stand-ins themselves.
+//! The load generator, run directly against the stand-ins.
 
-#![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
+#![allow(clippy::unwrap_used, reason = "fixtures fail by panicking")]
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::service;
 
 #[async_std::test]
-async fn every_answer_is_checked_and_counted() {
+async fn every_answer_is_verified_and_counted() {
     let engine = engine().await;
     let plan = LoadPlan {
         gateways: vec![engine.address()],
@@ -29,7 +29,7 @@
 }
 
 #[async_std::test]
-async fn a_service_is_called_at_any_other_path() {
+async fn other_paths_call_a_service() {
     let service = service().await;
     let plan = LoadPlan {
         gateways: vec![service.address()],
@@ -44,7 +44,7 @@
 }
 
 #[async_std::test]
-async fn another_requests_answer_counts_as_wrong() {
+async fn an_answer_to_another_request_counts_as_wrong() {
     let engine = engine().await;
     engine.set_faults(EngineFaults {
         wrong_id: true,
@@ -59,19 +59,19 @@
     let report = LoadRun::spawn(plan).finish().await;
 
     assert_eq!((report.done, report.wrong), (0, 2));
-    assert_eq!(report.suspects.len(), 2);
+    assert_eq!(report.unconfirmed_ids.len(), 2);
 }
 
 #[async_std::test]
-async fn a_caller_goes_on_to_the_next_host() {
-    let gone = engine().await;
+async fn a_caller_fails_over_to_the_next_host() {
+    let crashed = engine().await;
     let other = engine().await;
     let plan = LoadPlan {
-        gateways: vec![gone.address(), other.address()],
+        gateways: vec![crashed.address(), other.address()],
         requests: 2,
         ..LoadPlan::default()
     };
-    gone.crash();
+    crashed.crash();
 
     let report = LoadRun::spawn(plan).finish().await;
 
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -1,6 +1,6 @@
-//! The platform stand-in at its published interface.
+//! The platform stand-in's HTTP interface.
 
-#![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
+#![allow(clippy::unwrap_used, reason = "fixtures fail by panicking")]
 
 mod support;
 
@@ -40,7 +40,7 @@
 }
 
 #[async_std::test]
-async fn a_document_comes_with_its_version() {
+async fn a_document_is_served_with_its_version() {
     let platform = platform_with(7).await;
 
     let answer = call(platform.address(), &read()).await.unwrap();
@@ -61,7 +61,7 @@
 }
 
 #[async_std::test]
-async fn a_watch_ends_with_the_next_version() {
+async fn a_watch_returns_the_next_version() {
     let platform = platform_with(7).await;
     let address = platform.address();
     let watching = task::spawn(async move { call(address, &watch(7, 30_000)).await });
@@ -75,7 +75,7 @@
 }
 
 #[async_std::test]
-async fn a_watch_without_news_ends_with_304() {
+async fn a_watch_without_a_new_version_ends_with_304() {
     let platform = platform_with(7).await;
 
     let answer = call(platform.address(), &watch(7, 20)).await.unwrap();
@@ -84,7 +84,7 @@
 }
 
 #[async_std::test]
-async fn a_platform_that_is_down_cuts_readers_and_watches() {
+async fn a_platform_that_is_down_closes_reads_and_watches() {
     let platform = platform_with(7).await;
     let address = platform.address();
     let watching = task::spawn(async move { call(address, &watch(7, 30_000)).await });
@@ -99,7 +99,7 @@
 }
 
 #[async_std::test]
-async fn a_stale_platform_shows_what_stood() {
+async fn a_stale_platform_serves_the_previous_document() {
     let platform = platform_with(7).await;
 
     platform.set_mode(PlatformMode::Stale);
@@ -113,7 +113,7 @@
 }
 
 #[async_std::test]
-async fn a_flapping_platform_refuses_every_other_call() {
+async fn a_flapping_platform_refuses_every_other_read() {
     let platform = platform_with(7).await;
     platform.set_mode(PlatformMode::Flapping);
 
@@ -125,7 +125,7 @@
 }
 
 #[async_std::test]
-async fn operators_publish_over_http() {
+async fn operators_can_publish_over_http() {
     let platform = platform_with(7).await;
     let put = CallerRequest::new("PUT", "/v1/documents/fleet").with_body(r#"{"version":9}"#);
     let hosts = CallerRequest::new("PUT", "/v1/hosts")
--- a/standins/tests/service.rs
+++ b/standins/tests/service.rs
@@ -1,6 +1,6 @@
-//! The service stand-in and its faults.
+//! The service stand-in and its injected faults.
 
-#![allow(clippy::unwrap_used, reason = "fixtures fail by panics")]
+#![allow(clippy::unwrap_used, reason = "fixtures fail by panicking")]
 
 mod support;
 
@@ -43,7 +43,7 @@
 }
 
 #[async_std::test]
-async fn cut_short_and_silent_bodies_are_never_whole() {
+async fn cut_short_and_silent_bodies_are_never_complete() {
     let service = service().await;
     let cut = ServiceFaults {
         cut: true,
@@ -65,14 +65,14 @@
     service.set_faults(silent);
     let silent = call_briefly(service.address(), &booking()).await;
 
-    assert_eq!(check_answer(&cut, ID, &echo()), Err(AnswerFault::Cut));
+    assert_eq!(check_answer(&cut, ID, &echo()), Err(AnswerFault::Truncated));
     assert_eq!(short, Err(CallerError::TimedOut));
     assert_eq!(silent, Err(CallerError::TimedOut));
     assert_eq!(service.executions().len(), 3);
 }
 
 #[async_std::test]
-async fn a_wrong_id_shows_as_foreign() {
+async fn a_wrong_id_is_detected() {
     let service = service().await;
     service.set_faults(ServiceFaults {
         wrong_id: true,
@@ -83,12 +83,12 @@
 
     assert_eq!(
         check_answer(&answer, ID, &echo()),
-        Err(AnswerFault::Foreign)
+        Err(AnswerFault::WrongRequest)
     );
 }
 
 #[async_std::test]
-async fn a_leaving_service_runs_nothing_new() {
+async fn a_leaving_service_refuses_new_calls() {
     let service = service().await;
     service.set_faults(ServiceFaults {
         state: TargetState::Leaving,
@@ -102,7 +102,7 @@
 }
 
 #[async_std::test]
-async fn a_crash_keeps_the_record_of_what_ran() {
+async fn a_crash_keeps_the_execution_log() {
     let service = service().await;
     service.set_faults(ServiceFaults {
         crash_on: Some("slot".to_owned()),
--- a/standins/tests/support/mod.rs
+++ b/standins/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Fixtures that several tests of the stand-ins use.
+//! Shared fixtures of the stand-ins' tests.
 
 #![allow(
     dead_code,
     clippy::unwrap_used,
-    reason = "each test file uses a part of the fixtures, which fail by panics"
+    reason = "each test file uses only some of the fixtures, which fail by panicking"
 )]
 
 use std::future::Future;
@@ -21,15 +21,15 @@
 use standins::ServiceServer;
 use standins::ServiceSettings;
 
-/// The one limit for whatever a test waits for.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for any wait in a test.
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-/// Any free port of the loopback.
+/// Loopback address with an automatically assigned port.
 pub(crate) fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// An engine that is fast enough for tests.
+/// Starts an engine that generates tokens fast.
 pub(crate) async fn engine() -> EngineServer {
     let settings = EngineSettings {
         tokens_per_second: 2_000.0,
@@ -38,22 +38,22 @@
     EngineServer::bind(any_port(), settings).await.unwrap()
 }
 
-/// A service that answers at once.
+/// Starts a service that answers without delay.
 pub(crate) async fn service() -> ServiceServer {
     ServiceServer::bind(any_port(), ServiceSettings::default())
         .await
         .unwrap()
 }
 
-/// Calls on a fresh connection.
+/// Sends a request on a new connection.
 pub(crate) async fn call(
     host: SocketAddr,
     request: &CallerRequest,
 ) -> Result<CallerAnswer, CallerError> {
-    CallerClient::new(LIMIT).call(host, request).await
+    CallerClient::new(WAIT_LIMIT).call(host, request).await
 }
 
-/// Calls on a fresh connection and gives up soon: for what must stay silent.
+/// Sends a request on a new connection with a short timeout, to check that no answer comes.
 pub(crate) async fn call_briefly(
     host: SocketAddr,
     request: &CallerRequest,
@@ -63,13 +63,13 @@
         .await
 }
 
-/// Polls until `condition` holds.
+/// Polls until `condition` is true.
 pub(crate) fn wait_for(what: &str, condition: impl Fn() -> bool) -> impl Future<Output = ()> {
     let what = what.to_owned();
     async move {
         let began = Instant::now();
         while !condition() {
-            assert!(began.elapsed() < LIMIT, "waited in vain for {what}");
+            assert!(began.elapsed() < WAIT_LIMIT, "timed out waiting for {what}");
             task::sleep(Duration::from_millis(5)).await;
         }
     }
--- a/tests/support/fleet_links.rs
+++ b/tests/support/fleet_links.rs
@@ -74,6 +74,6 @@
     pub(crate) fn apply(&self, link: &LinkServer, to: &str) {
         let table = Arc::clone(&self.table);
         let to = to.to_owned();
-        link.set_gate(move |client| table.lock().unwrap().mode(client, &to));
+        link.set_mode_selector(move |client| table.lock().unwrap().mode(client, &to));
     }
 }
