--- a/benches/cell_cost.rs
+++ b/benches/cell_cost.rs
@@ -190,7 +190,7 @@
         .hosts
         .iter()
         .map(|host| {
-            let stat = read_proc(host.process.process(), "stat");
+            let stat = read_proc(host.process.process_id(), "stat");
             let fields: Vec<&str> = stat.split_whitespace().collect();
             [13, 14]
                 .iter()
@@ -207,7 +207,7 @@
         .hosts
         .iter()
         .filter_map(|host| {
-            let status = read_proc(host.process.process(), "status");
+            let status = read_proc(host.process.process_id(), "status");
             let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
             line.split_whitespace().nth(1)?.parse::<f64>().ok()
         })
--- a/benches/gateway_cost/main.rs
+++ b/benches/gateway_cost/main.rs
@@ -180,7 +180,7 @@
         task::sleep(Duration::from_secs(1)).await;
         println!(
             "| memory with {count} idle connections | | | {} KiB | | |",
-            resident_kib(host.process())
+            resident_kib(host.process_id())
         );
     }
 }
--- a/tests/support/fleet_links.rs
+++ b/tests/support/fleet_links.rs
@@ -1,4 +1,4 @@
-//! Who reaches whom: one table that all links of a fleet go by.
+//! Link modes between the processes of a fleet, in one table shared by all links.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 use super::process_sockets::socket_owner;
 
-/// What happens between two names; everything else is open.
+/// Mode of connections from one name to another; pairs without a rule are open.
 struct LinkRule {
     from: String,
     to: String,
@@ -23,7 +23,7 @@
 }
 
 impl LinkTable {
-    /// Returns what happens to a connection from `client` to `to`.
+    /// Returns the mode of a connection from the socket `client` to `to`.
     fn mode(&self, client: SocketAddr, to: &str) -> LinkMode {
         let rules: Vec<&LinkRule> = self.rules.iter().filter(|rule| rule.to == to).collect();
         if rules.is_empty() {
@@ -41,21 +41,21 @@
     }
 }
 
-/// The table that the links of one fleet share.
+/// The link table of a fleet.
 #[derive(Clone, Default)]
 pub(crate) struct FleetLinks {
     table: Arc<Mutex<LinkTable>>,
 }
 
 impl FleetLinks {
-    /// Says which process bears a host's name now.
+    /// Registers the current process of a host.
     pub(crate) fn set_process(&self, process: u32, host: &str) {
         let mut table = self.table.lock().unwrap();
         table.processes.retain(|entry| entry.1 != host);
         table.processes.push((process, host.to_owned()));
     }
 
-    /// Sets what happens to connections that `from` opens to `to`.
+    /// Sets the mode of connections that `from` opens to `to`.
     pub(crate) fn set_rule(&self, from: &str, to: &str, mode: LinkMode) {
         let mut table = self.table.lock().unwrap();
         table
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Makes a link go by the table, its standing connections too.
+    /// Applies the table to the existing and new connections of the link that leads to `to`.
     pub(crate) fn apply(&self, link: &LinkServer, to: &str) {
         let table = Arc::clone(&self.table);
         let to = to.to_owned();
--- a/tests/support/fleet_plan.rs
+++ b/tests/support/fleet_plan.rs
@@ -1,4 +1,4 @@
-//! What a test fleet is made of, and its first document.
+//! Composition of a test fleet and its first configuration document.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,18 +19,18 @@
 use standins::EngineSettings;
 use standins::ServiceSettings;
 
-/// The bearer token of the one account.
+/// Bearer token of the only account.
 pub(crate) const TOKEN: &str = "harmattan-token";
-/// The availability zones, taken in turn.
+/// Availability zones, assigned round robin.
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
-/// How far clocks may differ: all processes share one clock here.
+/// Clock skew limit; small since all processes share one clock.
 pub(crate) const CLOCK_SKEW: Duration = Duration::from_millis(50);
 
-/// The deadline of each class: beyond every test's limit, so that an answer that
-/// is held back until the deadline shows as none at all.
-const DEADLINE: Duration = Duration::from_secs(120);
+/// Deadline of each class. It exceeds the wait limit of the tests, so that an answer that is
+/// withheld until the deadline counts as missing.
+const CLASS_DEADLINE: Duration = Duration::from_secs(120);
 
-/// How many of each, and what they are like.
+/// Numbers and settings of the parts of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FleetPlan {
     pub(crate) hosts: usize,
@@ -39,8 +39,8 @@
     pub(crate) engine: EngineSettings,
     pub(crate) service: ServiceSettings,
     pub(crate) slots: u32,
-    /// Whether targets stand behind links. A link takes connections even when
-    /// its target is gone, so a test of dead targets does without.
+    /// Whether hosts reach targets through links. A link accepts connections even if its target is
+    /// down, so tests of crashed targets disable them.
     pub(crate) targets_behind_links: bool,
     /// Whether each host records a trace.
     pub(crate) records_traces: bool,
@@ -61,12 +61,12 @@
     }
 }
 
-/// Returns the zone of the thing with this number.
+/// Returns the zone of the host or target with this number.
 pub(crate) fn zone(number: usize) -> String {
     ZONES[number % ZONES.len()].to_owned()
 }
 
-/// Returns the first document of a fleet.
+/// Returns the first configuration document of a fleet.
 pub(crate) fn first_document(seats: Vec<SeatAddress>, targets: Vec<FleetTarget>) -> FleetDocument {
     FleetDocument {
         version: 1,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Returns one target of a document.
+/// Returns a target's entry in a document.
 pub(crate) fn target(
     name: String,
     kind: TargetKind,
@@ -116,7 +116,7 @@
     }
 }
 
-/// A non-idempotent booking and three classes of generation, one a tier.
+/// A class of non-idempotent bookings, and one class of generations for each tier.
 fn classes() -> Vec<ClassRule> {
     let generate = "/v1/generate";
     vec![
@@ -138,7 +138,7 @@
         targets: targets.to_owned(),
         tier,
         idempotent,
-        deadline_ms: DEADLINE.as_millis() as u64,
+        deadline_ms: CLASS_DEADLINE.as_millis() as u64,
         expected_prompt_tokens: 0,
         expected_output_tokens: 0,
         max_body_bytes: 1 << 20,
--- a/tests/support/free_port.rs
+++ b/tests/support/free_port.rs
@@ -1,4 +1,4 @@
-//! Ports for processes, which must know theirs before they start.
+//! Port allocation for processes whose settings name their ports before they start.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -7,22 +7,22 @@
 use std::sync::atomic::AtomicU16;
 use std::sync::atomic::Ordering;
 
-/// The first port given out: below the range from which the kernel picks by itself.
+/// First allocated port; the range lies below the kernel's ephemeral ports.
 const FIRST_PORT: u16 = 10_000;
-/// How many ports one test process has for itself.
+/// Number of ports reserved for each test process.
 const PORTS_PER_PROCESS: u16 = 200;
-/// How many test processes get different ports before they repeat.
-const PROCESS_COUNT: u32 = 110;
+/// Number of port blocks; test processes whose ids differ by a multiple of it share a block.
+const PORT_BLOCKS: u32 = 110;
 
-/// Held while a port is tried and while a process is started: a child that is not yet running
-/// its program holds on to the socket with which another test tries a port.
+/// Serialises port probes and process starts: between fork and exec, a child holds a copy of the
+/// socket with which another test probes a port.
 pub(crate) static PORT_LOCK: Mutex<()> = Mutex::new(());
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// Returns a loopback address on which nothing listens.
+/// Returns a loopback address with a free port.
 pub(crate) fn free_address() -> SocketAddr {
-    let base = FIRST_PORT + (std::process::id() % PROCESS_COUNT) as u16 * PORTS_PER_PROCESS;
+    let base = FIRST_PORT + (std::process::id() % PORT_BLOCKS) as u16 * PORTS_PER_PROCESS;
     loop {
         let offset = NEXT_PORT.fetch_add(1, Ordering::Relaxed) % PORTS_PER_PROCESS;
         let address = SocketAddr::from(([127, 0, 0, 1], base + offset));
--- a/tests/support/host_process.rs
+++ b/tests/support/host_process.rs
@@ -1,4 +1,4 @@
-//! One `cardamomgw serve` process.
+//! A `cardamomgw serve` process.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -24,13 +24,13 @@
 use super::free_port::PORT_LOCK;
 use super::wait_for;
 
-/// How often a host is asked whether it serves.
-const READY_PAUSE: Duration = Duration::from_millis(20);
+/// Poll interval of a host's readiness.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How many threads serve requests in one host.
+/// Number of async worker threads in a host.
 const HOST_THREADS: &str = "12";
 
-/// A host's process with its settings; it is killed when dropped.
+/// A host's process and its settings; the process is killed when dropped.
 pub(crate) struct HostProcess {
     pub(crate) settings: HostSettings,
     directory: PathBuf,
@@ -38,7 +38,7 @@
 }
 
 impl HostProcess {
-    /// Writes the settings below `directory` and starts the process.
+    /// Writes the settings to `directory` and starts the process.
     pub(crate) fn spawn(settings: HostSettings, directory: PathBuf) -> Self {
         let child = spawn_child(&settings, &directory);
         Self {
@@ -48,68 +48,71 @@
         }
     }
 
-    /// Returns where callers connect.
+    /// Returns the address for callers.
     pub(crate) const fn caller_address(&self) -> SocketAddr {
         self.settings.caller_address
     }
 
     /// Returns the process id.
-    pub(crate) fn process(&self) -> u32 {
+    pub(crate) fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends the process at once and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub(crate) fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Stops the process where it is.
+    /// Suspends the process with SIGSTOP.
     pub(crate) fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a stopped process go on.
+    /// Resumes a suspended process.
     pub(crate) fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks the process to drain and end.
+    /// Requests a graceful shutdown with SIGTERM.
     pub(crate) fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Starts the same host again with empty memory; the old process must have ended.
+    /// Starts a new process with the same settings; the previous one must have exited.
     pub(crate) fn restart(&mut self) {
         self.child = spawn_child(&self.settings, &self.directory);
     }
 
-    /// Waits for the process's own end.
+    /// Waits until the process exits by itself.
     pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let child = std::sync::Mutex::new(&mut self.child);
         let has_ended = || child.lock().unwrap().try_wait().unwrap().is_some();
-        wait_for("the process to end", has_ended).await;
+        wait_for("the process to exit", has_ended).await;
         self.child.wait().unwrap()
     }
 
-    /// Waits until the host serves; says what the host says when it never does.
+    /// Waits until the host is ready; panics with the host's status after the wait limit.
     pub(crate) async fn wait_ready(&self) {
         let began = Instant::now();
         while !self.is_ready().await {
             if began.elapsed() > WAIT_LIMIT {
                 let status = self.status().await;
-                unreachable!("never ready, see {}: {status}", self.log_path());
+                unreachable!(
+                    "host did not become ready, see {}: {status}",
+                    self.log_path()
+                );
             }
-            task::sleep(READY_PAUSE).await;
+            task::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// Tells whether the host says that it serves.
+    /// Returns whether the host reports that it is ready.
     pub(crate) async fn is_ready(&self) -> bool {
         self.operator_status("/ready").await == Some(200)
     }
 
-    /// Returns what the host tells its operators; null while it does not answer.
+    /// Returns the host's status document; null while it does not answer.
     pub(crate) async fn status(&self) -> Value {
         let answer = CallerClient::new(WAIT_LIMIT)
             .call(
@@ -122,7 +125,7 @@
         })
     }
 
-    /// Returns the host's log so far.
+    /// Returns the content of the host's log file.
     pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(self.log_path()).unwrap_or_default()
     }
@@ -151,7 +154,7 @@
 
 impl Drop for HostProcess {
     fn drop(&mut self) {
-        // SIGKILL also ends a stopped process.
+        // SIGKILL also ends a suspended process.
         self.child.kill().ok();
         self.child.wait().ok();
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,13 +1,13 @@
-//! The process test bench: real `cardamomgw serve` processes before stand-ins.
+//! Fixtures for tests with real `cardamomgw serve` processes.
 //!
-//! A [`TestFleet`] starts a platform, engines and services inside the test, hosts
-//! as processes, and links between all of them. Everything ends with the fixture.
+//! A [`TestFleet`] runs stand-ins of the platform, engines and services inside the test process,
+//! hosts as child processes, and links between all of them. Dropping it stops everything.
 
 #![allow(
     clippy::unwrap_used,
     dead_code,
     unused_imports,
-    reason = "each test file uses a part of the bench, which fails by panics"
+    reason = "each test file uses only some of the fixtures, which fail by panicking"
 )]
 
 mod fleet_links;
@@ -32,7 +32,7 @@
 pub(crate) use test_callers::booking;
 pub(crate) use test_callers::booking_body;
 pub(crate) use test_callers::call;
-pub(crate) use test_callers::call_within;
+pub(crate) use test_callers::call_with_timeout;
 pub(crate) use test_callers::generate;
 pub(crate) use test_callers::spawn_call;
 pub(crate) use test_fleet::TestFleet;
--- a/tests/support/process_sockets.rs
+++ b/tests/support/process_sockets.rs
@@ -1,12 +1,12 @@
-//! Which of the test's own processes opened a connection.
+//! Maps connections to the processes that opened them.
 
 use std::fs;
 use std::net::SocketAddr;
 
-/// Returns which of `processes` owns the socket whose local address is `client`.
+/// Returns which of `processes` owns the socket with the local address `client`.
 ///
-/// A link uses it to treat the connections of one host apart: they all come from
-/// the loopback address, and only the kernel's tables tell them from each other.
+/// A link uses it to apply rules per host: all connections come from the loopback address, so
+/// only the kernel's socket tables tell which host opened one.
 pub(crate) fn socket_owner(client: SocketAddr, processes: &[u32]) -> Option<u32> {
     let link = format!("socket:[{}]", socket_inode(client)?);
     processes
@@ -15,7 +15,7 @@
         .find(|process| holds_socket(*process, &link))
 }
 
-/// Returns the inode of the socket with this local address.
+/// Returns the inode of the socket with the local port of `client`.
 fn socket_inode(client: SocketAddr) -> Option<u64> {
     let port = format!(":{:04X}", client.port());
     let table = fs::read_to_string("/proc/self/net/tcp").ok()?;
--- a/tests/support/raw_bytes.rs
+++ b/tests/support/raw_bytes.rs
@@ -1,4 +1,4 @@
-//! Callers and targets that write whatever bytes a test says.
+//! Callers and targets that send arbitrary bytes.
 
 use std::net::Shutdown;
 use std::net::SocketAddr;
@@ -17,13 +17,13 @@
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A caller's connection that carries any bytes.
+/// A caller's connection for raw bytes.
 pub(crate) struct RawCaller {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// One answer, taken apart.
+/// A parsed answer.
 #[derive(Clone, Debug)]
 pub(crate) struct RawAnswer {
     pub(crate) status: u16,
@@ -40,23 +40,23 @@
         }
     }
 
-    /// Sends bytes; a host that has closed already is found out by the read.
+    /// Sends bytes; a closed connection is detected by the next read.
     pub(crate) async fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).await.ok();
     }
 
-    /// Says that nothing more will be sent.
+    /// Closes the sending direction of the connection.
     pub(crate) fn shutdown_write(&self) {
         self.stream.shutdown(Shutdown::Write).ok();
     }
 
-    /// Reads one answer; `None` when the connection ends before it is whole.
+    /// Reads one answer; returns `None` if the connection closes before it is complete.
     pub(crate) async fn read_answer(&mut self) -> Option<RawAnswer> {
         let head = self.read_head().await?;
         let length = head.lines().find_map(|line| {
             let (name, value) = line.split_once(':')?;
-            let named = name.eq_ignore_ascii_case("content-length");
-            named.then(|| value.trim().parse::<usize>().unwrap())
+            let is_length = name.eq_ignore_ascii_case("content-length");
+            is_length.then(|| value.trim().parse::<usize>().unwrap())
         });
         let status = head.split(' ').nth(1)?.parse().ok()?;
         let length = length.unwrap_or(0);
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Reads an answer's head, and no body.
+    /// Reads the head of an answer without its body.
     pub(crate) async fn read_head(&mut self) -> Option<String> {
         loop {
             let found = self.buffer.windows(4).position(|part| part == HEAD_END);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Reads all that comes until the host ends the connection.
+    /// Reads until the host closes the connection.
     pub(crate) async fn read_to_end(&mut self) -> Vec<u8> {
         while self.read_more().await.is_some() {}
         std::mem::take(&mut self.buffer)
@@ -92,20 +92,22 @@
     async fn read_more(&mut self) -> Option<()> {
         let mut piece = [0; 4096];
         let read = timeout(WAIT_LIMIT, self.stream.read(&mut piece)).await;
-        let count = read.expect("the host says something in time").ok()?;
+        let count = read
+            .expect("the host sends data or closes within the wait limit")
+            .ok()?;
         self.buffer.extend_from_slice(&piece[..count]);
         (count > 0).then_some(())
     }
 }
 
 impl RawAnswer {
-    /// Returns the kind of error in the body, or nothing at all.
+    /// Returns the error kind from the body, or an empty string.
     pub(crate) fn kind(&self) -> String {
         let body: Value = serde_json::from_str(&self.body).unwrap_or_default();
         body["error"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Returns a header's value by its lower-case name, or nothing at all.
+    /// Returns a header's value, or an empty string.
     pub(crate) fn header(&self, name: &str) -> &str {
         let found = self.head.lines().find_map(|line| {
             let (known, value) = line.split_once(':')?;
@@ -115,14 +117,14 @@
     }
 }
 
-/// Sends bytes on a connection of their own and reads one answer.
+/// Sends bytes on a new connection and reads one answer.
 pub(crate) async fn send_raw(host: SocketAddr, bytes: &[u8]) -> Option<RawAnswer> {
     let mut caller = RawCaller::open(host).await;
     caller.send(bytes).await;
     caller.read_answer().await
 }
 
-/// A target that answers any request with the same bytes and ends the connection.
+/// A target that answers every POST with configurable bytes and closes the connection.
 pub(crate) struct RawTarget {
     address: SocketAddr,
     answer: Arc<Mutex<Vec<u8>>>,
@@ -130,7 +132,7 @@
 }
 
 impl RawTarget {
-    /// Listens on any free port.
+    /// Starts the target on a free port.
     pub(crate) async fn bind() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let target = Self {
@@ -147,17 +149,17 @@
         target
     }
 
-    /// Returns where the target listens.
+    /// Returns the address that the target listens on.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what the target answers; `{id}` stands for the request's own id.
+    /// Sets the bytes of the answer; `{id}` is replaced by the request id.
     pub(crate) fn set_answer(&self, bytes: &[u8]) {
         *self.answer.lock().unwrap() = bytes.to_vec();
     }
 
-    /// Returns how many `POST`s came with an id.
+    /// Returns the number of POSTs received with a request id.
     pub(crate) fn post_count(&self, id: &str) -> usize {
         let posts = self.posts.lock().unwrap();
         posts.iter().filter(|known| *known == id).count()
@@ -179,7 +181,7 @@
     }
     let head = String::from_utf8_lossy(&request).into_owned();
     if !head.starts_with("POST ") {
-        // Neither a load report nor a stream is to be had here.
+        // Load reports and streams are not supported.
         let none = b"HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n";
         stream.write_all(none).await.ok();
         return;
@@ -194,6 +196,6 @@
     let text = String::from_utf8(bytes).unwrap().replace("{id}", &id);
     stream.write_all(text.as_bytes()).await.ok();
     stream.shutdown(Shutdown::Write).ok();
-    // A socket that is closed with unread bytes would be reset.
+    // Closing a socket with unread bytes would reset the connection.
     while stream.read(&mut piece).await.is_ok_and(|count| count > 0) {}
 }
--- a/tests/support/test_callers.rs
+++ b/tests/support/test_callers.rs
@@ -1,4 +1,4 @@
-//! Calls as the tests make them.
+//! Requests and calls used by the tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use super::TOKEN;
 use super::WAIT_LIMIT;
 
-/// A non-idempotent booking.
+/// Returns a non-idempotent booking request.
 pub(crate) fn booking(id: &str) -> CallerRequest {
     CallerRequest::new("POST", "/v1/bookings")
         .with_token(TOKEN)
@@ -21,12 +21,12 @@
         .with_body(booking_body(id))
 }
 
-/// Returns the body of a booking, which the service repeats.
+/// Returns the body of a booking, which the service echoes.
 pub(crate) fn booking_body(id: &str) -> String {
     format!("{{\"booking\":\"{id}\"}}")
 }
 
-/// A streamed generation of a class.
+/// Returns a request for a streamed generation in a class.
 pub(crate) fn generate(id: &str, class: &str, tokens: u32) -> CallerRequest {
     CallerRequest::generate(&format!("flight manifest {id}"), tokens, true)
         .with_token(TOKEN)
@@ -34,16 +34,16 @@
         .with_class(class)
 }
 
-/// Calls on a fresh connection.
+/// Sends a request on a new connection.
 pub(crate) async fn call(
     host: SocketAddr,
     request: &CallerRequest,
 ) -> Result<CallerAnswer, CallerError> {
-    call_within(WAIT_LIMIT, host, request).await
+    call_with_timeout(WAIT_LIMIT, host, request).await
 }
 
-/// Calls on a fresh connection and gives up after `limit`.
-pub(crate) async fn call_within(
+/// Sends a request on a new connection and gives up after `limit`.
+pub(crate) async fn call_with_timeout(
     limit: Duration,
     host: SocketAddr,
     request: &CallerRequest,
@@ -51,7 +51,7 @@
     CallerClient::new(limit).call(host, request).await
 }
 
-/// Begins a call that the test goes on beside.
+/// Sends a request in a task.
 pub(crate) fn spawn_call(
     host: SocketAddr,
     request: &CallerRequest,
--- a/tests/support/test_fleet.rs
+++ b/tests/support/test_fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet: hosts as processes, everything else inside the test.
+//! A complete fleet: hosts as child processes, everything else inside the test process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -32,14 +32,14 @@
 use super::test_targets::any_port;
 use super::wait_until;
 
-/// The name of the document at the platform.
+/// Scope of the fleet's document on the platform.
 const SCOPE: &str = "fleet";
-/// How a rule names the platform.
+/// Name of the platform in link rules.
 pub(crate) const PLATFORM: &str = "platform";
 
 static NEXT_FLEET: AtomicUsize = AtomicUsize::new(0);
 
-/// One host with the links that lead to it and from it to the platform.
+/// A host with its link for peers and its link to the platform.
 pub(crate) struct TestHost {
     pub(crate) process: HostProcess,
     pub(crate) peer_link: LinkServer,
@@ -52,7 +52,7 @@
         &self.process.settings.host
     }
 
-    /// Returns the host's seat as a document shows it: behind its link.
+    /// Returns the host's roster seat, with the address of its peer link.
     pub(crate) fn seat(&self) -> SeatAddress {
         SeatAddress {
             host: self.name().to_owned(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// A running fleet; every process ends when it is dropped.
+/// A running fleet; all processes are killed when it is dropped.
 pub(crate) struct TestFleet {
     pub(crate) platform: PlatformServer,
     pub(crate) hosts: Vec<TestHost>,
@@ -75,7 +75,7 @@
 }
 
 impl TestFleet {
-    /// Starts everything and waits until each host is ready.
+    /// Starts the fleet and waits until each host is ready.
     pub(crate) async fn start(plan: FleetPlan) -> Self {
         let mut fleet = Self::prepare(&plan).await;
         for _ in 0..plan.hosts {
@@ -85,7 +85,7 @@
         fleet.document.roster.seats = fleet.hosts.iter().map(TestHost::seat).collect();
         fleet.publish();
         fleet.wait_ready().await;
-        // Seats speak only for ids made after they began, whatever the clocks.
+        // Seats answer only for request ids generated after they started, plus the clock skew.
         task::sleep(2 * CLOCK_SKEW).await;
         fleet
     }
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Starts one more host, which no document names yet.
+    /// Starts another host, which is not yet in the document.
     pub(crate) async fn spawn_host(&mut self) -> TestHost {
         let number = self.next_host;
         self.next_host += 1;
@@ -155,7 +155,7 @@
         };
         let process = HostProcess::spawn(settings, self.directory.clone());
         self.links
-            .set_process(process.process(), &process.settings.host);
+            .set_process(process.process_id(), &process.settings.host);
         TestHost {
             process,
             peer_link,
@@ -175,19 +175,19 @@
             .collect()
     }
 
-    /// Publishes the document as it stands.
+    /// Publishes the current document.
     pub(crate) fn publish(&self) {
         self.platform.publish(SCOPE, &self.document).unwrap();
     }
 
-    /// Edits the document, raises its version and publishes it.
+    /// Edits the document, increments its version and publishes it.
     pub(crate) fn edit(&mut self, edit: impl FnOnce(&mut FleetDocument)) {
         self.document.version += 1;
         edit(&mut self.document);
         self.publish();
     }
 
-    /// Publishes a roster of the hosts that run now.
+    /// Publishes a new roster with the current hosts.
     pub(crate) fn publish_roster(&mut self) {
         let seats = self.hosts.iter().map(TestHost::seat).collect();
         let former = self.document.roster.clone();
@@ -198,8 +198,8 @@
         self.publish();
     }
 
-    /// Waits until every host calls the newest roster active, as operators do
-    /// before they end a host that left it.
+    /// Waits until the newest roster is active on every host, as operators do before they stop a
+    /// host that has left it.
     pub(crate) async fn wait_for_active_roster(&self) {
         let number = Some(self.document.roster.number);
         for host in &self.hosts {
@@ -218,26 +218,27 @@
         }
     }
 
-    /// Starts a host's process again; the old one must have ended.
+    /// Restarts a host's process; the previous one must have exited.
     pub(crate) fn restart_host(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         host.process.restart();
-        self.links.set_process(host.process.process(), host.name());
+        self.links
+            .set_process(host.process.process_id(), host.name());
     }
 
-    /// Returns where callers reach a host.
+    /// Returns the caller address of a host.
     pub(crate) fn caller_address(&self, index: usize) -> SocketAddr {
         self.hosts[index].process.caller_address()
     }
 
-    /// Returns where callers reach the hosts.
+    /// Returns the caller addresses of all hosts.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         (0..self.hosts.len())
             .map(|index| self.caller_address(index))
             .collect()
     }
 
-    /// Sets what happens between a host and all its peers, both ways.
+    /// Sets the link mode between a host and all its peers, in both directions.
     pub(crate) fn set_peer_links(&self, index: usize, mode: LinkMode) {
         let name = self.hosts[index].name();
         for other in self.hosts.iter().filter(|host| host.name() != name) {
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Sets what happens between a host and all targets.
+    /// Sets the link mode from a host to all targets.
     pub(crate) fn set_target_links(&self, index: usize, mode: LinkMode) {
         for target in &self.targets {
             let name = self.hosts[index].name();
@@ -258,18 +259,18 @@
         }
     }
 
-    /// Sets what happens between a host and the platform.
+    /// Sets the link mode from a host to the platform.
     pub(crate) fn set_platform_link(&self, index: usize, mode: LinkMode) {
         self.hosts[index].platform_link.set_mode(mode);
     }
 
-    /// Returns the version of the document that a host has put in force.
+    /// Returns the version of the document in force on a host.
     pub(crate) async fn version_in_force(&self, index: usize) -> Option<u64> {
         let status = self.hosts[index].process.status().await;
         status["configuration"]["version"].as_u64()
     }
 
-    /// Waits until a host has put at least this version in force.
+    /// Waits until at least this document version is in force on a host.
     pub(crate) async fn wait_for_version(&self, index: usize, version: u64) {
         let what = format!("version {version} on {}", self.hosts[index].name());
         wait_until(&what, || async {
@@ -278,8 +279,8 @@
         .await;
     }
 
-    /// Returns the engine with this number, counted from 0.
-    pub(crate) fn engine(&self, number: usize) -> &EngineServer {
+    /// Returns the engine with this index.
+    pub(crate) fn engine(&self, index: usize) -> &EngineServer {
         let mut engines = self
             .targets
             .iter()
@@ -287,11 +288,11 @@
                 TargetServer::Engine(engine) => Some(engine),
                 TargetServer::Service(_) => None,
             });
-        engines.nth(number).unwrap()
+        engines.nth(index).unwrap()
     }
 
-    /// Returns the service with this number, counted from 0.
-    pub(crate) fn service(&self, number: usize) -> &ServiceServer {
+    /// Returns the service with this index.
+    pub(crate) fn service(&self, index: usize) -> &ServiceServer {
         let mut services = self
             .targets
             .iter()
@@ -299,10 +300,10 @@
                 TargetServer::Engine(_) => None,
                 TargetServer::Service(service) => Some(service),
             });
-        services.nth(number).unwrap()
+        services.nth(index).unwrap()
     }
 
-    /// Returns every execution that started on any target.
+    /// Returns all executions that started on any target.
     pub(crate) fn executions(&self) -> Vec<ExecutionRecord> {
         self.targets
             .iter()
@@ -310,13 +311,13 @@
             .collect()
     }
 
-    /// Returns how often a request was executed.
+    /// Returns how many times a request was executed.
     pub(crate) fn execution_count(&self, id: &str) -> usize {
         let executions = self.executions();
         executions.iter().filter(|record| record.id == id).count()
     }
 
-    /// Asserts that no request was executed twice.
+    /// Asserts that no request was executed more than once.
     pub(crate) fn assert_no_duplicate_executions(&self) {
         let mut ids: Vec<String> = self
             .executions()
@@ -324,14 +325,17 @@
             .map(|record| record.id)
             .collect();
         ids.sort();
-        let doubled: Vec<_> = ids.windows(2).filter(|pair| pair[0] == pair[1]).collect();
-        assert!(doubled.is_empty(), "ran twice: {doubled:?}");
+        let duplicates: Vec<_> = ids.windows(2).filter(|pair| pair[0] == pair[1]).collect();
+        assert!(
+            duplicates.is_empty(),
+            "executed more than once: {duplicates:?}"
+        );
     }
 }
 
 impl Drop for TestFleet {
     fn drop(&mut self) {
-        // A failed test keeps its logs.
+        // The logs of a failed test are kept.
         if !std::thread::panicking() {
             std::fs::remove_dir_all(&self.directory).ok();
         }
--- a/tests/support/test_targets.rs
+++ b/tests/support/test_targets.rs
@@ -1,4 +1,4 @@
-//! Stand-in targets, each behind a link.
+//! Target stand-ins, each with a link.
 
 use std::net::SocketAddr;
 
@@ -10,13 +10,13 @@
 
 use super::FleetPlan;
 
-/// A target's stand-in.
+/// The stand-in of a target.
 pub(crate) enum TargetServer {
     Engine(EngineServer),
     Service(ServiceServer),
 }
 
-/// A target with its name and the link before it.
+/// A target with its name and the link that leads to it.
 pub(crate) struct TestTarget {
     pub(crate) name: TargetName,
     pub(crate) server: TargetServer,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns where a document says that the target listens.
+    /// Returns the address of the target for the document.
     pub(crate) fn address(&self, plan: &FleetPlan) -> SocketAddr {
         match (&self.server, plan.targets_behind_links) {
             (_, true) => self.link.address(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns every execution that started here.
+    /// Returns all executions that started on this target.
     pub(crate) fn executions(&self) -> Vec<ExecutionRecord> {
         match &self.server {
             TargetServer::Engine(engine) => engine.executions(),
@@ -68,7 +68,7 @@
     }
 }
 
-/// Any free port of the loopback.
+/// Loopback address with an automatically assigned port.
 pub(crate) fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -1,21 +1,21 @@
-//! Waiting for a condition, under one generous limit.
+//! Waiting for conditions, with one time limit.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use async_std::task;
 
-/// The one limit for whatever a test waits for.
+/// Time limit for any wait in a test.
 pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(30);
-/// How often a condition is looked at.
-const POLL_PAUSE: Duration = Duration::from_millis(10);
+/// Poll interval of conditions.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Polls until `condition` holds.
+/// Polls until `condition` is true.
 pub(crate) async fn wait_for(what: &str, condition: impl Fn() -> bool) {
     wait_until(what, || async { condition() }).await;
 }
 
-/// Polls until `condition` holds, where looking at it takes a call.
+/// Polls until the asynchronous `condition` is true.
 pub(crate) async fn wait_until<C, F>(what: &str, condition: C)
 where
     C: Fn() -> F,
@@ -23,7 +23,7 @@
 {
     let began = Instant::now();
     while !condition().await {
-        assert!(began.elapsed() < WAIT_LIMIT, "waited in vain for {what}");
-        task::sleep(POLL_PAUSE).await;
+        assert!(began.elapsed() < WAIT_LIMIT, "timed out waiting for {what}");
+        task::sleep(POLL_INTERVAL).await;
     }
 }
