--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,13 +1,13 @@
-//! The fault soak: real `cardamomgw edge` processes, faults from outside them, and the
-//! promises checked from what callers and targets see.
+//! Fault-injection soak: real `cardamomgw edge` processes under external faults. The guarantees
+//! are checked from what callers and targets observe.
 //!
-//! Each seed draws its own fleet and troubles. By hand:
+//! Each seed determines the fleet size and the faults. To run many seeds by hand:
 //! `SOAK_SEEDS=1..51 cargo test --release --test soak soak_of_many_seeds -- --ignored --nocapture`
 
 #![allow(
     clippy::panic,
     clippy::unwrap_used,
-    reason = "the soak fails by panics"
+    reason = "the soak fails by panicking"
 )]
 
 #[path = "../platform/standin/mod.rs"]
@@ -18,10 +18,10 @@
 mod soak_caller;
 #[path = "soak/soak_fleet.rs"]
 mod soak_fleet;
+#[path = "soak/soak_history.rs"]
+mod soak_history;
 #[path = "soak/soak_host.rs"]
 mod soak_host;
-#[path = "soak/soak_ledger.rs"]
-mod soak_ledger;
 #[path = "soak/soak_plan.rs"]
 mod soak_plan;
 #[path = "soak/soak_routes.rs"]
@@ -36,71 +36,70 @@
 use std::thread;
 use std::time::Duration;
 
+use soak_run::SoakReport;
 use soak_run::SoakSize;
-use soak_run::SoakVerdict;
-use soak_run::play;
-use soak_run::play_limit;
+use soak_run::run_limit;
+use soak_run::run_soak;
 
-/// For how long things befall the fleet in the usual run, and in the short one.
-const USUAL_LENGTH: Duration = Duration::from_secs(14);
+/// Duration of fault injection by default, and in the short run.
+const DEFAULT_LENGTH: Duration = Duration::from_secs(14);
 const SHORT_LENGTH: Duration = Duration::from_secs(6);
-/// How many soaks run side by side by hand; each keeps about one core busy.
-const SIDE_BY_SIDE: usize = 4;
-/// The seeds by hand where `SOAK_SEEDS` names none.
-const USUAL_SEEDS: Range<u64> = 1..51;
+/// Number of concurrent soaks in the manual run; each uses about one core.
+const PARALLEL_SOAKS: usize = 4;
+/// Seeds of the manual run if `SOAK_SEEDS` is not set.
+const DEFAULT_SEEDS: Range<u64> = 1..51;
 
-/// Seeds that once failed, at the usual length. They stay as they are.
+/// Seeds that exposed faults at the default length, kept unchanged as regression tests.
 ///
-/// 42: a host took a peer's view while that peer let lapsed targets serve on behind an
-/// outage of the store, and held them for ever.
+/// 42: after a store outage, a host copied the view of a peer that still kept expired targets in
+/// service, and never removed them.
 ///
-/// 429: a host started while its settings file was being rewritten, and ended.
-const KEPT_SEEDS: [u64; 2] = [42, 429];
+/// 429: a host exited because it started while its settings file was being rewritten.
+const REGRESSION_SEEDS: [u64; 2] = [42, 429];
 
-/// Plays one seed, prints its trace when a promise was broken, and returns whether
-/// none was.
-fn holds(seed: u64, size: Option<SoakSize>, length: Duration) -> bool {
-    is_kept(seed, &play(seed, size, length))
+/// Runs one seed and returns whether all guarantees were kept; prints the trace otherwise.
+fn run_seed(seed: u64, size: Option<SoakSize>, length: Duration) -> bool {
+    report_result(seed, &run_soak(seed, size, length))
 }
 
-fn is_kept(seed: u64, verdict: &SoakVerdict) -> bool {
-    let (sent, whole) = verdict.counts;
-    let faults = verdict.faults.len();
-    println!("seed {seed}: {sent} requests, {whole} whole answers, {faults} faults");
-    if faults == 0 {
+fn report_result(seed: u64, report: &SoakReport) -> bool {
+    let (sent, complete) = report.counts;
+    let violations = report.violations.len();
+    println!("seed {seed}: {sent} requests, {complete} complete answers, {violations} violations");
+    if violations == 0 {
         return true;
     }
-    for step in &verdict.trace {
+    for step in &report.trace {
         println!("  {step}");
     }
-    for fault in verdict.faults.iter().take(20) {
-        println!("  FAULT {fault}");
+    for violation in report.violations.iter().take(20) {
+        println!("  VIOLATION {violation}");
     }
     false
 }
 
-fn named_seeds() -> Range<u64> {
+fn seeds_from_env() -> Range<u64> {
     let Ok(text) = std::env::var("SOAK_SEEDS") else {
-        return USUAL_SEEDS;
+        return DEFAULT_SEEDS;
     };
     let (from, until) = text.split_once("..").expect("SOAK_SEEDS is FROM..UNTIL");
     from.parse().unwrap()..until.parse().unwrap()
 }
 
-/// The short run of each check.
+/// The short run, part of every test run.
 #[test]
 fn a_short_soak_keeps_the_promises() {
-    assert!(holds(7, None, SHORT_LENGTH));
+    assert!(run_seed(7, None, SHORT_LENGTH));
 }
 
 #[test]
 fn seeds_that_failed_keep_the_promises() {
-    for seed in KEPT_SEEDS {
-        assert!(holds(seed, None, USUAL_LENGTH), "seed {seed}");
+    for seed in REGRESSION_SEEDS {
+        assert!(run_seed(seed, None, DEFAULT_LENGTH), "seed {seed}");
     }
 }
 
-/// Guards against hosts that each use the whole limit which a target names.
+/// Guards against each host using the entire limit that a target announces.
 #[test]
 fn all_hosts_keep_a_limit_that_a_target_names() {
     let size = SoakSize {
@@ -108,24 +107,24 @@
         targets: 4,
         callers: 16,
     };
-    assert!(is_kept(13, &play_limit(13, size, USUAL_LENGTH)));
+    assert!(report_result(13, &run_limit(13, size, DEFAULT_LENGTH)));
 }
 
-/// Many seeds, some side by side.
+/// Runs many seeds, several at a time.
 #[test]
 #[ignore = "takes minutes; run by hand"]
 fn soak_of_many_seeds() {
-    let seeds = Mutex::new(named_seeds());
+    let seeds = Mutex::new(seeds_from_env());
     let broken = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        for _ in 0..SIDE_BY_SIDE {
+        for _ in 0..PARALLEL_SOAKS {
             scope.spawn(|| {
                 loop {
                     let seed = seeds.lock().unwrap().next();
                     let Some(seed) = seed else {
                         return;
                     };
-                    if !holds(seed, None, USUAL_LENGTH) {
+                    if !run_seed(seed, None, DEFAULT_LENGTH) {
                         broken.lock().unwrap().push(seed);
                     }
                 }
@@ -136,7 +135,7 @@
     assert!(broken.is_empty(), "broken seeds: {broken:?}");
 }
 
-/// One run up to the limits: many hosts, targets and callers.
+/// A run with many hosts, targets and callers.
 #[test]
 #[ignore = "takes many processes; run by hand"]
 fn a_large_soak_keeps_the_promises() {
@@ -145,5 +144,5 @@
         targets: 40,
         callers: 80,
     };
-    assert!(holds(11, Some(size), USUAL_LENGTH));
+    assert!(run_seed(11, Some(size), DEFAULT_LENGTH));
 }
--- a/tests/soak/raw_link.rs
+++ b/tests/soak/raw_link.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 read and written by hand, so that nothing hides what came.
+//! Minimal HTTP/1.1 reader and writer, independent of the code under test.
 
 use std::io;
 use std::io::ErrorKind;
@@ -14,29 +14,29 @@
     text: String,
 }
 
-/// A body, and whether its end was proven.
+/// A body, and whether its framing was complete.
 #[derive(Debug, Default)]
 pub(crate) struct RawBody {
     pub(crate) bytes: Vec<u8>,
-    pub(crate) whole: bool,
+    pub(crate) complete: bool,
 }
 
 /// One end of a connection.
 pub(crate) struct RawLink {
     stream: TcpStream,
     pending: Vec<u8>,
-    /// Until when reads may wait.
+    /// Deadline of reads.
     pub(crate) deadline: Instant,
 }
 
 impl RawHead {
-    /// Returns the part of the first line at `index`.
+    /// Returns the space-separated part of the first line at `index`.
     pub(crate) fn word(&self, index: usize) -> &str {
         let first = self.text.lines().next().unwrap_or_default();
         first.split(' ').nth(index).unwrap_or_default()
     }
 
-    /// Returns an answer's status; 0 where there is none.
+    /// Returns the status of an answer, or 0 if there is none.
     pub(crate) fn status(&self) -> u16 {
         self.word(1).parse().unwrap_or(0)
     }
@@ -48,7 +48,7 @@
         found.map(|(_, value)| value.trim())
     }
 
-    /// Tells whether the connection ends behind this message.
+    /// Returns whether the connection closes after this message.
     pub(crate) fn closes(&self) -> bool {
         let value = self.header("connection");
         value.is_some_and(|value| value.eq_ignore_ascii_case("close"))
@@ -56,13 +56,13 @@
 }
 
 impl RawLink {
-    /// Takes a connection over.
-    pub(crate) fn new(stream: TcpStream, patience: Duration) -> Self {
+    /// Wraps a connection; the first read deadline is `timeout` from now.
+    pub(crate) fn new(stream: TcpStream, timeout: Duration) -> Self {
         stream.set_nodelay(true).ok();
         Self {
             stream,
             pending: Vec::new(),
-            deadline: Instant::now() + patience,
+            deadline: Instant::now() + timeout,
         }
     }
 
@@ -73,12 +73,12 @@
         self.stream.write_all(text.as_bytes())
     }
 
-    /// Returns whether bytes are there that nobody has read yet.
+    /// Returns whether unread bytes are buffered.
     pub(crate) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Reads a head; `None` where the connection ended before it.
+    /// Reads a head; returns `None` if the connection closes before its end.
     pub(crate) fn read_head(&mut self) -> io::Result<Option<RawHead>> {
         loop {
             let end = self.pending.windows(4).position(|part| part == b"\r\n\r\n");
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Reads the body that belongs to `head`; what was cut is returned as far as it came.
+    /// Reads the body that follows `head`; a truncated body is returned as far as received.
     pub(crate) fn read_body(&mut self, head: &RawHead) -> RawBody {
         let chunked = head
             .header("transfer-encoding")
@@ -105,16 +105,16 @@
         let Some(length) = length.and_then(|length| length.parse().ok()) else {
             return self.read_to_end();
         };
-        let whole = self.wait_for(length).is_ok();
+        let complete = self.wait_for(length).is_ok();
         let count = self.pending.len().min(length);
         RawBody {
             bytes: self.pending.drain(..count).collect(),
-            whole,
+            complete,
         }
     }
 
     fn read_to_end(&mut self) -> RawBody {
-        let whole = loop {
+        let complete = loop {
             match self.fill() {
                 Ok(0) => break true,
                 Ok(_) => {}
@@ -123,21 +123,21 @@
         };
         RawBody {
             bytes: std::mem::take(&mut self.pending),
-            whole,
+            complete,
         }
     }
 
     fn read_chunks(&mut self) -> RawBody {
         let mut body = RawBody::default();
         while let Ok(size) = self.read_chunk_size() {
-            // Each chunk, also the last one, ends in an empty line.
+            // Each chunk, including the last one, is followed by CRLF.
             if self.wait_for(size + 2).is_err() {
                 return body;
             }
             body.bytes.extend(self.pending.drain(..size));
             self.pending.drain(..2);
             if size == 0 {
-                body.whole = true;
+                body.complete = true;
                 return body;
             }
         }
@@ -175,9 +175,9 @@
             return Err(ErrorKind::TimedOut.into());
         }
         self.stream.set_read_timeout(Some(left))?;
-        let mut piece = [0; 8192];
-        let count = self.stream.read(&mut piece)?;
-        self.pending.extend_from_slice(&piece[..count]);
+        let mut buffer = [0; 8192];
+        let count = self.stream.read(&mut buffer)?;
+        self.pending.extend_from_slice(&buffer[..count]);
         Ok(count)
     }
 }
--- a/tests/soak/soak_fleet.rs
+++ b/tests/soak/soak_fleet.rs
@@ -1,4 +1,4 @@
-//! The processes, stand-ins and links of one soak, and what can be done to them.
+//! The processes, stand-ins and links of one soak, and the faults that are injected into them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,11 +14,11 @@
 use super::platform_standin::ConfigSpec;
 use super::platform_standin::StoreServer;
 use super::platform_standin::TargetSpec;
-use super::soak_caller::FLEETING_KEY;
-use super::soak_caller::SPENDER_KEY;
-use super::soak_caller::STEADY_KEY;
+use super::soak_caller::LIMITED_KEY;
+use super::soak_caller::PERMANENT_KEY;
+use super::soak_caller::REVOCABLE_KEY;
+use super::soak_history::SoakHistory;
 use super::soak_host::SoakHost;
-use super::soak_ledger::SoakLedger;
 use super::soak_plan::SoakStep;
 use super::soak_routes::SoakRoute;
 use super::soak_target::SLOTS;
@@ -26,31 +26,31 @@
 use super::soak_target::TargetIdentity;
 use super::soak_target::TargetMode;
 
-/// How long a host may take beyond its grace of six seconds.
-const END_LIMIT: Duration = Duration::from_millis(500);
-/// How long a target serves on after it said that it leaves.
-const LEAVE_TIME: Duration = Duration::from_secs(3);
+/// Tolerance for a host's exit beyond its grace period of six seconds.
+const EXIT_LIMIT: Duration = Duration::from_millis(500);
+/// How long a target keeps serving after it is marked as leaving.
+const DRAIN_TIME: Duration = Duration::from_secs(3);
 
-/// A target, its registration and its link.
+/// A target with its registration and its link.
 struct FleetTarget {
     target: SoakTarget,
     link: LinkServer,
-    plan: TargetSpec,
-    /// Which life it is in.
-    life: u32,
-    /// When it ends, while it leaves.
-    ends: Option<Instant>,
-    /// The disturbances that a crash, a behaviour and a link are.
-    crash: Option<usize>,
-    behaviour: Option<usize>,
-    link_trouble: Option<usize>,
+    spec: TargetSpec,
+    /// Number of restarts under a new name.
+    generation: u32,
+    /// When it stops serving, while it is leaving.
+    drain_end: Option<Instant>,
+    /// Open disturbances by a crash, by the target's mode and by its link.
+    crash_disturbance: Option<usize>,
+    mode_disturbance: Option<usize>,
+    link_disturbance: Option<usize>,
 }
 
-/// A host and its troubles.
+/// A host and its open disturbances.
 struct FleetHost {
     host: SoakHost,
-    trouble: Option<usize>,
-    store_trouble: Option<usize>,
+    disturbance: Option<usize>,
+    store_disturbance: Option<usize>,
 }
 
 /// The processes, stand-ins and links of one soak.
@@ -59,18 +59,18 @@
     config: ConfigSpec,
     hosts: Vec<FleetHost>,
     targets: Vec<FleetTarget>,
-    ledger: Arc<SoakLedger>,
-    store_trouble: Option<usize>,
-    key_gap: Option<usize>,
+    history: Arc<SoakHistory>,
+    store_disturbance: Option<usize>,
+    key_removal: Option<usize>,
 }
 
 impl SoakFleet {
-    /// Starts everything.
+    /// Starts the store, the targets and the hosts.
     pub(crate) fn start(
         run: u8,
         sizes: (usize, usize),
         directory: &std::path::Path,
-        ledger: Arc<SoakLedger>,
+        history: Arc<SoakHistory>,
     ) -> Self {
         let store = StoreServer::spawn();
         let (hosts, targets) = sizes;
@@ -83,10 +83,10 @@
             },
             hosts: Vec::new(),
             targets: Vec::new(),
-            store_trouble: None,
-            key_gap: None,
+            store_disturbance: None,
+            key_removal: None,
             store,
-            ledger,
+            history,
         };
         fleet.write_config(true);
         for number in 0..targets {
@@ -96,134 +96,147 @@
         fleet
     }
 
-    /// Returns where callers connect.
+    /// Returns the caller addresses of all hosts.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let hosts = self.hosts.iter();
         hosts
-            .map(|held| held.host.settings.caller_address())
+            .map(|entry| entry.host.settings.caller_address())
             .collect()
     }
 
-    /// Takes one step.
-    pub(crate) fn take(&mut self, step: SoakStep) {
+    /// Applies one step.
+    pub(crate) fn apply(&mut self, step: SoakStep) {
         match step {
             SoakStep::PauseHost(index) => {
-                self.disturb_host(index);
+                self.begin_host_disturbance(index);
                 self.hosts[index].host.signal(Signal::STOP);
             }
             SoakStep::ResumeHost(index) => {
                 self.hosts[index].host.signal(Signal::CONT);
-                self.calm_host(index);
+                self.end_host_disturbance(index);
             }
             SoakStep::KillHost(index) => {
-                self.disturb_host(index);
+                self.begin_host_disturbance(index);
                 self.hosts[index].host.signal(Signal::KILL);
             }
             SoakStep::TerminateHost(index) => self.hosts[index].host.signal(Signal::TERM),
             SoakStep::StartHost(index) => self.restart_host(index),
-            SoakStep::TearSettings(index) => {
+            SoakStep::TruncateSettings(index) => {
                 self.hosts[index].host.write_settings(true);
                 self.hosts[index].host.signal(Signal::HUP);
             }
-            SoakStep::MendSettings(index) => {
+            SoakStep::RestoreSettings(index) => {
                 self.hosts[index].host.write_settings(false);
                 self.hosts[index].host.signal(Signal::HUP);
             }
-            SoakStep::StoreDown(down) => {
+            SoakStep::SetStoreDown(down) => {
                 self.store.set_unavailable(down);
-                set_trouble(&self.ledger, &mut self.store_trouble, down);
+                set_disturbed(&self.history, &mut self.store_disturbance, down);
             }
-            SoakStep::ForgetHistory => self.store.compact_history(),
-            SoakStep::StoreLink(index, mode) => {
-                let held = &mut self.hosts[index];
-                held.host.store_link.set_mode(mode);
-                let troubled = mode != LinkMode::Open;
-                set_trouble(&self.ledger, &mut held.store_trouble, troubled);
+            SoakStep::CompactHistory => self.store.compact_history(),
+            SoakStep::SetStoreLink(index, mode) => {
+                let entry = &mut self.hosts[index];
+                entry.host.store_link.set_mode(mode);
+                let disturbed = mode != LinkMode::Open;
+                set_disturbed(&self.history, &mut entry.store_disturbance, disturbed);
             }
-            SoakStep::StoreDelay(index, millis) => {
+            SoakStep::SetStoreDelay(index, millis) => {
                 let link = &self.hosts[index].host.store_link;
                 link.set_delay(Duration::from_millis(millis));
             }
-            SoakStep::SilenceStore(index) => self.hosts[index].host.store_link.silence_existing(),
-            SoakStep::TakeKey => self.take_key(),
-            SoakStep::GiveKey => self.give_key(),
-            SoakStep::NewVersion => self.write_config(self.key_gap.is_none()),
+            SoakStep::SilenceStoreLink(index) => {
+                self.hosts[index].host.store_link.silence_existing()
+            }
+            SoakStep::RemoveKey => self.remove_key(),
+            SoakStep::RestoreKey => self.restore_key(),
+            SoakStep::PublishVersion => self.write_config(self.key_removal.is_none()),
             SoakStep::CrashTarget(index) => self.crash_target(index),
             SoakStep::ReplaceTarget(index) => {
                 self.crash_target(index);
                 self.remove_entry(index);
-                self.revive_target(index);
+                self.restart_target(index);
             }
             SoakStep::RetireTarget(index) => self.retire_target(index),
-            SoakStep::ReviveTarget(index) => self.revive_target(index),
-            SoakStep::ModeOf(index, mode) => {
-                let held = &mut self.targets[index];
-                held.target.set_mode(mode);
-                let troubled = mode != TargetMode::Sound;
-                set_trouble(&self.ledger, &mut held.behaviour, troubled);
+            SoakStep::RestartTarget(index) => self.restart_target(index),
+            SoakStep::SetTargetMode(index, mode) => {
+                let entry = &mut self.targets[index];
+                entry.target.set_mode(mode);
+                let disturbed = mode != TargetMode::Healthy;
+                set_disturbed(&self.history, &mut entry.mode_disturbance, disturbed);
             }
-            SoakStep::LimitOf(index, limit) => {
+            SoakStep::SetTargetLimit(index, limit) => {
                 let target = self.targets[index].target.set_limit(limit);
-                self.ledger.note_limit(&target, limit);
+                self.history.record_limit(&target, limit);
             }
-            SoakStep::TargetLink(index, mode) => self.set_target_link(index, mode),
-            SoakStep::TargetDelay(index, millis) => {
+            SoakStep::SetTargetLink(index, mode) => self.set_target_link(index, mode),
+            SoakStep::SetTargetDelay(index, millis) => {
                 let link = &self.targets[index].link;
                 link.set_delay(Duration::from_millis(millis));
             }
         }
     }
 
-    /// Ends every trouble.
-    pub(crate) fn heal(&mut self) {
-        self.take(SoakStep::StoreDown(false));
-        self.give_key();
+    /// Ends all injected faults and restarts what has stopped.
+    pub(crate) fn clear_faults(&mut self) {
+        self.apply(SoakStep::SetStoreDown(false));
+        self.restore_key();
         for index in 0..self.targets.len() {
-            self.revive_target(index);
-            self.take(SoakStep::ModeOf(index, TargetMode::Sound));
-            self.take(SoakStep::LimitOf(index, None));
-            self.take(SoakStep::TargetLink(index, LinkMode::Open));
-            self.take(SoakStep::TargetDelay(index, 0));
+            self.restart_target(index);
+            self.apply(SoakStep::SetTargetMode(index, TargetMode::Healthy));
+            self.apply(SoakStep::SetTargetLimit(index, None));
+            self.apply(SoakStep::SetTargetLink(index, LinkMode::Open));
+            self.apply(SoakStep::SetTargetDelay(index, 0));
         }
         for index in 0..self.hosts.len() {
-            self.take(SoakStep::StoreLink(index, LinkMode::Open));
-            self.take(SoakStep::StoreDelay(index, 0));
-            self.take(SoakStep::MendSettings(index));
-            self.take(SoakStep::ResumeHost(index));
-            self.take(SoakStep::StartHost(index));
+            self.apply(SoakStep::SetStoreLink(index, LinkMode::Open));
+            self.apply(SoakStep::SetStoreDelay(index, 0));
+            self.apply(SoakStep::RestoreSettings(index));
+            self.apply(SoakStep::ResumeHost(index));
+            self.apply(SoakStep::StartHost(index));
         }
     }
 
-    /// Lets leaving targets end, and returns what is wrong with the processes.
-    pub(crate) fn look(&mut self) -> Vec<String> {
+    /// Stops leaving targets whose drain time is over, and returns violations by the hosts.
+    pub(crate) fn check_processes(&mut self) -> Vec<String> {
         for index in 0..self.targets.len() {
-            let ends = self.targets[index].ends;
-            if ends.is_some_and(|ends| ends <= Instant::now()) {
-                self.targets[index].ends = None;
+            let drain_end = self.targets[index].drain_end;
+            if drain_end.is_some_and(|drain_end| drain_end <= Instant::now()) {
+                self.targets[index].drain_end = None;
                 self.targets[index].link.set_mode(LinkMode::Cut);
                 self.remove_entry(index);
             }
         }
         let hosts = self.hosts.iter_mut();
-        hosts.filter_map(|held| held.host.check_process()).collect()
+        hosts
+            .filter_map(|entry| entry.host.check_process())
+            .collect()
     }
 
-    /// Ends all hosts as operators do; returns what is wrong with their ends and output.
-    pub(crate) fn end(&mut self) -> Vec<String> {
-        let mut faults = Vec::new();
-        for held in &mut self.hosts {
-            if !held.host.serves_metrics() {
-                faults.push(format!("{} has no metrics", held.host.settings.host));
+    /// Stops all hosts with SIGTERM, as operators do; returns violations in their exit and output.
+    pub(crate) fn shut_down(&mut self) -> Vec<String> {
+        let mut violations = Vec::new();
+        for entry in &mut self.hosts {
+            if !entry.host.serves_metrics() {
+                violations.push(format!(
+                    "{} did not serve metrics",
+                    entry.host.settings.host
+                ));
             }
-            held.host.signal(Signal::TERM);
+            entry.host.signal(Signal::TERM);
         }
-        for held in &mut self.hosts {
-            if !held.host.wait_for_exit(Duration::from_secs(6) + END_LIMIT) {
-                faults.push(format!("{} outlived its grace", held.host.settings.host));
+        for entry in &mut self.hosts {
+            if !entry
+                .host
+                .wait_for_exit(Duration::from_secs(6) + EXIT_LIMIT)
+            {
+                violations.push(format!(
+                    "{} did not exit within its grace period",
+                    entry.host.settings.host
+                ));
             }
-            faults.extend(held.host.check_output());
+            violations.extend(entry.host.check_output());
         }
-        faults
+        violations
     }
 
     fn add_hosts(&mut self, run: u8, count: usize, directory: &std::path::Path) {
@@ -232,61 +245,61 @@
             let host = SoakHost::open(run, number, self.store.address(), directory);
             self.hosts.push(FleetHost {
                 host,
-                trouble: None,
-                store_trouble: None,
+                disturbance: None,
+                store_disturbance: None,
             });
         }
         let hosts = self.hosts.iter();
         let seeds: Vec<SocketAddr> = hosts
-            .map(|held| held.host.settings.peer_address())
+            .map(|entry| entry.host.settings.peer_address())
             .collect();
-        for held in &mut self.hosts {
-            // As at the platform: some names, this host's own among them.
-            held.host.settings.seeds.clone_from(&seeds);
-            held.host.start();
+        for entry in &mut self.hosts {
+            // As on the platform, the seed list contains this host's own address.
+            entry.host.settings.seeds.clone_from(&seeds);
+            entry.host.start();
         }
     }
 
-    fn disturb_host(&mut self, index: usize) {
-        set_trouble(&self.ledger, &mut self.hosts[index].trouble, true);
+    fn begin_host_disturbance(&mut self, index: usize) {
+        set_disturbed(&self.history, &mut self.hosts[index].disturbance, true);
     }
 
-    fn calm_host(&mut self, index: usize) {
-        set_trouble(&self.ledger, &mut self.hosts[index].trouble, false);
+    fn end_host_disturbance(&mut self, index: usize) {
+        set_disturbed(&self.history, &mut self.hosts[index].disturbance, false);
     }
 
-    /// Starts a host whose end was asked for; one that runs on is left alone.
+    /// Restarts a host whose exit was requested; other hosts are left running.
     fn restart_host(&mut self, index: usize) {
-        if !self.hosts[index].host.is_ending() {
+        if !self.hosts[index].host.is_exit_requested() {
             return;
         }
-        // What still runs is killed, as the platform would at last.
+        // A process that is still running is killed, as the platform does after the grace period.
         let overdue = self.hosts[index].host.is_overdue();
         if !overdue {
-            self.disturb_host(index);
+            self.begin_host_disturbance(index);
         }
-        let ended = self.hosts[index].host.wait_for_exit(END_LIMIT);
+        let ended = self.hosts[index].host.wait_for_exit(EXIT_LIMIT);
         if !ended && overdue {
-            let fault = format!("host {index} outlived its grace");
-            self.ledger.note_fault(fault);
+            let violation = format!("host {index} did not exit within its grace period");
+            self.history.record_violation(violation);
         }
         self.hosts[index].host.start();
-        self.calm_host(index);
+        self.end_host_disturbance(index);
     }
 
-    fn take_key(&mut self) {
-        if self.key_gap.is_some() {
+    fn remove_key(&mut self) {
+        if self.key_removal.is_some() {
             return;
         }
         self.write_config(false);
-        self.key_gap = Some(self.ledger.begin_key_gap());
+        self.key_removal = Some(self.history.begin_key_removal());
     }
 
-    fn give_key(&mut self) {
-        let Some(gap) = self.key_gap.take() else {
+    fn restore_key(&mut self) {
+        let Some(removal) = self.key_removal.take() else {
             return;
         };
-        self.ledger.end_key_gap(gap);
+        self.history.end_key_removal(removal);
         self.write_config(true);
     }
 
@@ -294,12 +307,16 @@
         self.config.version += 3;
         let account = |name: &str, key: &str, rate| (name.to_owned(), key.to_owned(), rate);
         self.config.accounts = vec![
-            account("steady", STEADY_KEY, 0.0),
-            account(SoakRoute::SPENDER, SPENDER_KEY, SoakRoute::SPENDER_RATE),
+            account("steady", PERMANENT_KEY, 0.0),
+            account(
+                SoakRoute::LIMITED_ACCOUNT,
+                LIMITED_KEY,
+                SoakRoute::LIMITED_RATE,
+            ),
         ];
         if with_key {
-            let fleeting = account("fleeting", FLEETING_KEY, 0.0);
-            self.config.accounts.push(fleeting);
+            let revocable = account("fleeting", REVOCABLE_KEY, 0.0);
+            self.config.accounts.push(revocable);
         }
         let document = self.config.document();
         self.store.write(ConfigSpec::KEY, Some(&document));
@@ -310,10 +327,10 @@
             name: target_name(number, 0),
             pool: SoakRoute::POOLS[number % 2].into(),
         };
-        let target = SoakTarget::spawn(identity.clone(), Arc::clone(&self.ledger));
+        let target = SoakTarget::spawn(identity.clone(), Arc::clone(&self.history));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let link = task::block_on(LinkServer::bind(any, target.address)).unwrap();
-        let plan = TargetSpec {
+        let spec = TargetSpec {
             name: identity.name,
             pool: identity.pool,
             address: link.address(),
@@ -321,94 +338,95 @@
             slots: SLOTS as u32,
             born_ms: 1,
         };
-        self.store.write(&plan.key(), Some(&plan.document()));
+        self.store.write(&spec.key(), Some(&spec.document()));
         self.targets.push(FleetTarget {
             target,
             link,
-            plan,
-            life: 0,
-            ends: None,
-            crash: None,
-            behaviour: None,
-            link_trouble: None,
+            spec,
+            generation: 0,
+            drain_end: None,
+            crash_disturbance: None,
+            mode_disturbance: None,
+            link_disturbance: None,
         });
     }
 
     fn crash_target(&mut self, index: usize) {
-        let held = &mut self.targets[index];
-        held.link.set_mode(LinkMode::Cut);
-        held.ends = None;
-        set_trouble(&self.ledger, &mut held.crash, true);
+        let entry = &mut self.targets[index];
+        entry.link.set_mode(LinkMode::Cut);
+        entry.drain_end = None;
+        set_disturbed(&self.history, &mut entry.crash_disturbance, true);
     }
 
     fn set_target_link(&mut self, index: usize, mode: LinkMode) {
-        let held = &mut self.targets[index];
-        // Nothing listens at a crashed target, whatever its link does.
-        if held.crash.is_none() {
-            held.link.set_mode(mode);
+        let entry = &mut self.targets[index];
+        // The link of a crashed target stays cut.
+        if entry.crash_disturbance.is_none() {
+            entry.link.set_mode(mode);
         }
-        let troubled = mode != LinkMode::Open;
-        set_trouble(&self.ledger, &mut held.link_trouble, troubled);
+        let disturbed = mode != LinkMode::Open;
+        set_disturbed(&self.history, &mut entry.link_disturbance, disturbed);
     }
 
     fn retire_target(&mut self, index: usize) {
-        let held = &mut self.targets[index];
-        if held.plan.leaving {
+        let entry = &mut self.targets[index];
+        if entry.spec.leaving {
             return;
         }
-        held.plan.leaving = true;
-        held.ends = Some(Instant::now() + LEAVE_TIME);
+        entry.spec.leaving = true;
+        entry.drain_end = Some(Instant::now() + DRAIN_TIME);
         self.store
-            .write(&held.plan.key(), Some(&held.plan.document()));
+            .write(&entry.spec.key(), Some(&entry.spec.document()));
     }
 
     fn remove_entry(&mut self, index: usize) {
-        self.store.write(&self.targets[index].plan.key(), None);
+        self.store.write(&self.targets[index].spec.key(), None);
     }
 
-    /// Lets a target that is gone come back at its address as another one, at times of
-    /// the other pool.
-    fn revive_target(&mut self, index: usize) {
-        let held = &mut self.targets[index];
-        let gone = held.ends.is_none() && (held.plan.leaving || held.crash.is_some());
-        if !gone {
+    /// Restarts a target that has stopped, at the same address and under a new name. Depending on
+    /// the generation, it joins the other pool.
+    fn restart_target(&mut self, index: usize) {
+        let entry = &mut self.targets[index];
+        let has_stopped =
+            entry.drain_end.is_none() && (entry.spec.leaving || entry.crash_disturbance.is_some());
+        if !has_stopped {
             return;
         }
-        self.store.write(&held.plan.key(), None);
-        held.life += 1;
-        held.plan.name = target_name(index, held.life);
-        held.plan.leaving = false;
-        held.plan.born_ms += 1;
-        // The first two stay, so that each pool always has a target.
+        self.store.write(&entry.spec.key(), None);
+        entry.generation += 1;
+        entry.spec.name = target_name(index, entry.generation);
+        entry.spec.leaving = false;
+        entry.spec.born_ms += 1;
+        // The first two targets keep their pools, so that each pool always has a target.
         if index > 1 {
-            let place = (index + held.life as usize) % 2;
-            held.plan.pool = SoakRoute::POOLS[place].into();
+            let pool_index = (index + entry.generation as usize) % 2;
+            entry.spec.pool = SoakRoute::POOLS[pool_index].into();
         }
-        held.target.set_identity(TargetIdentity {
-            name: held.plan.name.clone(),
-            pool: held.plan.pool.clone(),
+        entry.target.set_identity(TargetIdentity {
+            name: entry.spec.name.clone(),
+            pool: entry.spec.pool.clone(),
         });
-        held.target.set_mode(TargetMode::Sound);
-        held.link.set_mode(LinkMode::Open);
-        held.link.set_delay(Duration::ZERO);
-        set_trouble(&self.ledger, &mut held.crash, false);
-        set_trouble(&self.ledger, &mut held.behaviour, false);
-        set_trouble(&self.ledger, &mut held.link_trouble, false);
+        entry.target.set_mode(TargetMode::Healthy);
+        entry.link.set_mode(LinkMode::Open);
+        entry.link.set_delay(Duration::ZERO);
+        set_disturbed(&self.history, &mut entry.crash_disturbance, false);
+        set_disturbed(&self.history, &mut entry.mode_disturbance, false);
+        set_disturbed(&self.history, &mut entry.link_disturbance, false);
         self.store
-            .write(&held.plan.key(), Some(&held.plan.document()));
+            .write(&entry.spec.key(), Some(&entry.spec.document()));
     }
 }
 
-fn target_name(number: usize, life: u32) -> String {
-    format!("i{number}-{life}")
+fn target_name(number: usize, generation: u32) -> String {
+    format!("i{number}-{generation}")
 }
 
-/// Notes that a trouble begins or ends; one that lasts is not begun twice.
-fn set_trouble(ledger: &SoakLedger, trouble: &mut Option<usize>, begins: bool) {
-    match (trouble.take(), begins) {
-        (None, true) => *trouble = Some(ledger.begin_disturbance()),
-        (Some(number), true) => *trouble = Some(number),
-        (Some(number), false) => ledger.end_disturbance(number),
+/// Records that a disturbance begins or ends; an open one is not begun again.
+fn set_disturbed(history: &SoakHistory, disturbance: &mut Option<usize>, begins: bool) {
+    match (disturbance.take(), begins) {
+        (None, true) => *disturbance = Some(history.begin_disturbance()),
+        (Some(number), true) => *disturbance = Some(number),
+        (Some(number), false) => history.end_disturbance(number),
         (None, false) => {}
     }
 }
--- a/tests/soak/soak_host.rs
+++ b/tests/soak/soak_host.rs
@@ -1,4 +1,4 @@
-//! One `cardamomgw edge` process, its settings and its link to the store.
+//! A `cardamomgw edge` process, its settings and its link to the store.
 
 use std::fs::File;
 use std::net::Ipv4Addr;
@@ -22,38 +22,38 @@
 use super::platform_standin::SettingsSpec;
 use super::raw_link::RawLink;
 
-/// The most memory that a host may ever take, in KB: the smallest machine has 160 MB,
-/// and a host needs a small part of it.
-const MEMORY_BOUND_KB: u64 = 96 << 10;
-/// How long a host may take to leave, as its settings say.
+/// Maximum resident memory of a host: the smallest machine has 160 MB, and a host needs a small
+/// part of it.
+const MAX_MEMORY_KB: u64 = 96 << 10;
+/// Shutdown grace period of a host, as in its settings.
 const GRACE: Duration = Duration::from_secs(6);
-/// How long the system may take until a started process reaches its own code, on a busy
-/// machine: it can obey no signal before.
-const LOADING_TIME: Duration = Duration::from_millis(200);
-/// Hosts of the soak are small.
+/// Time in which a new process starts to execute its own code, even on a busy machine. Before
+/// that it cannot handle signals, so no SIGHUP is sent.
+const STARTUP_TIME: Duration = Duration::from_millis(200);
+/// Number of async worker threads in a host.
 const HOST_THREADS: &str = "2";
 
-/// The second number of the hosts' addresses: one block a test process.
-const FIRST_BLOCK: u8 = 20;
-const BLOCKS: u32 = 200;
+/// Second octet of the hosts' addresses: one block for each test process.
+const FIRST_ADDRESS_BLOCK: u8 = 20;
+const ADDRESS_BLOCKS: u32 = 200;
 
-/// One host.
+/// A host process.
 pub(crate) struct SoakHost {
     pub(crate) settings: SettingsSpec,
-    /// What stands between the host and the store.
+    /// The link from the host to the store.
     pub(crate) store_link: LinkServer,
     directory: PathBuf,
     child: Option<Child>,
-    /// Whether its end was asked for.
-    ending: bool,
+    /// Whether SIGTERM or SIGKILL was sent.
+    exit_requested: bool,
     paused: bool,
     started: Option<Instant>,
-    /// When it could first hear that it is to leave.
-    told: Option<Instant>,
+    /// When the process could first receive the exit signal; a suspended process cannot.
+    signalled: Option<Instant>,
 }
 
 impl SoakHost {
-    /// Puts a host before the store; it is started by [`SoakHost::start`].
+    /// Prepares a host and its link to the store; [`SoakHost::start`] starts the process.
     pub(crate) fn open(run: u8, number: usize, store: SocketAddr, directory: PathBuf) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let store_link = task::block_on(LinkServer::bind(any, store)).unwrap();
@@ -68,14 +68,14 @@
             store_link,
             directory,
             child: None,
-            ending: false,
+            exit_requested: false,
             paused: false,
             started: None,
-            told: None,
+            signalled: None,
         }
     }
 
-    /// Starts the process, unless it runs.
+    /// Starts the process with complete settings, unless it is running.
     pub(crate) fn start(&mut self) {
         if self.child.is_some() {
             return;
@@ -84,7 +84,7 @@
         self.launch();
     }
 
-    /// Starts the process with the settings file as it stands.
+    /// Starts the process with the existing settings file.
     pub(crate) fn launch(&mut self) {
         let open = |end: &str| {
             let path = self.directory.join(format!("{}.{end}", self.settings.host));
@@ -99,55 +99,60 @@
             .stderr(open("err").unwrap())
             .spawn();
         self.child = Some(child.unwrap());
-        self.ending = false;
+        self.exit_requested = false;
         self.paused = false;
         self.started = Some(Instant::now());
-        self.told = None;
+        self.signalled = None;
     }
 
-    /// Writes the settings file, or half of it.
-    pub(crate) fn write_settings(&self, torn: bool) {
+    /// Writes the settings file, or only its first half.
+    pub(crate) fn write_settings(&self, truncated: bool) {
         let text = self.settings.document();
-        let length = if torn { text.len() / 2 } else { text.len() };
+        let length = if truncated {
+            text.len() / 2
+        } else {
+            text.len()
+        };
         std::fs::write(self.settings_path(), &text[..length]).unwrap();
     }
 
-    /// Sends a signal, if the process runs.
+    /// Sends a signal if the process is running.
     pub(crate) fn signal(&mut self, signal: Signal) {
-        let loads = self
+        let is_starting = self
             .started
-            .is_some_and(|started| started.elapsed() < LOADING_TIME);
-        if signal == Signal::HUP && loads {
+            .is_some_and(|started| started.elapsed() < STARTUP_TIME);
+        if signal == Signal::HUP && is_starting {
             return;
         }
-        self.ending |= signal == Signal::TERM || signal == Signal::KILL;
-        // A paused process takes its signals, and goes on with its end, when it goes on.
+        self.exit_requested |= signal == Signal::TERM || signal == Signal::KILL;
+        // A suspended process handles its signals when it is resumed.
         if signal == Signal::STOP {
             self.paused = true;
-            self.told = None;
+            self.signalled = None;
         }
         self.paused &= signal != Signal::CONT;
-        if self.ending && !self.paused {
-            self.told.get_or_insert_with(Instant::now);
+        if self.exit_requested && !self.paused {
+            self.signalled.get_or_insert_with(Instant::now);
         }
         if let Some(child) = &self.child {
-            // It may have ended a moment ago.
+            // The process may have exited in the meantime.
             kill_process(Pid::from_child(child), signal).ok();
         }
     }
 
-    /// Tells whether its end was asked for.
-    pub(crate) const fn is_ending(&self) -> bool {
-        self.ending
+    /// Returns whether SIGTERM or SIGKILL was sent.
+    pub(crate) const fn is_exit_requested(&self) -> bool {
+        self.exit_requested
     }
 
-    /// Tells whether its grace is over.
+    /// Returns whether its grace period is over.
     pub(crate) fn is_overdue(&self) -> bool {
-        self.told.is_some_and(|told| told.elapsed() >= GRACE)
+        self.signalled
+            .is_some_and(|signalled| signalled.elapsed() >= GRACE)
     }
 
-    /// Waits for the end that was asked for, and ends the process itself behind
-    /// `limit`; returns whether it ended by itself.
+    /// Waits until the process exits, and kills it after `limit`; returns whether it exited by
+    /// itself.
     pub(crate) fn wait_for_exit(&mut self, limit: Duration) -> bool {
         let Some(mut child) = self.child.take() else {
             return true;
@@ -164,32 +169,35 @@
         false
     }
 
-    /// Returns what is wrong with a process that should run.
+    /// Returns a violation if the process exited unexpectedly or uses too much memory.
     pub(crate) fn check_process(&mut self) -> Option<String> {
         let child = self.child.as_mut()?;
-        if !self.ending
+        if !self.exit_requested
             && let Some(status) = child.try_wait().unwrap()
         {
-            self.ending = true;
-            return Some(format!("{} ended by itself: {status}", self.settings.host));
+            self.exit_requested = true;
+            return Some(format!(
+                "{} exited unexpectedly: {status}",
+                self.settings.host
+            ));
         }
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmHWM"))?;
         let peak: u64 = line.split_whitespace().nth(1)?.parse().ok()?;
-        let beyond = peak > MEMORY_BOUND_KB;
-        beyond.then(|| format!("{} took {peak} KB", self.settings.host))
+        let exceeds = peak > MAX_MEMORY_KB;
+        exceeds.then(|| format!("{} used {peak} KB of memory", self.settings.host))
     }
 
-    /// Returns what is wrong with what it wrote.
+    /// Returns violations in its log and standard error.
     pub(crate) fn check_output(&self) -> Vec<String> {
         let read = |end: &str| {
             let path = self.directory.join(format!("{}.{end}", self.settings.host));
             std::fs::read(path).unwrap_or_default()
         };
-        let mut faults = Vec::new();
+        let mut violations = Vec::new();
         let errors = String::from_utf8_lossy(&read("err")).into_owned();
         if !errors.is_empty() {
-            faults.push(format!("{} wrote on stderr: {errors}", self.settings.host));
+            violations.push(format!("{} wrote to stderr: {errors}", self.settings.host));
         }
         let log = read("log");
         let broken = log
@@ -197,14 +205,17 @@
             .filter(|line| !line.is_empty())
             .filter(|line| serde_json::from_slice::<Value>(line).is_err())
             .count();
-        // A kill may tear the last line of each life.
+        // A kill may truncate the last line of each process.
         if broken > log.len() / 2000 + 4 {
-            faults.push(format!("{}: {broken} broken log lines", self.settings.host));
+            violations.push(format!(
+                "{}: {broken} malformed log lines",
+                self.settings.host
+            ));
         }
-        faults
+        violations
     }
 
-    /// Asks for the metrics; returns whether they came.
+    /// Returns whether the metrics endpoint answers with a complete 200.
     pub(crate) fn serves_metrics(&self) -> bool {
         let Ok(stream) = TcpStream::connect(self.settings.metrics_address()) else {
             return false;
@@ -213,10 +224,10 @@
         let request = "GET /metrics HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
         link.write(request).ok();
         let head = link.read_head().ok().flatten();
-        head.is_some_and(|head| head.status() == 200 && link.read_body(&head).whole)
+        head.is_some_and(|head| head.status() == 200 && link.read_body(&head).complete)
     }
 
-    /// Returns where its settings file lies.
+    /// Returns the path of the settings file.
     pub(crate) fn settings_path(&self) -> PathBuf {
         self.directory.join(format!("{}.json", self.settings.host))
     }
@@ -225,19 +236,19 @@
 impl Drop for SoakHost {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // SIGKILL also ends a stopped process.
+            // SIGKILL also ends a suspended process.
             child.kill().ok();
             child.wait().ok();
         }
     }
 }
 
-/// Returns the loopback address of one host.
+/// Returns the loopback address of a host.
 ///
-/// Settings name ports before the process binds them, and a killed host comes back to
-/// its own. Each host has an address of 127.0.0.0/8 for itself, so no other test can
-/// take one of its ports meanwhile.
+/// Settings name ports before the process binds them, and a killed host binds the same ports
+/// again. Each host has its own address in 127.0.0.0/8, so that no other test can take its ports
+/// in between.
 fn host_ip(run: u8, number: usize) -> Ipv4Addr {
-    let process = FIRST_BLOCK + (std::process::id() % BLOCKS) as u8;
+    let process = FIRST_ADDRESS_BLOCK + (std::process::id() % ADDRESS_BLOCKS) as u8;
     Ipv4Addr::new(127, process, run, number as u8 + 1)
 }
--- a/tests/soak/soak_plan.rs
+++ b/tests/soak/soak_plan.rs
@@ -1,4 +1,4 @@
-//! What befalls the fleet: drawn from a seed, in series that overlap.
+//! Random schedule of faults, drawn from a seed in overlapping bursts.
 
 use std::time::Duration;
 
@@ -9,28 +9,28 @@
 
 use super::soak_target::TargetMode;
 
-/// How long after its SIGTERM a host is started again; its grace is six seconds.
+/// Delay from SIGTERM to the restart of a host; its grace period is six seconds.
 const RESTART_AFTER: Duration = Duration::from_millis(6500);
-/// When the first series begins, and how long a series' beginnings lie apart at most.
-const FIRST_SERIES: Duration = Duration::from_millis(500);
-const SERIES_SPREAD_MS: u64 = 700;
-/// The pauses between series, in milliseconds.
-const SERIES_PAUSE_MS: std::ops::Range<u64> = 300..3500;
-/// How long a trouble lasts, in milliseconds.
-const TROUBLE_MS: std::ops::Range<u64> = 100..3000;
-/// How long a host is paused or a key is away: at times beyond the five seconds for
-/// which a key that was taken away may work.
-const LONG_TROUBLE_MS: std::ops::Range<u64> = 100..8000;
+/// Start of the first burst, and maximum offset of a fault from the start of its burst.
+const FIRST_BURST: Duration = Duration::from_millis(500);
+const BURST_SPREAD_MS: u64 = 700;
+/// Interval between the starts of bursts, in milliseconds.
+const BURST_PAUSE_MS: std::ops::Range<u64> = 300..3500;
+/// Duration of a fault, in milliseconds.
+const FAULT_MS: std::ops::Range<u64> = 100..3000;
+/// Duration of faults such as a suspended host or a removed key, in milliseconds. It can exceed
+/// the five seconds for which a removed key may still be accepted.
+const LONG_FAULT_MS: std::ops::Range<u64> = 100..8000;
 
-/// For how long a host sleeps through the removal of a key, in milliseconds: longer than
-/// such a key may work. The key is back behind it.
-const SLEEP_MS: std::ops::Range<u64> = 5500..7500;
-const KEY_AWAY: Duration = Duration::from_millis(9000);
+/// How long a host is suspended across the removal of a key, in milliseconds: longer than a
+/// removed key may be accepted. The key is restored after the host resumes.
+const LONG_PAUSE_MS: std::ops::Range<u64> = 5500..7500;
+const KEY_REMOVED_TIME: Duration = Duration::from_millis(9000);
 
-/// What the generator of limits differs by from that of the other troubles.
-const LIMIT_SEED: u64 = 0x6c69_6d69_7473;
+/// Mask that derives the seed of the limit generator from the soak's seed.
+const LIMIT_SEED_MASK: u64 = 0x6c69_6d69_7473;
 
-/// One thing that is done to the fleet.
+/// A fault that is injected into the fleet, or the end of one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SoakStep {
     PauseHost(usize),
@@ -38,37 +38,37 @@
     KillHost(usize),
     TerminateHost(usize),
     StartHost(usize),
-    /// Writes half a settings file and sends SIGHUP; then the whole one again.
-    TearSettings(usize),
-    MendSettings(usize),
-    StoreDown(bool),
-    ForgetHistory,
-    StoreLink(usize, LinkMode),
-    StoreDelay(usize, u64),
-    SilenceStore(usize),
+    /// Writes half a settings file and sends SIGHUP; `RestoreSettings` writes the complete one.
+    TruncateSettings(usize),
+    RestoreSettings(usize),
+    SetStoreDown(bool),
+    CompactHistory,
+    SetStoreLink(usize, LinkMode),
+    SetStoreDelay(usize, u64),
+    SilenceStoreLink(usize),
     CrashTarget(usize),
-    /// The target's entry lapses, and somebody else starts at its address.
+    /// The target's registration is removed, and another target starts at its address.
     ReplaceTarget(usize),
     RetireTarget(usize),
-    ReviveTarget(usize),
-    ModeOf(usize, TargetMode),
-    /// The target names how many requests per second it takes, or none any more.
-    LimitOf(usize, Option<u32>),
-    TargetLink(usize, LinkMode),
-    TargetDelay(usize, u64),
-    TakeKey,
-    GiveKey,
-    NewVersion,
+    RestartTarget(usize),
+    SetTargetMode(usize, TargetMode),
+    /// The target announces a limit in requests per second, or none any more.
+    SetTargetLimit(usize, Option<u32>),
+    SetTargetLink(usize, LinkMode),
+    SetTargetDelay(usize, u64),
+    RemoveKey,
+    RestoreKey,
+    PublishVersion,
 }
 
-/// A step and when it is taken, from the beginning on.
+/// A step and its time since the start of fault injection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TimedStep {
     pub(crate) at: Duration,
     pub(crate) step: SoakStep,
 }
 
-/// Draws what befalls a fleet of `hosts` and `targets` for `length`.
+/// Draws the faults for a fleet of `hosts` and `targets` over `length`.
 pub(crate) fn draw_plan(
     rng: &mut ChaCha8Rng,
     hosts: usize,
@@ -76,37 +76,37 @@
     length: Duration,
 ) -> Vec<TimedStep> {
     let mut steps = Vec::new();
-    let mut series = FIRST_SERIES;
-    while series < length {
+    let mut burst = FIRST_BURST;
+    while burst < length {
         for _ in 0..rng.random_range(1..=4) {
-            let offset = Duration::from_millis(rng.random_range(0..SERIES_SPREAD_MS));
-            draw_trouble(rng, hosts, targets, series + offset, &mut steps);
+            let offset = Duration::from_millis(rng.random_range(0..BURST_SPREAD_MS));
+            draw_fault(rng, hosts, targets, burst + offset, &mut steps);
         }
-        series += Duration::from_millis(rng.random_range(SERIES_PAUSE_MS));
+        burst += Duration::from_millis(rng.random_range(BURST_PAUSE_MS));
     }
     steps.sort_by_key(|step| step.at);
     steps
 }
 
-/// Draws limits that targets name meanwhile. They have a generator of their own: what else
-/// a seed draws stays as it is.
+/// Draws limits that targets announce. They have a separate generator, so that the other faults
+/// of a seed do not depend on them.
 pub(crate) fn draw_limits(seed: u64, targets: usize, length: Duration) -> Vec<TimedStep> {
-    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ LIMIT_SEED);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ LIMIT_SEED_MASK);
     let mut steps = Vec::new();
     for _ in 0..rng.random_range(0..=2) {
         let target = rng.random_range(0..targets);
         let at = length.mul_f64(rng.random_range(0.0..0.5));
-        let limit = SoakStep::LimitOf(target, Some(rng.random_range(2..=8)));
+        let limit = SoakStep::SetTargetLimit(target, Some(rng.random_range(2..=8)));
         steps.push(TimedStep { at, step: limit });
         let at = at + length.mul_f64(rng.random_range(0.3..1.0));
-        let end = SoakStep::LimitOf(target, None);
+        let end = SoakStep::SetTargetLimit(target, None);
         steps.push(TimedStep { at, step: end });
     }
     steps
 }
 
-/// Draws one trouble and its end.
-fn draw_trouble(
+/// Draws one fault and its end.
+fn draw_fault(
     rng: &mut ChaCha8Rng,
     hosts: usize,
     targets: usize,
@@ -115,8 +115,8 @@
 ) {
     let host = rng.random_range(0..hosts);
     let target = rng.random_range(0..targets);
-    let lasting = Duration::from_millis(rng.random_range(TROUBLE_MS));
-    let long = Duration::from_millis(rng.random_range(LONG_TROUBLE_MS));
+    let duration = Duration::from_millis(rng.random_range(FAULT_MS));
+    let long_duration = Duration::from_millis(rng.random_range(LONG_FAULT_MS));
     let delay = rng.random_range(20..400);
     let cut = [
         LinkMode::Cut,
@@ -126,72 +126,82 @@
     ][rng.random_range(0..4)];
     let mode = [
         TargetMode::Slow,
-        TargetMode::Mute,
-        TargetMode::Full,
-        TargetMode::Cutting,
-        TargetMode::Garbling,
-        TargetMode::Doubling,
+        TargetMode::Unresponsive,
+        TargetMode::Overloaded,
+        TargetMode::Truncating,
+        TargetMode::Malformed,
+        TargetMode::Duplicating,
         TargetMode::Failing,
     ][rng.random_range(0..7)];
     use SoakStep as Step;
     let mut add = |at: Duration, step: Step| steps.push(TimedStep { at, step });
     let (begin, end) = match rng.random_range(0..18) {
-        // A host that wakes up believes what it knew, and callers wait at its door.
+        // A resumed host still holds the old configuration, and callers' requests wait unread on
+        // its sockets.
         17 => {
-            let sleep = Duration::from_millis(rng.random_range(SLEEP_MS));
-            add(at + lasting / 10, Step::TakeKey);
-            add(at + KEY_AWAY, Step::GiveKey);
-            (Step::PauseHost(host), Some((sleep, Step::ResumeHost(host))))
+            let pause = Duration::from_millis(rng.random_range(LONG_PAUSE_MS));
+            add(at + duration / 10, Step::RemoveKey);
+            add(at + KEY_REMOVED_TIME, Step::RestoreKey);
+            (Step::PauseHost(host), Some((pause, Step::ResumeHost(host))))
         }
-        0 => (Step::PauseHost(host), Some((long, Step::ResumeHost(host)))),
-        1 => (Step::KillHost(host), Some((lasting, Step::StartHost(host)))),
+        0 => (
+            Step::PauseHost(host),
+            Some((long_duration, Step::ResumeHost(host))),
+        ),
+        1 => (
+            Step::KillHost(host),
+            Some((duration, Step::StartHost(host))),
+        ),
         2 | 3 => {
             let restart = Some((RESTART_AFTER, Step::StartHost(host)));
             (Step::TerminateHost(host), restart)
         }
         4 => {
-            let mended = Some((lasting, Step::MendSettings(host)));
-            (Step::TearSettings(host), mended)
+            let restore = Some((duration, Step::RestoreSettings(host)));
+            (Step::TruncateSettings(host), restore)
         }
-        5 => (Step::StoreDown(true), Some((long, Step::StoreDown(false)))),
-        6 => (Step::ForgetHistory, None),
+        5 => (
+            Step::SetStoreDown(true),
+            Some((long_duration, Step::SetStoreDown(false))),
+        ),
+        6 => (Step::CompactHistory, None),
         7 => {
-            let open = Some((long, Step::StoreLink(host, LinkMode::Open)));
-            (Step::StoreLink(host, cut), open)
+            let open = Some((long_duration, Step::SetStoreLink(host, LinkMode::Open)));
+            (Step::SetStoreLink(host, cut), open)
         }
         8 => {
-            let quick = Some((lasting, Step::StoreDelay(host, 0)));
-            (Step::StoreDelay(host, delay), quick)
+            let no_delay = Some((duration, Step::SetStoreDelay(host, 0)));
+            (Step::SetStoreDelay(host, delay), no_delay)
         }
-        9 => (Step::SilenceStore(host), None),
+        9 => (Step::SilenceStoreLink(host), None),
         10 => {
-            let back = Some((lasting, Step::ReviveTarget(target)));
-            (Step::CrashTarget(target), back)
+            let restart = Some((duration, Step::RestartTarget(target)));
+            (Step::CrashTarget(target), restart)
         }
         11 => (Step::ReplaceTarget(target), None),
         12 => {
-            let back = Some((lasting, Step::ReviveTarget(target)));
-            (Step::RetireTarget(target), back)
+            let restart = Some((duration, Step::RestartTarget(target)));
+            (Step::RetireTarget(target), restart)
         }
         13 => {
-            let sound = Some((lasting, Step::ModeOf(target, TargetMode::Sound)));
-            (Step::ModeOf(target, mode), sound)
+            let healthy = Some((duration, Step::SetTargetMode(target, TargetMode::Healthy)));
+            (Step::SetTargetMode(target, mode), healthy)
         }
         14 => {
-            let open = Some((lasting, Step::TargetLink(target, LinkMode::Open)));
-            (Step::TargetLink(target, cut), open)
+            let open = Some((duration, Step::SetTargetLink(target, LinkMode::Open)));
+            (Step::SetTargetLink(target, cut), open)
         }
         15 => {
-            let quick = Some((lasting, Step::TargetDelay(target, 0)));
-            (Step::TargetDelay(target, delay / 4), quick)
+            let no_delay = Some((duration, Step::SetTargetDelay(target, 0)));
+            (Step::SetTargetDelay(target, delay / 4), no_delay)
         }
-        _ => (Step::TakeKey, Some((long, Step::GiveKey))),
+        _ => (Step::RemoveKey, Some((long_duration, Step::RestoreKey))),
     };
     add(at, begin);
     if let Some((after, step)) = end {
         add(at + after, step);
     }
     if rng.random_bool(0.1) {
-        add(at, Step::NewVersion);
+        add(at, Step::PublishVersion);
     }
 }
--- a/tests/soak/soak_routes.rs
+++ b/tests/soak/soak_routes.rs
@@ -1,15 +1,15 @@
-//! What callers ask for.
+//! Routes and pools of the soak's configuration.
 
 /// A route of the soak's configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SoakRoute {
-    /// May run once.
+    /// A plain request that may be executed only once.
     Book,
-    /// May be asked again.
+    /// A plain request that may be retried.
     Look,
-    /// A stream that may run once.
+    /// A stream that may be executed only once.
     Talk,
-    /// A stream that another target may go on with.
+    /// A stream that another target may resume.
     Tell,
 }
 
@@ -18,12 +18,12 @@
     pub(crate) const ALL: [Self; 4] = [Self::Book, Self::Look, Self::Talk, Self::Tell];
     /// The pools.
     pub(crate) const POOLS: [&'static str; 2] = ["desk", "engine"];
-    /// The account with an allowance, and how much that is, in requests a second.
-    pub(crate) const SPENDER: &'static str = "spender";
-    /// See [`SoakRoute::SPENDER`].
-    pub(crate) const SPENDER_RATE: f64 = 10.0;
+    /// Name of the account with a request limit.
+    pub(crate) const LIMITED_ACCOUNT: &'static str = "spender";
+    /// Limit of [`SoakRoute::LIMITED_ACCOUNT`], in requests per second.
+    pub(crate) const LIMITED_RATE: f64 = 10.0;
 
-    /// Returns the path of a request.
+    /// Returns the path of the route's requests.
     pub(crate) const fn path(self) -> &'static str {
         match self {
             Self::Book => "/book/x",
@@ -38,7 +38,7 @@
         Self::ALL.into_iter().find(|route| route.path() == path)
     }
 
-    /// Returns the pool that may run it.
+    /// Returns the pool that executes the route's requests.
     pub(crate) const fn pool(self) -> &'static str {
         match self {
             Self::Book | Self::Look => Self::POOLS[0],
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Tells whether it may run more than once.
-    pub(crate) const fn is_repeatable(self) -> bool {
+    /// Returns whether a request may be executed more than once.
+    pub(crate) const fn is_retryable(self) -> bool {
         matches!(self, Self::Look | Self::Tell)
     }
 
-    /// Tells whether its answer is a stream.
+    /// Returns whether the answer is a stream.
     pub(crate) const fn is_stream(self) -> bool {
         matches!(self, Self::Talk | Self::Tell)
     }
--- a/tests/soak/soak_target.rs
+++ b/tests/soak/soak_target.rs
@@ -1,4 +1,4 @@
-//! A target that proves whose answer it gave, and misbehaves when told so.
+//! A target with signed answers and configurable misbehaviour.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -14,48 +14,48 @@
 use super::platform_standin::headers;
 use super::raw_link::RawHead;
 use super::raw_link::RawLink;
-use super::soak_ledger::Arrival;
-use super::soak_ledger::SoakLedger;
+use super::soak_history::Arrival;
+use super::soak_history::SoakHistory;
 use super::soak_routes::SoakRoute;
 
-/// How many requests run at once, and how many more wait before others are refused.
+/// Number of concurrent requests, and of further ones that are accepted before others are refused.
 pub(crate) const SLOTS: usize = 4;
-const QUEUE: usize = 2;
-/// How many events a stream has, and the pause between them.
+const QUEUE_LENGTH: usize = 2;
+/// Number of events in a stream, and the pause before each.
 pub(crate) const EVENTS: u32 = 8;
 const EVENT_PAUSE: Duration = Duration::from_millis(25);
-/// How long a plain request runs.
-const RUN_TIME: Duration = Duration::from_millis(15);
-/// How much longer everything takes at a slow target.
-const SLOWNESS: u32 = 8;
-/// How long a kept connection may be idle.
-const IDLE_TIME: Duration = Duration::from_secs(4);
-/// How long a target that says nothing goes on saying nothing.
-const MUTE_TIME: Duration = Duration::from_secs(5);
+/// Execution time of a plain request.
+const EXECUTION_TIME: Duration = Duration::from_millis(15);
+/// Factor by which a slow target takes longer.
+const SLOWDOWN: u32 = 8;
+/// Idle timeout of a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long an unresponsive target holds a request before it closes the connection.
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(5);
 
-/// How a target behaves.
+/// Behaviour of a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum TargetMode {
-    /// As it should.
+    /// Answers correctly.
     #[default]
-    Sound,
+    Healthy,
     /// Takes much longer.
     Slow,
-    /// Runs requests and never answers.
-    Mute,
-    /// Refuses everything unrun.
-    Full,
-    /// Runs requests and cuts the answer in its middle.
-    Cutting,
-    /// Runs requests and sends bytes that are no answer.
-    Garbling,
-    /// Sends a second answer behind each whole one.
-    Doubling,
-    /// Runs requests and answers 500.
+    /// Executes requests and never answers.
+    Unresponsive,
+    /// Refuses all requests without executing them.
+    Overloaded,
+    /// Executes requests and closes the connection in the middle of the answer.
+    Truncating,
+    /// Executes requests and sends bytes that are not an HTTP answer.
+    Malformed,
+    /// Sends each answer twice.
+    Duplicating,
+    /// Executes requests and answers 500.
     Failing,
 }
 
-/// Who a target is in its present life.
+/// Current name and pool of a target.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetIdentity {
     pub(crate) name: String,
@@ -65,25 +65,25 @@
 struct TargetShared {
     identity: Mutex<TargetIdentity>,
     mode: Mutex<TargetMode>,
-    /// How many requests per second it says that it takes.
+    /// The limit that it announces, in requests per second.
     limit: Mutex<Option<u32>>,
     busy: AtomicUsize,
-    ledger: Arc<SoakLedger>,
+    history: Arc<SoakHistory>,
 }
 
-/// A target that runs in this process until it ends.
+/// A target that runs inside the test process until it exits.
 #[derive(Clone)]
 pub(crate) struct SoakTarget {
     pub(crate) address: SocketAddr,
     shared: Arc<TargetShared>,
 }
 
-/// Counts a request for as long as it is served.
+/// Counts a request as in progress until dropped.
 struct BusyGuard<'a>(&'a AtomicUsize);
 
 impl SoakTarget {
     /// Starts a target.
-    pub(crate) fn spawn(identity: TargetIdentity, ledger: Arc<SoakLedger>) -> Self {
+    pub(crate) fn spawn(identity: TargetIdentity, history: Arc<SoakHistory>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let target = Self {
             address: listener.local_addr().unwrap(),
@@ -92,7 +92,7 @@
                 mode: Mutex::default(),
                 limit: Mutex::default(),
                 busy: AtomicUsize::new(0),
-                ledger,
+                history,
             }),
         };
         let shared = Arc::clone(&target.shared);
@@ -105,31 +105,31 @@
         target
     }
 
-    /// Lets it be somebody else from now on, at the same address.
+    /// Changes the target's name and pool; the address stays the same.
     pub(crate) fn set_identity(&self, identity: TargetIdentity) {
         *self.shared.identity.lock().unwrap() = identity;
     }
 
-    /// Lets it behave so from now on.
+    /// Sets the target's behaviour.
     pub(crate) fn set_mode(&self, mode: TargetMode) {
         *self.shared.mode.lock().unwrap() = mode;
     }
 
-    /// Lets it name a limit from now on, or none; returns its present name.
+    /// Sets the announced limit, or removes it; returns the target's current name.
     pub(crate) fn set_limit(&self, limit: Option<u32>) -> String {
         *self.shared.limit.lock().unwrap() = limit;
         self.shared.identity.lock().unwrap().name.clone()
     }
 }
 
-/// Returns the header line of a limit.
+/// Returns the header line that announces a limit, or an empty string.
 fn limit_line(limit: Option<u32>) -> String {
     limit.map_or_else(String::new, |limit| {
         format!("{}: {limit}.0\r\n", headers::REQUEST_LIMIT)
     })
 }
 
-/// Returns what proves that `target` answered `request` with `body`.
+/// Returns the signature that binds an answer to its target, request and body.
 pub(crate) fn signature(target: &str, request: &str, body: &[u8]) -> String {
     let sum = body.iter().fold(0_u64, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(u64::from(*byte))
@@ -137,7 +137,7 @@
     format!("{target}.{request}.{sum:x}")
 }
 
-/// Returns the whole answer of a plain request.
+/// Returns the complete body of the answer to a plain request.
 pub(crate) fn plain_body(request: &str) -> Vec<u8> {
     format!("{request} ").repeat(20).into_bytes()
 }
@@ -149,53 +149,53 @@
 
 impl TargetShared {
     fn serve(&self, stream: TcpStream) {
-        let mut link = RawLink::new(stream, IDLE_TIME);
+        let mut link = RawLink::new(stream, IDLE_TIMEOUT);
         loop {
-            link.deadline = Instant::now() + IDLE_TIME;
+            link.deadline = Instant::now() + IDLE_TIMEOUT;
             let Ok(Some(head)) = link.read_head() else {
                 return;
             };
-            if !link.read_body(&head).whole || !self.serve_request(&mut link, &head) {
+            if !link.read_body(&head).complete || !self.serve_request(&mut link, &head) {
                 return;
             }
         }
     }
 
-    /// Serves one request; returns whether the connection goes on.
+    /// Serves one request; returns whether the connection stays open.
     fn serve_request(&self, link: &mut RawLink, head: &RawHead) -> bool {
         let identity = self.identity.lock().unwrap().clone();
         let mode = *self.mode.lock().unwrap();
         let limit = limit_line(*self.limit.lock().unwrap());
         let request = head.header(headers::REQUEST_ID).unwrap_or_default();
-        self.judge_request(head, &identity);
-        let meant = head.header(headers::TARGET);
-        if meant.is_some_and(|meant| meant != identity.name) {
+        self.check_request(head, &identity);
+        let intended = head.header(headers::TARGET);
+        if intended.is_some_and(|intended| intended != identity.name) {
             return refuse(link, request, 421, "");
         }
         let busy = BusyGuard::enter(&self.busy);
-        let full = busy.count() > SLOTS + QUEUE || mode == TargetMode::Full;
-        self.ledger.note_arrival(Arrival {
+        let overloaded = busy.count() > SLOTS + QUEUE_LENGTH || mode == TargetMode::Overloaded;
+        self.history.record_arrival(Arrival {
             request: request.to_owned(),
             pool: identity.pool.clone(),
             target: identity.name.clone(),
             account: head.header(headers::ACCOUNT).unwrap_or_default().to_owned(),
             at: Instant::now(),
-            ran: !full,
+            ran: !overloaded,
         });
-        if full {
+        if overloaded {
             return refuse(link, request, 503, &limit);
         }
-        let slower = if mode == TargetMode::Slow {
-            SLOWNESS
+        let slowdown = if mode == TargetMode::Slow {
+            SLOWDOWN
         } else {
             1
         };
         match mode {
-            TargetMode::Mute => {
-                thread::sleep(MUTE_TIME);
+            TargetMode::Unresponsive => {
+                thread::sleep(UNRESPONSIVE_TIME);
                 false
             }
-            TargetMode::Garbling => {
+            TargetMode::Malformed => {
                 link.write("%%% no answer %%%\r\n\r\n").ok();
                 false
             }
@@ -205,35 +205,35 @@
                 link.write(&answer).is_ok()
             }
             _ if SoakRoute::of_path(head.word(1)).is_some_and(SoakRoute::is_stream) => {
-                let pause = EVENT_PAUSE * slower;
+                let pause = EVENT_PAUSE * slowdown;
                 self.serve_stream(link, head, &identity.name, mode, pause, &limit)
             }
             _ => {
-                thread::sleep(RUN_TIME * slower);
+                thread::sleep(EXECUTION_TIME * slowdown);
                 serve_plain(link, request, &identity.name, mode, &limit)
             }
         }
     }
 
-    /// Notes a request that no host may send so.
-    fn judge_request(&self, head: &RawHead, identity: &TargetIdentity) {
+    /// Records violations in the head of a request from a host.
+    fn check_request(&self, head: &RawHead, identity: &TargetIdentity) {
         let note = |what: &str| {
-            let fault = format!("{what}: {head:?} at {identity:?}");
-            self.ledger.note_fault(fault);
+            let violation = format!("{what}: {head:?} at {identity:?}");
+            self.history.record_violation(violation);
         };
         if head.header("authorization").is_some() {
-            note("the key was passed on");
+            note("the caller's key was forwarded");
         }
         if head.header(headers::DEADLINE_MS).is_none() {
-            note("no deadline");
+            note("missing deadline");
         }
         if head.header(headers::TARGET).is_none() {
-            note("no target named");
+            note("missing target name");
         }
         let named = head.header(headers::TARGET) == Some(identity.name.as_str());
         let route = SoakRoute::of_path(head.word(1));
         if named && route.is_none_or(|route| route.pool() != identity.pool) {
-            note("another pool's request");
+            note("request for another pool");
         }
     }
 
@@ -262,8 +262,8 @@
         for number in first..=EVENTS {
             thread::sleep(pause);
             let event = stream_event(request, number);
-            if mode == TargetMode::Cutting && number > EVENTS / 2 {
-                // Half an event, and nothing of its end.
+            if mode == TargetMode::Truncating && number > EVENTS / 2 {
+                // Sends half an event and no terminating chunk.
                 let half = &event[..event.len() / 2];
                 link.write(&format!("{:x}\r\n{half}\r\n", half.len())).ok();
                 return false;
@@ -286,11 +286,11 @@
 ) -> bool {
     let answer = plain_answer(target, request, 200, &plain_body(request), limit);
     match mode {
-        TargetMode::Cutting => {
+        TargetMode::Truncating => {
             link.write(&answer[..answer.len() - 40]).ok();
             false
         }
-        TargetMode::Doubling => link.write(&answer.repeat(2)).is_ok(),
+        TargetMode::Duplicating => link.write(&answer.repeat(2)).is_ok(),
         _ => link.write(&answer).is_ok(),
     }
 }
@@ -307,7 +307,7 @@
     )
 }
 
-/// Refuses a request unrun.
+/// Refuses a request without executing it.
 fn refuse(link: &mut RawLink, request: &str, status: u16, limit: &str) -> bool {
     let answer = format!(
         "HTTP/1.1 {status} Refused\r\n{}: {request}\r\n{}: 1\r\n{limit}Content-Length: 0\r\n\r\n",
