--- a/benches/cell_cost.rs
+++ b/benches/cell_cost.rs
@@ -1,9 +1,9 @@
-//! What a cell of real processes costs while it is idle: processor time and memory
-//! of a host, by the number of hosts, targets and accounts; the bytes of a poll; and
-//! the processor time of a request, by rate.
+//! Resource usage of a fleet of real processes: CPU time and memory of an idle host by
+//! the number of hosts, targets and accounts; the bytes of a load poll; and the CPU time
+//! of requests by rate.
 //!
-//! Run with `cargo bench --bench cell_cost`, or with one of the words `idle`, `polls`
-//! and `requests` behind `--`. Each line is a cell of its own.
+//! Run with `cargo bench --bench cell_cost`; the arguments `idle`, `polls` and `requests`
+//! after `--` select parts of it. Each line of the idle part is a separate fleet.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -27,14 +27,14 @@
 use support::booking;
 use support::spawn_call;
 
-/// How long each cell is looked at.
-const SPAN: Duration = Duration::from_secs(10);
-/// Clock ticks a second in `/proc/self/stat`, fixed by the kernel's interface.
+/// Measurement time of each fleet.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(10);
+/// Clock ticks per second in `/proc/PID/stat`, fixed by the kernel's interface.
 const TICKS_PER_SECOND: f64 = 100.0;
 const KIB: f64 = 1024.0;
 
-/// One cell: hosts, engines, accounts.
-const CELLS: [(usize, usize, usize); 8] = [
+/// Numbers of hosts, engines and accounts.
+const FLEET_SIZES: [(usize, usize, usize); 8] = [
     (1, 1, 1),
     (4, 1, 1),
     (8, 1, 1),
@@ -45,32 +45,34 @@
     (4, 1, 2_100),
 ];
 
-/// Requests a second to the whole cell.
+/// Requests per second to the entire fleet.
 const RATES: [u32; 4] = [0, 20, 40, 80];
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let chosen = |word: &str| {
-        let words = words.iter().filter(|word| !word.starts_with("--"));
-        let mut words = words.peekable();
-        words.peek().is_none() || words.any(|other| other == word)
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let selected = |argument: &str| {
+        let arguments = arguments
+            .iter()
+            .filter(|argument| !argument.starts_with("--"));
+        let mut arguments = arguments.peekable();
+        arguments.peek().is_none() || arguments.any(|other| other == argument)
     };
     task::block_on(async {
-        if chosen("idle") {
-            for (hosts, engines, accounts) in CELLS {
-                measure(hosts, engines, accounts).await;
+        if selected("idle") {
+            for (hosts, engines, accounts) in FLEET_SIZES {
+                measure_idle(hosts, engines, accounts).await;
             }
         }
-        if chosen("polls") {
+        if selected("polls") {
             measure_polls().await;
         }
-        if chosen("requests") {
+        if selected("requests") {
             measure_requests().await;
         }
     });
 }
 
-/// Sends bookings to a cell of 8 hosts, in turn.
+/// Sends bookings to a fleet of 8 hosts, round robin.
 async fn measure_requests() {
     let fleet = TestFleet::start(FleetPlan {
         hosts: 8,
@@ -80,16 +82,17 @@
     })
     .await;
     for rate in RATES {
-        let before = processor_time(&fleet);
+        let before = cpu_time(&fleet);
         let began = Instant::now();
         let mut calls = Vec::new();
-        while began.elapsed() < SPAN {
+        while began.elapsed() < MEASUREMENT_TIME {
             if rate > 0 {
                 let host = fleet.caller_address(calls.len() % fleet.hosts.len());
                 calls.push(spawn_call(host, &booking(&new_request_id())));
             }
-            let next = SPAN.min(Duration::from_secs(1) * calls.len() as u32 / rate.max(1));
-            let pause = if rate == 0 { SPAN } else { next };
+            let next =
+                MEASUREMENT_TIME.min(Duration::from_secs(1) * calls.len() as u32 / rate.max(1));
+            let pause = if rate == 0 { MEASUREMENT_TIME } else { next };
             task::sleep(pause.saturating_sub(began.elapsed())).await;
         }
         let count = calls.len();
@@ -97,22 +100,23 @@
         for call in calls {
             done += usize::from(call.await.is_ok_and(|answer| answer.outcome() == "done"));
         }
-        let spent = processor_time(&fleet) - before;
+        let used = cpu_time(&fleet) - before;
         println!(
-            "8 hosts, {count} bookings in {SPAN:?}, {done} done: {:.0} ms of processor, all hosts",
-            spent * 1e3
+            "8 hosts, {count} bookings in {MEASUREMENT_TIME:?}, {done} done: {:.0} ms CPU time, \
+             all hosts",
+            used * 1e3
         );
     }
 }
 
-/// What a target sees of polls.
+/// Load polls received by a target.
 #[derive(Default)]
 struct PollCounts {
     polls: AtomicU64,
     bytes: AtomicU64,
 }
 
-/// Counts the bytes of the polls of one host at a target that answers like an engine.
+/// Counts the bytes of one host's load polls at a target that answers like an engine.
 async fn measure_polls() {
     let mut fleet = TestFleet::start(FleetPlan {
         hosts: 1,
@@ -125,11 +129,12 @@
     let counts = Arc::<PollCounts>::default();
     task::spawn(answer_polls(listener, counts.clone()));
     fleet.edit(|document| document.targets[0].address = address);
-    task::sleep(SPAN).await;
+    task::sleep(MEASUREMENT_TIME).await;
     let polls = counts.polls.load(Ordering::Relaxed);
     let bytes = counts.bytes.load(Ordering::Relaxed);
     println!(
-        "polls: {polls} in {SPAN:?}, {} bytes of HTTP both ways each, on a connection of its own",
+        "polls: {polls} in {MEASUREMENT_TIME:?}, {} bytes of HTTP in both directions \
+         each, one connection per poll",
         bytes.checked_div(polls).unwrap_or_default()
     );
 }
@@ -142,7 +147,7 @@
     );
     while let Ok((mut stream, _)) = listener.accept().await {
         let mut head = vec![0; 4096];
-        // A head this small comes in one piece on loopback.
+        // A head of this size arrives in one read on loopback.
         let read = stream.read(&mut head).await.unwrap_or_default();
         if stream.write_all(answer.as_bytes()).await.is_ok() {
             counts.polls.fetch_add(1, Ordering::Relaxed);
@@ -152,7 +157,7 @@
     }
 }
 
-async fn measure(hosts: usize, engines: usize, accounts: usize) {
+async fn measure_idle(hosts: usize, engines: usize, accounts: usize) {
     let mut fleet = TestFleet::start(FleetPlan {
         hosts,
         engines,
@@ -163,14 +168,14 @@
     for index in 0..hosts {
         fleet.wait_for_version(index, 2).await;
     }
-    let before = processor_time(&fleet);
-    task::sleep(SPAN).await;
-    let spent = processor_time(&fleet) - before;
-    let share = 100.0 * spent / SPAN.as_secs_f64() / hosts as f64;
+    let before = cpu_time(&fleet);
+    task::sleep(MEASUREMENT_TIME).await;
+    let used = cpu_time(&fleet) - before;
+    let share = 100.0 * used / MEASUREMENT_TIME.as_secs_f64() / hosts as f64;
     let memory = resident_mib(&fleet) / hosts as f64;
     println!(
         "{hosts} hosts, {engines} engines, 1 service, {accounts} accounts: {share:.2}% of a core \
-         and {memory:.1} MiB a host"
+         and {memory:.1} MiB per host"
     );
 }
 
@@ -184,8 +189,8 @@
     document.accounts.extend(more);
 }
 
-/// Returns the processor time of all hosts, in seconds.
-fn processor_time(fleet: &TestFleet) -> f64 {
+/// Returns the CPU time of all hosts, in seconds.
+fn cpu_time(fleet: &TestFleet) -> f64 {
     let ticks: f64 = fleet
         .hosts
         .iter()
@@ -201,7 +206,7 @@
     ticks / TICKS_PER_SECOND
 }
 
-/// Returns the resident memory of all hosts.
+/// Returns the resident memory of all hosts, in MiB.
 fn resident_mib(fleet: &TestFleet) -> f64 {
     let kib: f64 = fleet
         .hosts
--- a/benches/config_cost.rs
+++ b/benches/config_cost.rs
@@ -1,5 +1,5 @@
-//! What metrics and configuration cost: time of a record and of a look-up, and
-//! time and size of what a fleet's accounts need.
+//! Cost of metrics and configuration: time of a record and of a lookup, and time and
+//! size of documents and metric series by the number of accounts and targets.
 //!
 //! Run with `cargo bench --bench config_cost`.
 
@@ -14,16 +14,16 @@
 
 const SAMPLE: &str = include_str!("../resources/fleet-sample.json");
 
-/// How often a cheap step is run for one figure.
-const REPEATS: u32 = 1_000_000;
+/// Iterations of a cheap step.
+const ITERATIONS: u32 = 1_000_000;
 
 fn main() {
     let metrics = RequestMetrics::open().expect("the metrics open");
     let series = metrics.series(0, "weather-check", "dispatch-north");
-    print_each("record of a bound histogram", REPEATS, || {
+    print_mean_time("record of a bound histogram", ITERATIONS, || {
         series.record_token_gap(black_box(Duration::from_millis(41)));
     });
-    print_each("look-up of a series", REPEATS, || {
+    print_mean_time("lookup of a series", ITERATIONS, || {
         black_box(metrics.series(0, "weather-check", "dispatch-north"));
     });
     for accounts in [5, 100, 500, 2100] {
@@ -37,12 +37,12 @@
     }
 }
 
-fn print_each(name: &str, repeats: u32, mut step: impl FnMut()) {
+fn print_mean_time(name: &str, iterations: u32, mut step: impl FnMut()) {
     let start = Instant::now();
-    for _ in 0..repeats {
+    for _ in 0..iterations {
         step();
     }
-    let each = start.elapsed() / repeats;
+    let each = start.elapsed() / iterations;
     println!("{name}: {each:?} each");
 }
 
@@ -59,12 +59,12 @@
         "{accounts} accounts: {} bytes, parse {parse_time:?}, compile {compile_time:?}",
         text.len()
     );
-    print_each("  account by token", 10_000, || {
+    print_mean_time("  account by token", 10_000, || {
         black_box(view.account_by_token(black_box("crews-token")));
     });
     let class = view.class("weather-check").expect("the class is there");
     let account = view.account("account-3").expect("the account is there");
-    print_each("  allowed targets", REPEATS, || {
+    print_mean_time("  allowed targets", ITERATIONS, || {
         black_box(view.allowed_targets(class, account));
     });
 }
@@ -85,7 +85,7 @@
     let parsed = parse_document(&text).expect("the document is well-formed");
     let parse_time = start.elapsed();
     let start = Instant::now();
-    // The sample's service classes find no target then, which is a warning only.
+    // The service classes of the sample then match no target, which is only a warning.
     let compiled = FleetView::compile(parsed).is_ok();
     println!(
         "{targets} targets: {} bytes, parse {parse_time:?}, compile {:?}, sound {compiled}",
@@ -132,7 +132,7 @@
     );
 }
 
-/// Reads the process's resident memory; 0 where the system does not tell.
+/// Returns the resident memory of this process; 0 if it cannot be read.
 fn resident_bytes() -> usize {
     const PAGE_BYTES: usize = 4096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/benches/gateway_cost/main.rs
+++ b/benches/gateway_cost/main.rs
@@ -1,10 +1,10 @@
-//! What the gateway adds to a short call and to a streamed token, and what an idle
-//! connection costs it in memory: the same callers through it and straight to the
-//! stand-in, in one run.
+//! Latency that the gateway adds to a short call and to a streamed token, compared with
+//! calling the stand-in directly in the same run, and its memory usage by the number of
+//! idle connections.
 //!
 //! Run with `cargo bench --bench gateway_cost`, which builds in release.
 
-#![allow(clippy::unwrap_used, reason = "a measurement fails by panics")]
+#![allow(clippy::unwrap_used, reason = "the benchmark fails by panicking")]
 
 #[path = "../../tests/support/mod.rs"]
 mod support;
@@ -23,22 +23,22 @@
 use support::TOKEN;
 use support::TestFleet;
 
-/// How many callers send at the same time.
+/// Numbers of concurrent callers.
 const CALLERS: [usize; 3] = [1, 32, 256];
-/// Requests a caller.
-const REQUESTS: usize = 20;
-/// The service's time for a call.
+/// Number of requests that each caller sends.
+const REQUESTS_PER_CALLER: usize = 20;
+/// Execution time of a call in the service.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// Callers think this long between two calls: what is measured is what the
-/// gateway adds, not how much it can take.
+/// Pause of a caller between two calls, so that the benchmark shows the added latency
+/// and not the gateway's capacity.
 const PAUSE: Duration = Duration::from_millis(200);
-/// Tokens of a stream, and the engine's pace.
+/// Tokens in a stream, and the engine's decoding speed.
 const TOKENS: u32 = 20;
 const TOKENS_PER_SECOND: f64 = 50.0;
-/// Slots enough for all callers on each host.
+/// Enough slots for all callers on each host.
 const SLOTS: u32 = 3 * 512;
-/// How many idle connections are opened for the memory's slope.
-const CONNECTIONS: [usize; 4] = [0, 250, 500, 1000];
+/// Numbers of idle connections for the memory usage.
+const IDLE_CONNECTIONS: [usize; 4] = [0, 250, 500, 1000];
 
 fn main() {
     task::block_on(async {
@@ -78,11 +78,12 @@
     let load = LoadPlan {
         path: "/v1/bookings".to_owned(),
         class: Some("slot".to_owned()),
-        ..base(callers)
+        ..base_plan(callers)
     };
-    let (direct, gateway) = run_both(fleet, &load, target_address(fleet, "service-1")).await;
+    let (direct, gateway) =
+        run_direct_and_gateway(fleet, &load, target_address(fleet, "service-1")).await;
     print_row(
-        "a call, whole",
+        "call, last byte",
         callers,
         &direct,
         &gateway,
@@ -95,18 +96,19 @@
         class: Some("briefing".to_owned()),
         stream: true,
         max_tokens: TOKENS,
-        ..base(callers)
+        ..base_plan(callers)
     };
-    let (direct, gateway) = run_both(fleet, &load, target_address(fleet, "engine-1")).await;
+    let (direct, gateway) =
+        run_direct_and_gateway(fleet, &load, target_address(fleet, "engine-1")).await;
     print_row(
-        "a stream, first byte",
+        "stream, first byte",
         callers,
         &direct,
         &gateway,
         LoadReport::first_byte,
     );
     print_row(
-        "a streamed token, gap",
+        "stream, token gap",
         callers,
         &direct,
         &gateway,
@@ -114,17 +116,17 @@
     );
 }
 
-fn base(callers: usize) -> LoadPlan {
+fn base_plan(callers: usize) -> LoadPlan {
     LoadPlan {
         token: TOKEN.to_owned(),
         callers,
-        requests: REQUESTS,
+        requests: REQUESTS_PER_CALLER,
         pause: PAUSE,
         ..LoadPlan::default()
     }
 }
 
-async fn run_both(
+async fn run_direct_and_gateway(
     fleet: &TestFleet,
     load: &LoadPlan,
     target: SocketAddr,
@@ -173,7 +175,7 @@
 async fn print_memory(fleet: &TestFleet) {
     let host = &fleet.hosts[0].process;
     let mut open = Vec::new();
-    for count in CONNECTIONS {
+    for count in IDLE_CONNECTIONS {
         while open.len() < count {
             open.push(TcpStream::connect(host.caller_address()).await.unwrap());
         }
--- a/benches/guard_cost/claim_bytes.rs
+++ b/benches/guard_cost/claim_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes of a claim on the wire, h2 frames included.
+//! Bytes of a claim on the wire, including HTTP/2 frames.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -52,8 +52,8 @@
     }
 }
 
-/// Prints the bytes both ways of one seat's call and reply, and of a whole claim.
-pub(crate) async fn print_bytes() {
+/// Prints the bytes in both directions of a call to one seat, and of a claim by all seats.
+pub(crate) async fn print_claim_bytes() {
     let address = ([127, 0, 0, 1], 0).into();
     let listener = PeerListener::bind(address, identity("entry-2"), Arc::new(GrantingSeat))
         .await
@@ -69,10 +69,10 @@
         assert!(matches!(reply, Ok(PeerReply::Claim(_))));
     }
     let seat = (bytes(&mesh) - before) / CALLS;
-    println!("| bytes to one seat and back | | {seat} | |");
+    println!("| bytes of a call to one seat, both directions | | {seat} | |");
     for hosts in [3, 5, 7, 8] {
         let claim = seat * (hosts - 1);
-        println!("| bytes of a claim, both ways | {hosts} | {claim} | |");
+        println!("| bytes of a claim, both directions | {hosts} | {claim} | |");
     }
 }
 
--- a/benches/guard_cost/failures.rs
+++ b/benches/guard_cost/failures.rs
@@ -1,4 +1,5 @@
-//! How fast callers learn the truth when hosts are cut off, killed or paused.
+//! Time until callers learn the outcome of their requests when hosts are partitioned, killed or
+//! suspended.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,7 +10,7 @@
 use standins::new_request_id;
 
 use crate::SLOTS;
-use crate::spread::TimeSpread;
+use crate::latency_samples::LatencySamples;
 use crate::start_fleet;
 use crate::support::TestFleet;
 use crate::support::booking;
@@ -19,48 +20,54 @@
 use crate::support::wait_until;
 
 const HOSTS: usize = 3;
-/// How many calls a cut-off host is asked.
+/// Number of calls to a partitioned host.
 const MINORITY_CALLS: usize = 20;
-/// How often a holder is lost; each time with a fleet of its own.
-const LOSSES: usize = 3;
+/// Number of claim holders that fail, each in a separate fleet.
+const REPETITIONS: usize = 3;
 
-/// Prints how long a host without a majority takes to say so.
-pub(crate) async fn print_minority() {
-    for (mode, what) in [
-        (LinkMode::Cut, "minority side, peers cut: answer"),
-        (LinkMode::Silent, "minority side, peers silent: answer"),
+/// Prints how long a host without a majority takes to answer `unknown`.
+pub(crate) async fn print_minority_latency() {
+    for (mode, label) in [
+        (
+            LinkMode::Cut,
+            "host without majority, peer links cut: answer",
+        ),
+        (
+            LinkMode::Silent,
+            "host without majority, peer links silent: answer",
+        ),
     ] {
         let fleet = start_fleet(HOSTS, SLOTS).await;
         fleet.set_peer_links(0, mode);
-        let mut times = TimeSpread::default();
+        let mut times = LatencySamples::default();
         for _ in 0..MINORITY_CALLS {
             let began = Instant::now();
             let answer = call(fleet.caller_address(0), &booking(&new_request_id())).await;
             assert_eq!(answer.unwrap().outcome(), "unknown");
-            times.note(began.elapsed());
+            times.record(began.elapsed());
         }
-        times.print_millis(what, HOSTS);
+        times.print_millis(label, HOSTS);
     }
 }
 
-/// How a holder is lost.
+/// How the host that holds a claim fails.
 #[derive(Clone, Copy)]
-enum HolderLoss {
+enum HostFailure {
     Killed,
     Paused,
 }
 
-/// Prints how long a resend takes after the holder was lost.
-pub(crate) async fn print_lost_holders() {
-    for (loss, name) in [
-        (HolderLoss::Killed, "SIGKILL"),
-        (HolderLoss::Paused, "SIGSTOP"),
+/// Prints how long a resend takes after the claim holder failed.
+pub(crate) async fn print_holder_failures() {
+    for (failure, name) in [
+        (HostFailure::Killed, "SIGKILL"),
+        (HostFailure::Paused, "SIGSTOP"),
     ] {
-        let mut after = TimeSpread::default();
-        let mut before = TimeSpread::default();
-        for _ in 0..LOSSES {
-            after.note(lose_after_dispatch(loss).await);
-            before.note(lose_before_dispatch(loss).await);
+        let mut after = LatencySamples::default();
+        let mut before = LatencySamples::default();
+        for _ in 0..REPETITIONS {
+            after.record(fail_after_dispatch(failure).await);
+            before.record(fail_before_dispatch(failure).await);
         }
         after.print_millis(&format!("{name} after the dispatch: `unknown`"), HOSTS);
         before.print_millis(
@@ -70,21 +77,21 @@
     }
 }
 
-async fn lose_after_dispatch(loss: HolderLoss) -> Duration {
-    let mut fleet = stuck_fleet().await;
+async fn fail_after_dispatch(failure: HostFailure) -> Duration {
+    let mut fleet = unresponsive_fleet().await;
     let id = new_request_id();
     drop(spawn_call(fleet.caller_address(0), &booking(&id)));
     wait_for("the dispatch", || fleet.execution_count(&id) == 1).await;
-    let began = lose(&mut fleet, loss);
+    let began = fail_host(&mut fleet, failure);
     let answer = call(fleet.caller_address(1), &booking(&id)).await.unwrap();
     let time = began.elapsed();
     assert_eq!(answer.outcome(), "unknown", "{}", answer.text());
     time
 }
 
-/// The holder has the request in its queue: more waits there than the service takes.
-async fn lose_before_dispatch(loss: HolderLoss) -> Duration {
-    let mut fleet = stuck_fleet().await;
+/// Fails the holder while the request is in its queue, since the service has no free slot.
+async fn fail_before_dispatch(failure: HostFailure) -> Duration {
+    let mut fleet = unresponsive_fleet().await;
     let mut sent = Vec::new();
     while waiting(&fleet).await == 0 {
         let id = new_request_id();
@@ -98,9 +105,9 @@
         .unwrap()
         .clone();
     fleet.service(0).set_faults(ServiceFaults::default());
-    let began = lose(&mut fleet, loss);
-    // A host may first hand the booking to the lost one, and then tell `not-run`. A
-    // call that gets no answer at all counts with its whole time-out.
+    let began = fail_host(&mut fleet, failure);
+    // The host may first forward the booking to the failed one, and then answer `not-run`. A
+    // call without any answer counts with its full timeout.
     for attempt in 1.. {
         let resend = booking(&id).with_header("Request-Attempt", attempt);
         match call(fleet.caller_address(1), &resend).await {
@@ -123,17 +130,17 @@
     tiers.values().filter_map(|count| count.as_u64()).sum()
 }
 
-fn lose(fleet: &mut TestFleet, loss: HolderLoss) -> Instant {
+fn fail_host(fleet: &mut TestFleet, failure: HostFailure) -> Instant {
     let began = Instant::now();
-    match loss {
-        HolderLoss::Killed => fleet.hosts[0].process.kill(),
-        HolderLoss::Paused => fleet.hosts[0].process.pause(),
+    match failure {
+        HostFailure::Killed => fleet.hosts[0].process.kill(),
+        HostFailure::Paused => fleet.hosts[0].process.pause(),
     }
     began
 }
 
-/// A fleet whose service runs each call and answers none.
-async fn stuck_fleet() -> TestFleet {
+/// Starts a fleet whose service executes calls without answering them.
+async fn unresponsive_fleet() -> TestFleet {
     let fleet = start_fleet(HOSTS, SLOTS).await;
     fleet.service(0).set_faults(ServiceFaults {
         never_answers: true,
--- a/benches/guard_cost/seats.rs
+++ b/benches/guard_cost/seats.rs
@@ -1,21 +1,21 @@
-//! How many seats may be lost, and how long a restarted one is silent.
+//! How many seats may fail, and how long a restarted one cannot vote.
 
 use std::time::Instant;
 
 use standins::new_request_id;
 
 use crate::SLOTS;
-use crate::spread::TimeSpread;
+use crate::latency_samples::LatencySamples;
 use crate::start_fleet;
 use crate::support::booking;
 use crate::support::call;
 use crate::support::wait_until;
 
-/// How often a seat is restarted.
+/// Number of restarts of a seat.
 const RESTARTS: usize = 5;
 
-/// Prints how many hosts can be killed, the last first, while the first one serves.
-pub(crate) async fn print_lost_seats() {
+/// Prints how many hosts can be killed, starting with the last one, while the first still serves.
+pub(crate) async fn print_tolerated_failures() {
     for hosts in [3, 5, 7, 8] {
         let mut fleet = start_fleet(hosts, SLOTS).await;
         let mut lost = 0;
@@ -27,28 +27,28 @@
             }
             lost += 1;
         }
-        println!("| seats lost before claims stop | {hosts} | {lost} | |");
+        println!("| failed seats that claims tolerate | {hosts} | {lost} | |");
     }
 }
 
-/// Prints how long a restarted seat has no voice, from the start of its process.
-pub(crate) async fn print_silence() {
+/// Prints the time from the start of a restarted seat's process until it may vote again.
+pub(crate) async fn print_time_to_vote() {
     for hosts in [3, 8] {
         let mut fleet = start_fleet(hosts, SLOTS).await;
-        let mut times = TimeSpread::default();
+        let mut times = LatencySamples::default();
         for _ in 0..RESTARTS {
             let last = hosts - 1;
             fleet.hosts[last].process.kill();
             let began = Instant::now();
             fleet.restart_host(last);
             let process = &fleet.hosts[last].process;
-            wait_until("the voice", || async {
+            wait_until("the restarted seat to vote", || async {
                 process.status().await["roster"]["voiced"] == true
             })
             .await;
-            times.note(began.elapsed());
+            times.record(began.elapsed());
             fleet.wait_ready().await;
         }
-        times.print_millis("a restarted seat gains its voice", hosts);
+        times.print_millis("restarted seat may vote again", hosts);
     }
 }
--- a/benches/log_cost.rs
+++ b/benches/log_cost.rs
@@ -1,7 +1,7 @@
-//! What one decision line costs the request that writes it.
+//! Cost of a decision log line for the request that writes it.
 //!
-//! Prints the bytes of a line, and the nanoseconds from the decision to the line in the
-//! queue, for lines that are never left out.
+//! Prints the size of a line, and the time from the decision until the line is queued, for
+//! lines that are exempt from the rate limit.
 
 use std::io;
 use std::io::Write;
@@ -16,14 +16,14 @@
 use cardamomgw::logs::DecisionLog;
 use cardamomgw::logs::LineQueue;
 
-/// How many lines are timed; so few that they fit the queue.
+/// Lines per round, few enough to fit in the queue.
 const LINES: usize = 400;
-/// How often.
+/// Number of rounds.
 const ROUNDS: usize = 20;
-/// Within which the queue is emptied.
-const EMPTY_TIME: Duration = Duration::from_millis(600);
+/// Time in which the writer empties the queue.
+const FLUSH_TIME: Duration = Duration::from_millis(600);
 
-/// Counts bytes.
+/// Counts the bytes written.
 struct CountingOutput(Arc<AtomicUsize>);
 
 impl Write for CountingOutput {
@@ -59,17 +59,17 @@
     let log = DecisionLog::open_on(LineQueue::spawn(output))?;
     let mut times: Vec<u128> = Vec::new();
     for round in 0..ROUNDS {
-        let begun = Instant::now();
+        let start = Instant::now();
         for number in 0..LINES {
             log.write(&refusal(round * LINES + number));
         }
-        times.push(begun.elapsed().as_nanos() / LINES as u128);
-        std::thread::sleep(EMPTY_TIME);
+        times.push(start.elapsed().as_nanos() / LINES as u128);
+        std::thread::sleep(FLUSH_TIME);
     }
     times.sort_unstable();
     let written = bytes.load(Ordering::Relaxed) / (ROUNDS * LINES);
     println!(
-        "{written} bytes a line, {} ns a line at the median, {} ns at worst, {:?} lost",
+        "{written} bytes per line, {} ns per line at the median, {} ns at worst, {:?} lost",
         times[ROUNDS / 2],
         times[ROUNDS - 1],
         log.lost_lines()
--- a/benches/policy_cost.rs
+++ b/benches/policy_cost.rs
@@ -1,5 +1,5 @@
-//! What the decisions cost: time of a tick, an arrival with its end, and a digest,
-//! by the number of targets and of waiting requests.
+//! Cost of dispatch decisions: time of a tick, of a digest, and of an arrival with its end,
+//! by the number of targets and waiting requests.
 //!
 //! Run with `cargo bench --bench policy_cost`.
 
@@ -17,8 +17,8 @@
 use cardamomgw::policy::WorkOutcome;
 
 const SLOTS: u32 = 8;
-const REPEATS: u32 = 200;
-/// So far off that nothing is given up while measuring.
+const ITERATIONS: u32 = 200;
+/// Long enough that no request expires during the benchmark.
 const DEADLINE: Duration = Duration::from_secs(86_400);
 
 fn main() {
@@ -33,22 +33,22 @@
     let now = Duration::from_secs(1);
     let mut policy = policy(targets);
     let allowed = Arc::new(names(targets));
-    // Fills every slot, then the queue.
+    // Fills all slots, then the queue.
     let slots = targets as u64 * u64::from(SLOTS);
     let fill = if waiting == 0 { 0 } else { slots + waiting };
     for work in 0..fill {
-        black_box(policy.arrive(now, item(work, &allowed)));
+        black_box(policy.arrive(now, work_item(work, &allowed)));
     }
     let queued: u32 = policy.waiting().values().sum();
-    let tick = each(|_| {
+    let tick = mean_time(|_| {
         black_box(policy.tick(now));
     });
-    let digest = each(|_| {
+    let digest = mean_time(|_| {
         black_box(policy.digest(now));
     });
-    let request = each(|index| {
+    let request = mean_time(|index| {
         let work = 1_000_000 + u64::from(index);
-        black_box(policy.arrive(now, item(work, &allowed)));
+        black_box(policy.arrive(now, work_item(work, &allowed)));
         black_box(policy.withdraw(now, work));
         black_box(policy.ended(now, work, WorkOutcome::Finished));
     });
@@ -58,12 +58,12 @@
     );
 }
 
-fn each(mut step: impl FnMut(u32)) -> Duration {
+fn mean_time(mut step: impl FnMut(u32)) -> Duration {
     let start = Instant::now();
-    for index in 0..REPEATS {
+    for index in 0..ITERATIONS {
         step(index);
     }
-    start.elapsed() / REPEATS
+    start.elapsed() / ITERATIONS
 }
 
 fn names(targets: usize) -> Vec<String> {
@@ -86,7 +86,7 @@
     policy
 }
 
-fn item(work: u64, allowed: &Arc<Vec<String>>) -> WorkItem {
+fn work_item(work: u64, allowed: &Arc<Vec<String>>) -> WorkItem {
     WorkItem {
         work,
         tier: 1,
