--- a/examples/demo/demo_fleet.rs
+++ b/examples/demo/demo_fleet.rs
@@ -172,7 +172,7 @@
                 label: call.label,
                 tier: call.tier,
                 host: name,
-                took: began.elapsed(),
+                elapsed: began.elapsed(),
                 answer,
             }
         })
--- a/examples/demo/demo_output.rs
+++ b/examples/demo/demo_output.rs
@@ -18,7 +18,7 @@
     /// The host that received the request.
     pub(crate) host: String,
     /// The time from sending the request to the end of the answer.
-    pub(crate) took: Duration,
+    pub(crate) elapsed: Duration,
     /// The answer.
     pub(crate) answer: Result<CallerAnswer, CallerError>,
 }
@@ -68,7 +68,7 @@
         status,
         outcome,
         first,
-        millis(record.took),
+        millis(record.elapsed),
     )
 }
 
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -38,5 +38,5 @@
     scenes::engine_leaves(&mut fleet).await?;
     scenes::engine_crashes(&fleet).await?;
     scenes::host_stops(&mut fleet).await?;
-    scenes::sum_up(&fleet)
+    scenes::print_totals(&fleet)
 }
--- a/examples/demo/scenes.rs
+++ b/examples/demo/scenes.rs
@@ -104,7 +104,7 @@
 pub(crate) async fn configuration_change(fleet: &mut DemoFleet) -> SceneResult {
     print_heading(4, "An operator excludes the slow generation from briefings");
     print_line("class briefing: \"targets\": \"kind=engine, generation notin (g1)\"");
-    let took = fleet
+    let elapsed = fleet
         .edit(|document| {
             let class = document.classes.iter_mut().find(|c| c.name == "briefing");
             if let Some(class) = class {
@@ -114,7 +114,7 @@
         .await?;
     print_line(&format!(
         "In force on all three hosts after {}.",
-        millis(took)
+        millis(elapsed)
     ));
     let calls = [(0, BRIEFING), (1, BRIEFING), (2, BRIEFING)];
     let records = fleet.call_all(&calls).await;
@@ -127,8 +127,8 @@
     print_heading(5, "engine-1 leaves in the middle of a briefing");
     let id = new_request_id();
     let running = fleet.spawn_running_call(0, BRIEFING, &id).await?;
-    let took = fleet.set_engine_state(0, TargetState::Leaving).await?;
-    print_line(&format!("In force on all hosts after {}.", millis(took)));
+    let elapsed = fleet.set_engine_state(0, TargetState::Leaving).await?;
+    print_line(&format!("In force on all hosts after {}.", millis(elapsed)));
     let after = fleet.call_all(&[(1, CARGO), (2, CARGO)]).await;
     let mut records = vec![running.await];
     records.extend(after);
@@ -191,7 +191,7 @@
 }
 
 /// Checks that no request was executed more than once.
-pub(crate) fn sum_up(fleet: &DemoFleet) -> SceneResult {
+pub(crate) fn print_totals(fleet: &DemoFleet) -> SceneResult {
     let mut ids: Vec<String> = fleet.executions().into_iter().map(|r| r.id).collect();
     ids.sort();
     let began = ids.len();
@@ -221,7 +221,7 @@
         let answer = record.answer.as_ref().ok()?;
         answer.chunk_times.first().copied()
     });
-    let whole = records.iter().map(|record| record.took);
+    let whole = records.iter().map(|record| record.elapsed);
     print_line(&format!(
         "{name:<30} {done:>2} of {:<2} done; median: first token {:>8}, complete {:>8}",
         records.len(),
--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -178,7 +178,7 @@
     for sequence in 1..=DIGESTS {
         let own = Arc::new(cell_digest(targets, sequence, busy));
         let call = outbox.call_for(&peer, &own);
-        let whole = matches!(call, PeerCall::Digest(_));
+        let is_full = matches!(call, PeerCall::Digest(_));
         let reply = mesh.call(host, call, TIMEOUT).await;
         assert!(
             matches!(
@@ -187,7 +187,7 @@
             ),
             "{reply:?}"
         );
-        outbox.mark_confirmed(&peer, &own, whole);
+        outbox.mark_confirmed(&peer, &own, is_full);
     }
     (wire_bytes(mesh) - before, cpu)
 }
--- a/standins/src/engine/engine_shared.rs
+++ b/standins/src/engine/engine_shared.rs
@@ -12,8 +12,8 @@
 use super::EngineOrder;
 use super::EngineSettings;
 use super::batch_state::BatchState;
+use super::load_history::EngineLoad;
 use super::load_history::LoadHistory;
-use super::load_history::LoadReport;
 use super::prefix_cache::PrefixCache;
 use super::stream_table::StreamTable;
 use crate::http::CrashMode;
@@ -99,14 +99,14 @@
     /// Records the current load for later reports.
     pub(crate) fn record_load(&self) {
         let control_state = self.control_state();
-        let pace = self
+        let token_interval = self
             .batch
             .token_time(&self.settings, control_state.faults.slow);
-        let report = LoadReport {
+        let report = EngineLoad {
             taken_ms: unix_now(),
             running: self.batch.running(),
             waiting: self.batch.prefilling(),
-            tokens_per_second: 1.0 / pace.as_secs_f64(),
+            tokens_per_second: 1.0 / token_interval.as_secs_f64(),
             state: control_state.state,
         };
         drop(control_state);
@@ -114,7 +114,7 @@
     }
 
     /// Returns the load report of `report_lag` ago.
-    pub(crate) fn delayed_load(&self) -> Option<LoadReport> {
+    pub(crate) fn delayed_load(&self) -> Option<EngineLoad> {
         self.history()
             .report_at_lag(unix_now(), self.settings.report_lag)
     }
--- a/standins/src/engine/load_history.rs
+++ b/standins/src/engine/load_history.rs
@@ -9,7 +9,7 @@
 
 /// An engine's load report.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub(crate) struct LoadReport {
+pub(crate) struct EngineLoad {
     /// Time of the report, in milliseconds since the Unix epoch.
     pub(crate) taken_ms: u64,
     /// Number of running requests.
@@ -25,12 +25,12 @@
 /// Load reports covering at least the report lag.
 #[derive(Debug, Default)]
 pub(crate) struct LoadHistory {
-    reports: VecDeque<LoadReport>,
+    reports: VecDeque<EngineLoad>,
 }
 
 impl LoadHistory {
     /// Appends a report and evicts those older than the lag requires.
-    pub(crate) fn record(&mut self, report: LoadReport, lag: Duration) {
+    pub(crate) fn record(&mut self, report: EngineLoad, lag: Duration) {
         let oldest = report.taken_ms.saturating_sub(lag.as_millis() as u64);
         self.reports.push_back(report);
         while self.reports.len() > 1 && self.reports[1].taken_ms <= oldest {
@@ -39,7 +39,7 @@
     }
 
     /// Returns the report in effect `lag` before `now_ms`, or the oldest one.
-    pub(crate) fn report_at_lag(&self, now_ms: u64, lag: Duration) -> Option<LoadReport> {
+    pub(crate) fn report_at_lag(&self, now_ms: u64, lag: Duration) -> Option<EngineLoad> {
         let reported_ms = now_ms.saturating_sub(lag.as_millis() as u64);
         let report_then = self
             .reports
--- a/standins/src/load/load_report.rs
+++ b/standins/src/load/load_report.rs
@@ -183,7 +183,7 @@
         let seconds = self.elapsed.as_secs_f64().max(f64::EPSILON);
         writeln!(
             formatter,
-            "{} requests in {:.2} s ({:.0} a second)",
+            "{} requests in {:.2} s ({:.0}/s)",
             self.total(),
             seconds,
             self.total() as f64 / seconds
@@ -195,7 +195,7 @@
         )?;
         writeln!(
             formatter,
-            "resends {}  refusals met {}  last statuses {:?}",
+            "resends {}  refusals {}  last statuses {:?}",
             self.resends, self.refusals, self.statuses
         )?;
         writeln!(
@@ -205,7 +205,7 @@
         )?;
         let rows = [
             ("first byte", &self.first_byte),
-            ("whole", &self.last_byte),
+            ("last byte", &self.last_byte),
             ("token gap", &self.token_gap),
         ];
         for (name, histogram) in rows {
--- a/tests/soak/soak_caller.rs
+++ b/tests/soak/soak_caller.rs
@@ -32,7 +32,7 @@
 const PAUSE_MS: std::ops::Range<u64> = 5..60;
 /// Shares of requests that are abandoned before the answer, and of those sent with an unknown key,
 /// with the revocable key and with the limited account's key.
-const LEAVE_SHARE: f64 = 0.03;
+const ABANDON_SHARE: f64 = 0.03;
 const UNKNOWN_SHARE: f64 = 0.02;
 const REVOCABLE_SHARE: f64 = 0.15;
 const LIMITED_SHARE: f64 = 0.35;
@@ -86,7 +86,7 @@
         let request = format!("{}-{count}", self.name);
         let route = SoakRoute::ALL[self.rng.random_range(0..SoakRoute::ALL.len())];
         let key = self.draw_key();
-        let abandons = self.rng.random_bool(LEAVE_SHARE);
+        let abandons = self.rng.random_bool(ABANDON_SHARE);
         let sent = Instant::now();
         link.deadline = sent + DEADLINE + DEADLINE_SLACK;
         let text = format!(
--- a/tests/soak/soak_history.rs
+++ b/tests/soak/soak_history.rs
@@ -33,7 +33,7 @@
 
 /// A request as received by a target.
 #[derive(Clone, Debug)]
-pub(crate) struct Arrival {
+pub(crate) struct RequestArrival {
     pub(crate) request: String,
     pub(crate) pool: String,
     pub(crate) target: String,
@@ -78,7 +78,7 @@
 /// Everything that callers and targets observed in a soak.
 #[derive(Default)]
 pub(crate) struct SoakHistory {
-    arrivals: Mutex<Vec<Arrival>>,
+    arrivals: Mutex<Vec<RequestArrival>>,
     requests: Mutex<Vec<SentRequest>>,
     violations: Mutex<Vec<String>>,
     disturbances: Mutex<Vec<TimeSpan>>,
@@ -94,7 +94,7 @@
 }
 
 impl SoakHistory {
-    pub(crate) fn record_arrival(&self, arrival: Arrival) {
+    pub(crate) fn record_arrival(&self, arrival: RequestArrival) {
         self.arrivals.lock().unwrap().push(arrival);
     }
 
@@ -186,7 +186,7 @@
 
     /// Checks that in an undisturbed fleet every executed request is answered, even if its host is
     /// signalled or reconfigured meanwhile.
-    fn check_answered(&self, request: &SentRequest, runs: &[&Arrival]) -> Option<String> {
+    fn check_answered(&self, request: &SentRequest, runs: &[&RequestArrival]) -> Option<String> {
         let unanswered = request.status == 0 && !request.abandoned && !runs.is_empty();
         let undisturbed = unanswered && self.was_undisturbed(request.sent, request.ended);
         undisturbed.then(|| format!("no answer in an undisturbed fleet: {request:?}"))
@@ -194,7 +194,7 @@
 
     /// Checks that in an undisturbed fleet all hosts together respect the limit that a target
     /// announces.
-    fn check_target_limits(&self, arrivals: &[Arrival]) -> Vec<String> {
+    fn check_target_limits(&self, arrivals: &[RequestArrival]) -> Vec<String> {
         let limits = self.limits.lock().unwrap();
         let mut violations = Vec::new();
         for announced in limits.iter() {
@@ -226,7 +226,7 @@
     fn check_key_removal(
         &self,
         request: &SentRequest,
-        runs: &[&Arrival],
+        runs: &[&RequestArrival],
         key: &str,
     ) -> Option<String> {
         if request.key != key || runs.is_empty() {
@@ -236,7 +236,7 @@
         let revoked = removals.iter().any(|removal| {
             let late = request.sent > removal.from + KEY_REVOCATION_LIMIT;
             let ran_before_restored =
-                |run: &&Arrival| removal.until.is_none_or(|until| run.at < until);
+                |run: &&RequestArrival| removal.until.is_none_or(|until| run.at < until);
             late && runs.iter().any(ran_before_restored)
         });
         revoked.then(|| format!("executed with a removed key: {request:?}"))
@@ -257,20 +257,20 @@
     spans[number].until.get_or_insert_with(Instant::now);
 }
 
-fn arrivals_of<'a>(arrivals: &'a [Arrival], request: &str) -> &'a [Arrival] {
+fn arrivals_of<'a>(arrivals: &'a [RequestArrival], request: &str) -> &'a [RequestArrival] {
     let from = arrivals.partition_point(|arrival| arrival.request.as_str() < request);
     let count = arrivals[from..].partition_point(|arrival| arrival.request == request);
     &arrivals[from..from + count]
 }
 
-fn executions_of<'a>(arrivals: &'a [Arrival], request: &str) -> Vec<&'a Arrival> {
+fn executions_of<'a>(arrivals: &'a [RequestArrival], request: &str) -> Vec<&'a RequestArrival> {
     let arrivals = arrivals_of(arrivals, request).iter();
     arrivals.filter(|arrival| arrival.ran).collect()
 }
 
 /// Checks that a request is not executed more often than its route allows, and not at all if it is
 /// reported as not run.
-fn check_executions(request: &SentRequest, runs: &[&Arrival]) -> Vec<String> {
+fn check_executions(request: &SentRequest, runs: &[&RequestArrival]) -> Vec<String> {
     let mut violations = Vec::new();
     let most = if request.route.is_retryable() {
         MAX_ATTEMPTS
@@ -296,7 +296,7 @@
 }
 
 /// Checks that targets receive only requests that a caller sent.
-fn check_unknown_requests(arrivals: &[Arrival], requests: &[SentRequest]) -> Vec<String> {
+fn check_unknown_requests(arrivals: &[RequestArrival], requests: &[SentRequest]) -> Vec<String> {
     let mut sent: Vec<&str> = requests
         .iter()
         .map(|request| request.request.as_str())
@@ -311,7 +311,7 @@
 }
 
 /// Checks that all hosts together enforce an account's limit.
-fn check_account_limit(arrivals: &[Arrival]) -> Option<String> {
+fn check_account_limit(arrivals: &[RequestArrival]) -> Option<String> {
     let rate = SoakRoute::LIMITED_RATE;
     let allowed = (rate * ACCOUNT_WINDOW.as_secs_f64() + 2.0 * rate) * (1.0 + ACCOUNT_OVERAGE);
     let spent = arrivals
@@ -325,12 +325,12 @@
 }
 
 /// Checks that all hosts together stay within the retry budget.
-fn check_retry_budget(arrivals: &[Arrival], requests: &[SentRequest]) -> Vec<String> {
+fn check_retry_budget(arrivals: &[RequestArrival], requests: &[SentRequest]) -> Vec<String> {
     let mut violations = Vec::new();
     for pool in SoakRoute::POOLS {
         let mut retries = Vec::new();
         for request in requests {
-            let mut arrived: Vec<&Arrival> = arrivals_of(arrivals, &request.request)
+            let mut arrived: Vec<&RequestArrival> = arrivals_of(arrivals, &request.request)
                 .iter()
                 .filter(|arrival| arrival.pool == pool)
                 .collect();
--- a/tests/soak/soak_target.rs
+++ b/tests/soak/soak_target.rs
@@ -14,7 +14,7 @@
 use super::platform_standin::headers;
 use super::raw_link::RawHead;
 use super::raw_link::RawLink;
-use super::soak_history::Arrival;
+use super::soak_history::RequestArrival;
 use super::soak_history::SoakHistory;
 use super::soak_routes::SoakRoute;
 
@@ -174,7 +174,7 @@
         }
         let busy = BusyGuard::enter(&self.busy);
         let overloaded = busy.count() > SLOTS + QUEUE_LENGTH || mode == TargetMode::Overloaded;
-        self.history.record_arrival(Arrival {
+        self.history.record_arrival(RequestArrival {
             request: request.to_owned(),
             pool: identity.pool.clone(),
             target: identity.name.clone(),
--- a/tests/support/fleet_plan.rs
+++ b/tests/support/fleet_plan.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// A class of non-idempotent bookings, and one class of generations for each tier.
+/// A class of non-idempotent bookings, and three classes of generations, one for each tier.
 fn classes() -> Vec<ClassRule> {
     let generate = "/v1/generate";
     vec![
--- a/tests/support/raw_bytes.rs
+++ b/tests/support/raw_bytes.rs
@@ -90,12 +90,12 @@
     }
 
     async fn read_more(&mut self) -> Option<()> {
-        let mut piece = [0; 4096];
-        let read = timeout(WAIT_LIMIT, self.stream.read(&mut piece)).await;
+        let mut buffer = [0; 4096];
+        let read = timeout(WAIT_LIMIT, self.stream.read(&mut buffer)).await;
         let count = read
             .expect("the host sends data or closes within the wait limit")
             .ok()?;
-        self.buffer.extend_from_slice(&piece[..count]);
+        self.buffer.extend_from_slice(&buffer[..count]);
         (count > 0).then_some(())
     }
 }
@@ -172,10 +172,10 @@
     posts: Arc<Mutex<Vec<String>>>,
 ) {
     let mut request = Vec::new();
-    let mut piece = [0; 4096];
+    let mut buffer = [0; 4096];
     while !request.windows(4).any(|part| part == HEAD_END) {
-        match stream.read(&mut piece).await {
-            Ok(count) if count > 0 => request.extend_from_slice(&piece[..count]),
+        match stream.read(&mut buffer).await {
+            Ok(count) if count > 0 => request.extend_from_slice(&buffer[..count]),
             _ => return,
         }
     }
@@ -197,5 +197,5 @@
     stream.write_all(text.as_bytes()).await.ok();
     stream.shutdown(Shutdown::Write).ok();
     // Closing a socket with unread bytes would reset the connection.
-    while stream.read(&mut piece).await.is_ok_and(|count| count > 0) {}
+    while stream.read(&mut buffer).await.is_ok_and(|count| count > 0) {}
 }
