--- a/src/edge/caller_link.rs
+++ b/src/edge/caller_link.rs
@@ -149,7 +149,7 @@
         message: &RequestMessage,
         limits: CallerLimits,
     ) -> Result<Vec<u8>, ErrorKind> {
-        let framing = BodyFraming::of_request(&message.headers)?;
+        let framing = BodyFraming::for_request(&message.headers)?;
         if matches!(framing, BodyFraming::Length(length) if length > limits.body_bytes as u64) {
             return Err(ErrorKind::BodyTooLarge);
         }
--- a/src/edge/target_call.rs
+++ b/src/edge/target_call.rs
@@ -71,7 +71,7 @@
             pending().await
         };
         let head = or(write, read_own_head(&mut link, identity)).await?;
-        let framing = BodyFraming::of_answer(&head.headers, head.status, identity.method)
+        let framing = BodyFraming::for_answer(&head.headers, head.status, identity.method)
             .map_err(|_| CallError::Broken)?;
         let keeps = written && can_reuse_connection(&head, framing);
         Ok(Self {
@@ -159,7 +159,7 @@
     head: &AnswerMessage,
     method: &str,
 ) -> Result<(), CallError> {
-    let framing = BodyFraming::of_answer(&head.headers, head.status, method)
+    let framing = BodyFraming::for_answer(&head.headers, head.status, method)
         .map_err(|_| CallError::Broken)?;
     let mut decoder = BodyDecoder::new(framing);
     let mut dropped = Vec::new();
--- a/src/wire/body_framing.rs
+++ b/src/wire/body_framing.rs
@@ -21,7 +21,7 @@
     ///
     /// `Malformed` if the framing is ambiguous: another process on the path could take
     /// part of the body for a separate request (RFC 9112 section 6.3).
-    pub(crate) fn of_request(headers: &MessageHeaders) -> Result<Self, WireError> {
+    pub(crate) fn for_request(headers: &MessageHeaders) -> Result<Self, WireError> {
         Ok(declared_framing(headers)?.unwrap_or(Self::Length(0)))
     }
 
@@ -29,8 +29,8 @@
     ///
     /// # Errors
     ///
-    /// Same as [`BodyFraming::of_request`].
-    pub(crate) fn of_answer(
+    /// Same as [`BodyFraming::for_request`].
+    pub(crate) fn for_answer(
         headers: &MessageHeaders,
         status: u16,
         method: &str,
--- a/src/wire/complete_answer.rs
+++ b/src/wire/complete_answer.rs
@@ -54,7 +54,7 @@
         }
         time_limit = limits.idle_timeout;
     };
-    let framing = BodyFraming::of_answer(&head.headers, head.status, method)?;
+    let framing = BodyFraming::for_answer(&head.headers, head.status, method)?;
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
     loop {
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -84,7 +84,7 @@
     ];
 
     for lines in smuggling {
-        let framing = BodyFraming::of_request(&headers_of(&lines));
+        let framing = BodyFraming::for_request(&headers_of(&lines));
         assert_eq!(framing, Err(WireError::Malformed), "{lines:?}");
     }
 }
