--- a/src/dispatch/cold_start.rs
+++ b/src/dispatch/cold_start.rs
@@ -9,8 +9,8 @@
 /// The fraction of a cold target's permitted rate that all hosts use together. Hosts learn at
 /// different times that the target is cold, so some send without the limit for a moment.
 const USED_FRACTION: f64 = 0.75;
-/// Length of a host's send window. An unused window expires: saved ones could all be used at
-/// once.
+/// Length of a host's send window. An unused window expires, since hosts could otherwise use
+/// all their saved windows at once.
 const WINDOW_LENGTH: Duration = Duration::from_millis(700);
 /// Time within which a target's registration shows that it is cold: two heartbeats.
 const REGISTRATION_DELAY: Duration = Duration::from_millis(2500);
@@ -20,7 +20,7 @@
 /// A restarted target has more free slots than all others, so without a limit every host sends
 /// to it at once. A cold target crashes under that load and is cold again when it returns.
 /// Instead, each host sends in its own windows at its share of the rate, so the total holds
-/// even when hosts can't reach each other.
+/// even during a network partition.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct ColdStart {
     /// When this host learned that the target is, or may be, cold.
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Creates the state of a target that is back in use. It may be cold; its next registration
-    /// tells.
+    /// Creates the state of a target that is back in use. It may be cold, which its next
+    /// registration shows.
     pub(super) fn returned(now: Duration) -> Self {
         Self::registered(REGISTRATION_DELAY, now)
     }
@@ -68,12 +68,12 @@
         self.until.get_or_insert(now + REGISTRATION_DELAY);
     }
 
-    /// Tells whether the cold phase is over.
+    /// Returns whether the cold phase is over.
     pub(super) fn is_over(&self, now: Duration) -> bool {
         self.until.is_some_and(|until| now >= until)
     }
 
-    /// Tells whether this host may send to the target now.
+    /// Returns whether this host may send to the target now.
     pub(super) fn may_send(
         &self,
         target: &str,
--- a/src/dispatch/dispatch_queue.rs
+++ b/src/dispatch/dispatch_queue.rs
@@ -23,8 +23,8 @@
 use crate::ids::ZoneName;
 use crate::sorted::SortedMap;
 
-/// The maximum number of requests per pool that wait at a host. A host's share of the
-/// targets starts about twenty requests per second, so a request behind this many would wait
+/// The maximum number of requests per pool that wait at a host. A host's share of the targets
+/// starts about twenty requests per second, so a request with this many ahead of it would wait
 /// longer than any caller does.
 const MAX_WAITING: usize = 300;
 
@@ -130,7 +130,7 @@
                     .map(|error| error.into_inner()),
                 None => Some(placed),
             };
-            // The request is gone; its slot goes to the next one.
+            // The request is no longer waiting; its slot goes to the next one.
             if let Some(placed) = unwanted {
                 self.release(placed);
             }
--- a/src/dispatch/gap_tracker.rs
+++ b/src/dispatch/gap_tracker.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// The weight of a new gap in the running mean, which covers about the last ten, so that a
-/// slowdown shows within a second of events.
+/// The weight of a new gap in the moving average, which covers about the last ten gaps, so that
+/// a slowdown shows within a second of events.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// The running mean of the gaps between a target's events.
+/// The moving average of the gaps between a target's events.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct GapTracker {
     mean_ms: Option<f64>,
--- a/src/dispatch/limit_table.rs
+++ b/src/dispatch/limit_table.rs
@@ -31,7 +31,7 @@
     pub(super) per_second: Option<f64>,
     /// When the target first stated a limit, on the boot clock.
     pub(super) since: Duration,
-    /// When it last stated this.
+    /// When the target last stated its limit, or stated none.
     stated_at: Duration,
     /// When it last changed at this host.
     changed_at: Duration,
@@ -82,7 +82,7 @@
         self.store(&limit.target, limit.per_second, since, stated_at, now)
     }
 
-    /// Returns the limits that changed since `since`, or all limits in force if `all` is set.
+    /// Returns the limits that changed since `since`, or all current limits if `all` is set.
     pub(super) fn changes(&self, all: bool, since: Duration, now: Duration) -> Vec<TargetLimit> {
         let entries = self.entries.iter();
         let changed = entries.filter(|(_, entry)| match all {
--- a/src/dispatch/peer_loads.rs
+++ b/src/dispatch/peer_loads.rs
@@ -10,9 +10,9 @@
 use crate::quota::UsageScope;
 use crate::sorted::SortedMap;
 
-/// How long the last report of a silent host counts. Hosts report their loads many times per
-/// second; one that is silent for this long is most likely dead, and its targets have noticed
-/// the closed connections.
+/// How long the last report of an unresponsive host counts. Hosts report their loads many times
+/// per second; one without a report for this long is most likely dead, and its targets have
+/// noticed the closed connections.
 const REPORT_TTL: Duration = Duration::from_millis(1500);
 
 /// The load that a host puts on a target.
@@ -50,8 +50,8 @@
 impl PeerLoads {
     /// Replaces a host's report. Returns the targets whose sums changed, sorted.
     ///
-    /// A leader's report covers all other hosts, so it replaces theirs, and a host's own report
-    /// replaces a leader's.
+    /// A leader's report on the fleet covers all other hosts, so it replaces their reports. A
+    /// report of another host replaces a leader's.
     pub(super) fn update(
         &mut self,
         host: HostName,
@@ -81,7 +81,7 @@
         changed
     }
 
-    /// Removes silent hosts; returns the targets where they had requests.
+    /// Removes unresponsive hosts; returns the targets where they had requests.
     pub(super) fn expire(&mut self, now: Duration) -> Vec<TargetName> {
         self.remove_hosts(|_, report| now.saturating_sub(report.reported_at) > REPORT_TTL)
     }
--- a/src/dispatch/pool_entry.rs
+++ b/src/dispatch/pool_entry.rs
@@ -160,13 +160,14 @@
             .queue
             .iter()
             .filter(|(_, _, late)| !late || late_may_start)
-            // The first request may have tried the only free target, and the next one not.
+            // The first request may already have tried the only free target, while a later one
+            // has not.
             .take(4)
             .map(|(ticket, request, late)| (ticket, request.clone(), late))
             .collect();
         for (ticket, request, late) in waiting {
             if let Some(placed) = self.place(&request, host, random()) {
-                self.note_start(late, host.now);
+                self.record_start(late, host.now);
                 self.queue.remove(ticket);
                 return Some((ticket, placed));
             }
@@ -174,13 +175,13 @@
         None
     }
 
-    /// Tells whether a request can no longer meet its objective at any target.
+    /// Returns whether a request can no longer meet its objective at any target.
     pub(super) fn is_late(&self, request: &PlacementRequest, now: Duration) -> bool {
         now + shortest_first_event(&self.targets, request, self.prefill) > request.objective_at
     }
 
     /// Records the start of a request.
-    pub(super) fn note_start(&mut self, late: bool, now: Duration) {
+    pub(super) fn record_start(&mut self, late: bool, now: Duration) {
         if late {
             self.late_dispatch_rate.record(now);
         }
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Tells whether a late request may start without using the reserve.
+    /// Returns whether a late request may start without using the reserve.
     pub(super) fn has_room_for_late(&self, now: Duration) -> bool {
         if !self.engine {
             return true;
--- a/src/dispatch/pool_table.rs
+++ b/src/dispatch/pool_table.rs
@@ -30,13 +30,13 @@
 use crate::view::TargetRecord;
 
 /// The fraction of a shard's targets that must be usable for its slots to be divided. If fewer
-/// are, hosts use targets outside their shard.
+/// are usable, hosts also use targets outside their shard.
 const MIN_USABLE_FRACTION: f64 = 0.5;
 
 /// How long granted slots may be used without renewal, as some reports may be lost.
 const GRANT_LIFETIME: Duration = Duration::from_millis(1000);
 
-/// The least rate assumed at which a host starts requests, per second.
+/// The least assumed rate at which a host starts requests, per second.
 const MIN_DISPATCH_RATE: f64 = 4.0;
 /// The same for requests that can no longer meet their objective.
 const MIN_LATE_DISPATCH_RATE: f64 = 1.0;
@@ -169,7 +169,7 @@
         demands
     }
 
-    /// Tells whether any request waits for an engine.
+    /// Returns whether any request waits for an engine.
     pub fn has_waiting(&self) -> bool {
         let mut engines = self.pools.values().filter(|pool| pool.engine);
         engines.any(|pool| pool.queue.len() > 0)
@@ -215,7 +215,7 @@
             .collect()
     }
 
-    /// Tells whether any target of the pool accepts new work.
+    /// Returns whether any target of the pool accepts new work.
     pub fn has_accepting_target(&self, pool: &str) -> bool {
         self.pools
             .get(pool)
@@ -240,11 +240,11 @@
             return None;
         }
         let placed = pool.place(request, host, random)?;
-        pool.note_start(is_late, now);
+        pool.record_start(is_late, now);
         Some(placed)
     }
 
-    /// Tells whether any target has a free slot for the request now.
+    /// Returns whether any target has a free slot for the request now.
     pub fn has_room_for(&self, request: &PlacementRequest, now: Duration) -> bool {
         let host = HostView {
             own_zone: &self.own_zone,
@@ -293,7 +293,7 @@
         pool.queue.push(ticket, request, due, now);
     }
 
-    /// Tells whether a request is to be rejected at once rather than queued: it can no longer
+    /// Returns whether a request is to be rejected at once rather than queued: it can no longer
     /// meet its objective, and the engine slots are divided among requests that can.
     ///
     /// In a burst beyond the engines' capacity, callers that are rejected at once can retry
@@ -368,7 +368,7 @@
         self.apply_peer_loads(&changed);
     }
 
-    /// Removes the loads of silent peers, which are most likely dead.
+    /// Removes the loads of unresponsive peers, which are most likely dead.
     pub fn expire_peer_loads(&mut self, now: Duration) {
         let mut changed = self.peer_loads.expire(now);
         changed.sort();
@@ -427,11 +427,11 @@
         let loads = targets.filter(|target| target.in_shard).map(|target| {
             let theirs = self.peer_loads.load_of(receiver, &target.record.name);
             let running = target.own_running + target.peer_load.running;
-            let unread = target.pending_prefill_tokens + target.peer_load.pending_prefill_tokens;
+            let pending = target.pending_prefill_tokens + target.peer_load.pending_prefill_tokens;
             TargetLoad {
                 target: target.record.name.clone(),
                 running: running.saturating_sub(theirs.running),
-                pending_prefill_tokens: unread.saturating_sub(theirs.pending_prefill_tokens),
+                pending_prefill_tokens: pending.saturating_sub(theirs.pending_prefill_tokens),
             }
         });
         loads.filter(|load| load.running > 0).collect()
--- a/src/dispatch/prefill_estimate.rs
+++ b/src/dispatch/prefill_estimate.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Initial estimate of the time to the first event beside the prefill, on the fastest
-/// targets, in milliseconds.
+/// Initial estimate of the time to the first event without the prefill, on the fastest targets,
+/// in milliseconds.
 const INITIAL_BASE_MS: f64 = 70.0;
 /// Initial estimate of the prefill rate of the fastest targets, in prompt tokens per
 /// millisecond.
--- a/src/dispatch/request_limit.rs
+++ b/src/dispatch/request_limit.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Tells whether this host may send now.
+    /// Returns whether this host may send now.
     pub(super) fn may_send(&self, target: &str, position: HostPosition, now: Duration) -> bool {
         self.rate.allows(target, position, self.last_sent_at, now)
     }
--- a/src/dispatch/request_queue.rs
+++ b/src/dispatch/request_queue.rs
@@ -10,8 +10,8 @@
 /// ordered by priority and then by the time left.
 ///
 /// In a burst beyond the targets' capacity, a first-in-first-out queue fills with requests that
-/// will be late and delays everything behind them, so that no request meets its objective
-/// until long after the burst.
+/// will be late and delay all later ones, so that no request meets its objective until long
+/// after the burst.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct QueueKey {
     late: bool,
@@ -92,7 +92,7 @@
         self.entries.len() < before
     }
 
-    /// Moves requests that can no longer meet their objective behind the others.
+    /// Moves requests that can no longer meet their objective after the others.
     pub(super) fn demote_late(&mut self, now: Duration) {
         let mut index = 0;
         let mut late = Vec::new();
--- a/src/dispatch/shard_range.rs
+++ b/src/dispatch/shard_range.rs
@@ -32,7 +32,7 @@
         Self { share }
     }
 
-    /// Tells whether the group prefers a target.
+    /// Returns whether the group prefers a target.
     pub(super) const fn contains(&self, position: TargetPosition) -> bool {
         let share = &self.share;
         if position.count <= MAX_UNSHARDED_TARGETS || share.groups <= 1 {
--- a/src/dispatch/shared_rate.rs
+++ b/src/dispatch/shared_rate.rs
@@ -4,8 +4,8 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A host's position among all hosts that may send to a target. Hosts that seem dead count:
-/// they may still serve callers across a partition.
+/// A host's position among all hosts that may send to a target. Hosts that seem dead count as
+/// well, since they may be serving callers on the other side of a network partition.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HostPosition {
     /// Number of hosts before it.
@@ -15,20 +15,20 @@
 }
 
 /// A request rate at one target, shared by time division: each host may send one request per
-/// round, within its own send window, so the total holds across a partition.
+/// round, within its own send window, so the total holds during a network partition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct SharedRate {
     /// Requests per second of all hosts together.
     pub(super) per_second: f64,
     /// Start of the first round, about the same on all hosts.
     pub(super) since: Duration,
-    /// Length of a host's send window. An unused window expires: saved ones could all be used
-    /// at once.
+    /// Length of a host's send window. An unused window expires, since hosts could otherwise
+    /// use all their saved windows at once.
     pub(super) window_length: Duration,
 }
 
 impl SharedRate {
-    /// Tells whether a host whose last send was at `last_sent` may send now.
+    /// Returns whether a host whose last send was at `last_sent` may send now.
     pub(super) fn allows(
         &self,
         target: &str,
@@ -38,7 +38,8 @@
     ) -> bool {
         let hosts = position.hosts.max(1);
         let round = hosts as f64 / self.per_second;
-        // The hash offsets the order of hosts, so that each target has another first host.
+        // The hash offsets the order of hosts, so that a different host comes first at each
+        // target.
         let index = (position.index + xxh3_64(target.as_bytes()) as usize % hosts) % hosts;
         let first = index as f64 / hosts as f64;
         let rounds = now.saturating_sub(self.since).as_secs_f64() / round - first;
--- a/src/dispatch/slot_grants.rs
+++ b/src/dispatch/slot_grants.rs
@@ -12,7 +12,7 @@
 use crate::ids::TargetName;
 use crate::sorted::SortedMap;
 
-/// How long a grant that is not renewed counts; longer than hosts use one.
+/// How long a grant counts without renewal. This is longer than hosts use a grant.
 const GRANT_TTL: Duration = Duration::from_millis(1500);
 
 /// How many requests a target may queue, so that the next request is already there when one
--- a/src/dispatch/slot_shares.rs
+++ b/src/dispatch/slot_shares.rs
@@ -10,7 +10,7 @@
 use crate::ids::PoolName;
 use crate::sorted::SortedMap;
 
-/// The ratio of wanted to existing slots from which on the slots are divided.
+/// The ratio of wanted to existing slots at or above which the slots are divided.
 const DIVISION_THRESHOLD: f64 = 1.0;
 /// The ratio of granted to existing slots. Some granted slots are briefly free, and a target
 /// queues the excess.
@@ -52,7 +52,8 @@
 /// In a burst beyond the targets' capacity, each host sees the same few slots become free and
 /// all hosts send; the excess waits in the targets' queues, which have no priorities, and
 /// becomes late. With its own slots, a host keeps requests in its own queue until a slot is
-/// free. Requests of the highest priority get slots first, whichever host they wait at.
+/// free. Requests of the highest priority get slots first, regardless of the host at which they
+/// wait.
 #[derive(Debug, Default)]
 pub struct SlotShares {
     hosts: SortedMap<HostName, HostDemand>,
--- a/src/dispatch/target_choice.rs
+++ b/src/dispatch/target_choice.rs
@@ -21,22 +21,22 @@
 /// are a tenth of a second old, would choose the same target.
 const FREE_SLOTS_EXPONENT: i32 = 2;
 /// How strongly failures reduce a target's weight: a target that fails two requests of five
-/// gets a fifth of the requests, and so is still probed.
+/// gets a fifth of the requests, which show when it recovers.
 const SUCCESS_EXPONENT: i32 = 3;
 /// The least success rate that is used for the weight, so that every target is tried again.
 const MIN_SUCCESS_RATE: f64 = 0.15;
 /// The weight factor of a target outside the host's shard, which is chosen only when the
 /// targets in the shard are full.
 const OUT_OF_SHARD_FACTOR: f64 = 0.01;
-/// The output's expected duration is multiplied by this to tell whether it ends in time.
+/// Safety factor on the output's expected duration when checking whether it ends in time.
 const OUTPUT_MARGIN: f64 = 1.5;
-/// If no target can end the output in time, those within this multiple of the shortest duration
-/// are allowed.
+/// An output that would not end in time is still acceptable at targets within this multiple of
+/// the shortest duration.
 const NEAR_OUTPUT_FACTOR: f64 = 1.5;
 /// The extra time to the first event, beyond the shortest, that halves a target's weight.
 const HALVING_DELAY: Duration = Duration::from_millis(60);
 
-/// The state beside the targets that the selection depends on.
+/// The state that the selection depends on in addition to the targets.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ChoiceContext<'a> {
     /// Whether the targets are engines, which have a fixed number of slots.
@@ -76,9 +76,9 @@
 /// Targets are drawn at random by weight. Many hosts see the same state, so if each chose the
 /// best target, all would send to it at once.
 ///
-/// A long prompt on a slow target, or behind another long prompt, misses its objective, and a
-/// long answer there does not end before the request times out. If some targets can meet the
-/// objectives, only those are considered, and the request waits until one has a free slot.
+/// A long prompt on a slow target, or queued after another long prompt, misses its objective,
+/// and a long answer there does not end before the request times out. If some targets can meet
+/// the objectives, only those are considered, and the request waits until one has a free slot.
 pub(super) fn choose_target(
     targets: &[TargetRuntime],
     request: &PlacementRequest,
@@ -123,7 +123,8 @@
             || forecast.output <= least_output.mul_f64(NEAR_OUTPUT_FACTOR)
             || !context.engine
     };
-    // The strictest rule that some allowed target meets is required of all.
+    // Of these rules, ordered from the strictest, the first that any allowed target meets
+    // applies to all targets.
     let meets_all =
         |forecast: &TargetForecast| in_time(forecast) && ends_in_time(forecast) && !forecast.stalls;
     let in_time_and_ending =
@@ -143,7 +144,7 @@
     pick_weighted(&weights, random)
 }
 
-/// Tells whether prefilling `tokens` would stall the streams at the target beyond their
+/// Returns whether prefilling `tokens` would stall the streams at the target beyond their
 /// objective. A long prompt at a slow target delays all streams that run there.
 fn stalls(
     target: &TargetRuntime,
--- a/src/dispatch/target_runtime.rs
+++ b/src/dispatch/target_runtime.rs
@@ -15,11 +15,12 @@
 use crate::view::TargetPhase;
 use crate::view::TargetRecord;
 
-/// How long a target that runs requests of this host may be silent before it gets no more.
-/// A running engine sends an event every 25 to 100 ms, and a plain service answers within tens
-/// of ms. A crashed target stays silent, and without this limit each request sent to it would
-/// be lost until its registration expires after seconds.
-const SILENCE_LIMIT: Duration = Duration::from_millis(700);
+/// How long a target that runs requests of this host may send nothing before it counts as
+/// unresponsive and gets no more. A running engine sends an event every 25 to 100 ms, and a
+/// plain service answers within tens of ms. A crashed target never sends anything again, and
+/// without this limit each request sent to it would be lost until its registration expires
+/// after seconds.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(700);
 /// The initial and maximum back-off after a target could not be reached.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
@@ -47,8 +48,9 @@
     limit: Option<RequestLimit>,
     /// Moving average of failures among the outcomes, 0 to 1.
     error_rate: f64,
-    /// Start of the current silence, while the target runs requests of this host.
-    silent_since: Option<Duration>,
+    /// When the target last sent something, or got its first running request; `None` while it
+    /// runs no request of this host.
+    last_activity_at: Option<Duration>,
     backoff_until: Duration,
     next_backoff: Duration,
 }
@@ -70,7 +72,7 @@
             gaps: GapTracker::default(),
             in_shard: true,
             error_rate: 0.0,
-            silent_since: None,
+            last_activity_at: None,
             backoff_until: Duration::ZERO,
             next_backoff: INITIAL_BACKOFF,
         }
@@ -103,12 +105,12 @@
         self.record = member.record;
     }
 
-    /// Tells whether the target accepts new work.
+    /// Returns whether the target accepts new work.
     pub(super) fn is_accepting(&self) -> bool {
         self.record.phase == TargetPhase::Ready && !self.evacuated
     }
 
-    /// Tells whether hosts send to the target in send windows: it is cold, or may be, or it
+    /// Returns whether hosts send to the target in send windows: it is cold, or may be, or it
     /// states a request limit.
     pub(super) fn is_rate_limited(&self, now: Duration) -> bool {
         self.is_cold(now) || self.limit.is_some()
@@ -128,13 +130,13 @@
         });
     }
 
-    /// Tells whether the leader of a group may grant the target's slots.
+    /// Returns whether the leader of a group may grant the target's slots.
     pub(super) fn is_grantable(&self, now: Duration) -> bool {
         let usable = self.is_accepting() && self.is_healthy(now);
         self.in_shard && usable && !self.is_rate_limited(now)
     }
 
-    /// Tells whether a send window allows this host to send to the target now. A host that
+    /// Returns whether a send window allows this host to send to the target now. A host that
     /// does not know its position must not send to a rate-limited target.
     pub(super) fn may_send(&self, position: Option<HostPosition>, now: Duration) -> bool {
         self.cold_start_allows(position, now) && self.limit_allows(position, now)
@@ -157,16 +159,17 @@
         position.is_some_and(|position| limit.may_send(&self.record.name, position, now))
     }
 
-    /// Tells whether the target seems healthy: it is neither silent nor backed off from.
+    /// Returns whether the target seems healthy: it is responsive, and no back-off is in
+    /// effect.
     pub(super) fn is_healthy(&self, now: Duration) -> bool {
-        now >= self.backoff_until && !self.is_silent(now)
+        now >= self.backoff_until && !self.is_unresponsive(now)
     }
 
-    /// Tells whether the target is suspected to be lost: it could not be reached, or is
-    /// silent. A target that is only full is not suspected.
+    /// Returns whether the target is suspected to be lost: it could not be reached, or is
+    /// unresponsive. A target that is only full is not suspected.
     pub(super) fn is_suspected(&self, now: Duration) -> bool {
         let unreached = now < self.backoff_until && self.next_backoff > INITIAL_BACKOFF;
-        unreached || self.is_silent(now)
+        unreached || self.is_unresponsive(now)
     }
 
     /// Returns the number of free slots.
@@ -215,12 +218,12 @@
         }
         self.own_running += 1;
         self.pending_prefill_tokens += prompt_tokens;
-        self.silent_since.get_or_insert(now);
+        self.last_activity_at.get_or_insert(now);
     }
 
     /// Records that the target sent something.
     pub(super) fn record_activity(&mut self, now: Duration) {
-        self.silent_since = Some(now);
+        self.last_activity_at = Some(now);
         if let Some(cold_start) = &mut self.cold_start {
             cold_start.record_answer(now);
         }
@@ -235,7 +238,7 @@
     pub(super) fn record_outcome(&mut self, end: AttemptOutcome, now: Duration) {
         self.own_running = self.own_running.saturating_sub(1);
         if self.own_running == 0 {
-            self.silent_since = None;
+            self.last_activity_at = None;
         }
         match end {
             AttemptOutcome::Succeeded => {
@@ -258,8 +261,8 @@
         self.backoff_until = self.backoff_until.max(now + delay);
     }
 
-    fn is_silent(&self, now: Duration) -> bool {
-        self.silent_since
-            .is_some_and(|since| now.saturating_sub(since) > SILENCE_LIMIT)
+    fn is_unresponsive(&self, now: Duration) -> bool {
+        self.last_activity_at
+            .is_some_and(|since| now.saturating_sub(since) > UNRESPONSIVE_TIMEOUT)
     }
 }
