--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -77,7 +77,7 @@
         actions
     }
 
-    /// Tells whether work could not meet its deadline even on an idle fleet. Its refusal says
+    /// Returns whether work could not meet its deadline even on an idle fleet. Its refusal says
     /// nothing about the load.
     fn is_impossible(&self, now: Duration, item: &WorkItem) -> bool {
         let (prompt, output) = (item.prompt_tokens, item.output_tokens);
@@ -93,7 +93,7 @@
         self.enqueue(now, item, cost, Some(target));
     }
 
-    /// Tells whether work would meet its deadline after a wait, in seconds.
+    /// Returns whether work would meet its deadline after a wait, in seconds.
     pub(super) fn meets_deadline(&self, now: Duration, wait: f64, item: &WorkItem) -> bool {
         let total_seconds = self.best_service_seconds(item).unwrap_or(f64::INFINITY);
         let total_seconds = total_seconds * length_margin(item);
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Makes room in a full queue: refuses the lowest waiting work in favour of new work of a
-    /// higher tier. If there is none, the new work is forwarded or refused.
+    /// Frees a place in a full queue: refuses the lowest waiting work in favour of new work of
+    /// a higher tier. If there is none, the new work is forwarded or refused.
     fn displace(
         &mut self,
         now: Duration,
@@ -196,7 +196,7 @@
     }
 
     /// Forwards brief work of the top tier to a peer with a free express slot if this host has
-    /// none: beside long prompts its first token takes many times longer than the hop to the
+    /// none: next to long prompts its first token takes many times longer than the hop to the
     /// peer.
     fn forward_brief(&mut self, now: Duration, item: &WorkItem, cost: f64) -> Option<PolicyAction> {
         if item.tier > 0 || band(cost) != WorkBand::Brief {
--- a/src/policy/decide.rs
+++ b/src/policy/decide.rs
@@ -50,7 +50,7 @@
 const MAX_COMPARED_TARGETS: usize = 16;
 
 impl DispatchPolicy {
-    /// Dispatches waiting work as far as there are slots.
+    /// Dispatches waiting work while there are free slots for it.
     pub(super) fn decide(&mut self, now: Duration) -> Vec<PolicyAction> {
         let mut actions = Vec::new();
         if self.queue.works().is_empty() {
@@ -68,7 +68,7 @@
         actions
     }
 
-    /// Tells whether any work of a tier could get a slot. This avoids searching a full fleet
+    /// Returns whether any work of a tier could get a slot. This avoids searching a full fleet
     /// for each waiting request.
     fn has_free_slot(&self, tier: TierRank) -> bool {
         let mut pools = [&self.engines, &self.services].into_iter();
@@ -196,8 +196,8 @@
             !avoided && !reserved && !view.pace.is_slow()
         };
         // If only slow, reserved or avoided targets are left, one is taken, so that work does
-        // not wait beside an idle target until its deadline. Work that can't meet its deadline
-        // even at the speed that the target may regain has been refused before.
+        // not wait until its deadline although a target is idle. Work that can't meet its
+        // deadline even at the speed that the target may regain has been refused before.
         if !live.iter().any(is_usual) {
             return live.into_iter().filter(|view| view.free() > 0).collect();
         }
@@ -289,7 +289,7 @@
         .unwrap_or(work.homes.len())
 }
 
-/// Tells whether a slow target may be probed with work below the top tier to detect its
+/// Returns whether a slow target may be probed with work below the top tier to detect its
 /// recovery. No probe is needed while work runs there.
 ///
 /// Long work serves as a probe only if no shorter work has for a while.
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -152,7 +152,7 @@
         let elapsed = interval.as_secs_f64();
         let previous = running.tokens;
         // Tokens that arrive together have gaps of microseconds. If these counted as the
-        // engine's best time per token, the engine would look slow for ever.
+        // engine's best time per token, the engine would look slow permanently.
         if previous > 0 && interval < MIN_SAMPLE_INTERVAL {
             return;
         }
@@ -227,10 +227,10 @@
         self.refresh_shares();
     }
 
-    /// Tells whether the peers should get a digest before the next regular one, because the
+    /// Returns whether the peers should get a digest before the next regular one, because the
     /// division of slots waits for it.
     pub fn wants_digest(&self) -> bool {
-        // Without targets there are no slots to divide, and the condition would last for ever.
+        // Without targets there are no slots to divide, and the condition would never end.
         self.ledger.has_changed() && !self.targets.is_empty()
     }
 
--- a/src/policy/fair_queue.rs
+++ b/src/policy/fair_queue.rs
@@ -1,8 +1,8 @@
 //! The queue of waiting work and its order.
 //!
-//! Two accounts may send most of the work, and long and short work is mixed. First come,
-//! first served would favour the account that sends most, and one long request would delay all
-//! short ones behind it.
+//! Two accounts may send most of the work, and long and short work is mixed. First come, first
+//! served would favour the account that sends most, and one long request would delay all short
+//! ones queued after it.
 //!
 //! The order is: strict tiers; then the account that has been served least, relative to its
 //! weight (weighted fair queueing by expected cost); then the shortest expected work. Work that
--- a/src/policy/observe.rs
+++ b/src/policy/observe.rs
@@ -1,7 +1,8 @@
-//! Periodic observation: loads, silent targets, and the choice of express engines.
+//! Periodic observation: loads, overdue progress, and the choice of express engines.
 //!
-//! Beside a long prompt the first token of short work takes many times longer, whatever slots
-//! are reserved. Therefore some fast engines take no long work at all.
+//! While an engine prefills a long prompt, the first token of short work there takes many times
+//! longer, even if slots are reserved for it. Therefore some fast engines take no long work at
+//! all.
 
 use std::time::Duration;
 
@@ -24,8 +25,8 @@
 const MIN_ENGINES_FOR_EXPRESS: usize = 4;
 
 impl DispatchPolicy {
-    /// Updates what changes with time: reserves, concurrency limits, and the token rate of
-    /// silent targets.
+    /// Updates what changes with time: reserves, concurrency limits, and the time per token of
+    /// targets whose progress is overdue.
     pub(super) fn observe(&mut self, now: Duration) {
         self.count_pools();
         let (mut top, mut short) = (0, 0);
@@ -56,14 +57,14 @@
             let Some(view) = self.targets.get_mut(&work.target) else {
                 continue;
             };
-            let silent = now.saturating_sub(work.progressed_at).as_secs_f64();
+            let waited = now.saturating_sub(work.progressed_at).as_secs_f64();
             let expected = if work.tokens > 0 {
                 view.pace.token_seconds()
             } else {
                 let pending = view.pending_prefill_tokens.min(u64::from(u32::MAX)) as u32;
                 view.pace.first_token_seconds(pending)
             };
-            view.pace.sample_silence(now, silent, expected);
+            view.pace.sample_overdue(now, waited, expected);
         }
         for (_, view) in self.targets.iter_mut() {
             let (best, token) = (view.pace.best_token_seconds(), view.pace.token_seconds());
@@ -138,7 +139,7 @@
                 &mut self.services
             };
             // Slots of targets that are gone, or above their concurrency limit, don't count:
-            // otherwise a reserve as large as the remaining slots would block them for ever.
+            // otherwise a reserve as large as the remaining slots would block them permanently.
             if view.is_live() {
                 pool.slots += view.limit.usable(view.share);
             }
--- a/src/policy/pace_estimate.rs
+++ b/src/policy/pace_estimate.rs
@@ -5,8 +5,8 @@
 //! that looks idle, and continue sending to one that has just become ten times slower, as its
 //! reports still look normal.
 //!
-//! Each token that arrives is a sample of the time per token. A silent target gives no samples,
-//! so silence beyond the expected time counts as a sample as well.
+//! Each token that arrives is a sample of the time per token. An unresponsive target gives no
+//! samples, so a wait far beyond the expected time counts as a sample as well.
 
 use std::time::Duration;
 
@@ -30,14 +30,14 @@
 /// within seconds, and hosts disagreed on the fastest engine.
 const BEST_DECAY: f64 = 0.000_01;
 /// A target is slow if its time per token exceeds the best one seen by this factor. A full
-/// batch beside a long prompt costs up to 4.2 times an idle step, so 5 is above normal load and
-/// far below the factor of ten of a fault. At 3 a run of short requests made the express engine
-/// look slow, and a long prompt was sent there as a probe.
+/// batch together with a long prompt costs up to 4.2 times an idle step, so 5 is above normal
+/// load and far below the factor of ten of a fault. At 3 a run of short requests made the
+/// express engine look slow, and a long prompt was sent there as a probe.
 const SLOW_RATIO: f64 = 5.0;
-/// Silence of this many times the expected wait counts as a sample.
+/// A wait for progress of at least this many times the expected one counts as a sample.
 const OVERDUE_RATIO: f64 = 4.0;
-/// Shorter silence is not counted: prefill chunks of another request's long prompt may delay a
-/// step for that long.
+/// Shorter waits are not counted, since prefill chunks of another request's long prompt may
+/// delay a step for that long.
 const MIN_OVERDUE_SECONDS: f64 = 0.25;
 /// A peer's estimate is adopted if no own sample is younger than this.
 const OWN_SAMPLE_MAX_AGE: Duration = Duration::from_secs(2);
@@ -86,13 +86,13 @@
         self.prefill += PREFILL_GAIN * (sample - self.prefill);
     }
 
-    /// Counts the silence of work that should have made progress as a sample.
-    pub(super) fn sample_silence(&mut self, now: Duration, silent: f64, expected: f64) {
-        if silent < MIN_OVERDUE_SECONDS || silent < OVERDUE_RATIO * expected {
+    /// Adds a sample of work that should have made progress and has not for `waited` seconds.
+    pub(super) fn sample_overdue(&mut self, now: Duration, waited: f64, expected: f64) {
+        if waited < MIN_OVERDUE_SECONDS || waited < OVERDUE_RATIO * expected {
             return;
         }
         // A lower bound: the true time per token may be longer still.
-        let at_least = self.token_seconds * silent / expected.max(self.token_seconds);
+        let at_least = self.token_seconds * waited / expected.max(self.token_seconds);
         self.token_seconds += PACE_GAIN * (at_least - self.token_seconds).max(0.0);
         self.sampled_at = Some(now);
     }
@@ -136,12 +136,12 @@
         }
     }
 
-    /// Tells whether there was no sample for `age`.
+    /// Returns whether there was no sample for `age`.
     pub(super) fn is_stale(&self, now: Duration, age: Duration) -> bool {
         self.sampled_at.is_none_or(|at| now >= at + age)
     }
 
-    /// Tells whether the target is far slower than at its best.
+    /// Returns whether the target is far slower than at its best.
     pub(super) fn is_slow(&self) -> bool {
         self.token_seconds > SLOW_RATIO * self.best_token_seconds()
     }
--- a/src/policy/policy_action.rs
+++ b/src/policy/policy_action.rs
@@ -41,7 +41,7 @@
 pub enum WorkOutcome {
     /// The complete answer arrived.
     Finished,
-    /// The target was lost or fell silent after the dispatch.
+    /// The target was lost or became unresponsive after the dispatch.
     Failed,
     /// Nothing was sent, so another target may be tried.
     NotSent,
--- a/src/policy/retry_advice.rs
+++ b/src/policy/retry_advice.rs
@@ -1,7 +1,7 @@
 //! The time after which a refused caller should retry.
 //!
-//! If all refused callers got the same time, they would return as the next burst; if it were
-//! too short, the fleet would spend its capacity on refusals.
+//! If all refused callers got the same time, their retries would arrive as the next burst; if
+//! it were too short, the fleet would spend its capacity on refusals.
 //!
 //! The advice is the time in which the current queue drains, with jitter from a hash of the
 //! work's id.
--- a/src/policy/shed_level.rs
+++ b/src/policy/shed_level.rs
@@ -50,7 +50,7 @@
         };
     }
 
-    /// Updates a peer's level.
+    /// Applies the level of a peer.
     pub(super) fn update(&mut self, now: Duration, host: &HostName, level: TierRank) {
         let until = now + HOLD_TIME;
         self.peers.insert(host.clone(), LevelMark { level, until });
--- a/src/policy/slot_ledger.rs
+++ b/src/policy/slot_ledger.rs
@@ -6,9 +6,9 @@
 //!
 //! Slots are transferred like credits: a host that does not need a slot lends it to a peer and
 //! deducts it at once; the peer adds it when it receives the digest. A digest that is lost,
-//! late or blocked by a partition can only leave a slot unused for a while. So the shares never
-//! add up to more than the target's slots, without clocks or consensus, and each side of a
-//! partition keeps the slots that it holds.
+//! late or blocked by a network partition can only leave a slot unused for a while. So the
+//! shares never add up to more than the target's slots, without clocks or consensus, and each
+//! side of a network partition keeps the slots that it holds.
 //!
 //! The counts restart with a new *epoch* whenever the hosts, a target's slots or a host's
 //! incarnation change. The epoch is a hash of all of these, so hosts with the same epoch agree
@@ -133,7 +133,7 @@
         self.accounts.get(target).map_or(0, SlotAccount::held)
     }
 
-    /// Tells whether the peers should learn of a change before the next regular digest.
+    /// Returns whether the peers should learn of a change before the next regular digest.
     pub(super) const fn has_changed(&self) -> bool {
         self.changed
     }
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Starts epochs that were never in force before.
+    /// Starts epochs that were never used before.
     ///
     /// Returning to an earlier list of hosts must not restore its epoch: peers may still count
     /// slots that were lent then. The same applies to a peer's incarnation. Incarnations have no
@@ -339,7 +339,8 @@
         }
     }
 
-    /// Returns how many slots the peer still needs, as far as this host knows.
+    /// Returns how many more slots the peer needs, by its last digest and the slots lent to it
+    /// since.
     fn deficit(&self, host: &HostName, peer: &PeerSlots) -> u32 {
         if peer.epoch != self.epoch {
             return 0;
--- a/src/policy/slot_reserve.rs
+++ b/src/policy/slot_reserve.rs
@@ -24,7 +24,7 @@
     sampled_at: Duration,
     /// Standard deviations above the mean.
     deviations: f64,
-    /// Slots reserved in addition.
+    /// Slots reserved on top of the mean and the deviations.
     minimum: f64,
 }
 
--- a/src/policy/target_facts.rs
+++ b/src/policy/target_facts.rs
@@ -1,4 +1,4 @@
-//! The policy's input about targets.
+//! Properties and load of targets, as input of the policy.
 
 use std::time::Duration;
 
--- a/src/policy/target_view.rs
+++ b/src/policy/target_view.rs
@@ -74,7 +74,8 @@
 
     /// Applies the target's load report.
     ///
-    /// The report does not include work that was sent after it was made; that is added.
+    /// The report does not include work that was sent after it was made; the expected wait adds
+    /// that work.
     pub(super) fn apply_report(&mut self, report: LoadReport) {
         if report.taken < self.reported_at {
             return;
--- a/src/policy/wasted_tokens.rs
+++ b/src/policy/wasted_tokens.rs
@@ -15,7 +15,7 @@
 pub struct WastedTokens {
     /// The caller left or the deadline passed.
     pub cancelled: u64,
-    /// The target was lost or fell silent.
+    /// The target was lost or became unresponsive.
     pub failed: u64,
     /// The prompt's prefix was sent to a target that had not processed it recently although
     /// another one had. The whole prompt is counted.
