--- a/src/quota/peer_usage.rs
+++ b/src/quota/peer_usage.rs
@@ -14,8 +14,8 @@
 /// The same for aggregated reports. It is longer because the reporting hosts switch to
 /// another leader in the meantime.
 const AGGREGATE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long the usage of an unresponsive peer is estimated. A host that is away for
-/// longer has been replaced or serves no clients.
+/// How long the usage of an unresponsive peer is estimated. A host that is away for longer has
+/// been replaced or serves no callers.
 const ESTIMATE_PERIOD: Duration = Duration::from_secs(30);
 
 /// Usage of one account in a report.
@@ -42,7 +42,7 @@
     Fleet,
 }
 
-/// Unresponsive hosts covered by a report. They may still be serving clients.
+/// Unresponsive hosts covered by a report. They may still be serving callers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UnresponsiveHosts {
     /// Number of hosts.
--- a/src/quota/priority_split.rs
+++ b/src/quota/priority_split.rs
@@ -10,8 +10,8 @@
 /// times its quota, at the cost of rejecting a few of its most urgent requests.
 const GUARANTEED_SHARE: f64 = 0.5;
 
-/// Class of an account's requests that is admitted separately within its quota.
-/// Classes order by urgency.
+/// Class of an account's requests that is admitted separately within its quota. Classes are
+/// ordered by urgency.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct PriorityClass {
     /// Tier of its routes; 0 is the most urgent.
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -16,9 +16,9 @@
 use super::priority_split::ClassDemand;
 use super::priority_split::PriorityClass;
 use super::priority_split::share_by_priority;
-use super::quota_tolerance::AllowanceTransition;
 use super::quota_tolerance::QuotaRate;
 use super::quota_tolerance::QuotaTolerance;
+use super::quota_tolerance::QuotaTransition;
 use super::usage_window::UsageWindow;
 use crate::catalog::ClientAccount;
 use crate::ids::AccountName;
@@ -26,9 +26,9 @@
 use crate::ids::IncarnationId;
 use crate::sorted::SortedMap;
 
-/// Fraction of an unresponsive peer's quota share that is an equal split among hosts; the
-/// rest follows the demand it reported before. Clients may move to another host when
-/// theirs is cut off.
+/// Fraction of an unresponsive peer's quota share that is an equal split among hosts; the rest
+/// follows the demand it reported before. Callers may move to another host when theirs is cut
+/// off.
 const EVEN_FRACTION: f64 = 0.25;
 /// Weight of a peer's newest report in its smoothed demand share, which covers several
 /// seconds of reports.
@@ -92,18 +92,17 @@
     /// Sum of the demand that peers reported, in tokens per second.
     peer_demand: f64,
     /// `None` until this host gets a request of the account.
-    allowance: Option<AllowanceTransition>,
+    quota: Option<QuotaTransition>,
     plan: Option<AdmissionPlan>,
 }
 
 /// Fleet-wide quotas of accounts.
 ///
 /// Each host knows its own usage and demand and those that its peers reported. While enough
-/// quota remains, it admits everything. Below that, every host admits the same fraction of
-/// its demand per priority class, so the fleet keeps to the rate and clients are treated
-/// alike on all hosts. The share of a peer that stopped reporting without announcing a
-/// shutdown counts as used, so all sides of a network partition together stay within the
-/// quota.
+/// quota remains, it admits everything. Below that, every host admits the same fraction of its
+/// demand per priority class, so the fleet keeps to the rate and callers are treated alike on
+/// all hosts. The share of a peer that stopped reporting without announcing a shutdown counts
+/// as used, so all sides of a network partition together stay within the quota.
 #[derive(Debug)]
 pub struct QuotaLimiter {
     tolerance: QuotaTolerance,
@@ -167,16 +166,16 @@
         }
     }
 
-    /// Charges a request to the account's quota if it is within it. `spread` is a random
-    /// number, uniform from 0 to 1.
+    /// Charges a request to the account's quota if the quota allows it. `random` is uniform
+    /// between 0 and 1.
     pub fn try_consume(
         &mut self,
         account: &ClientAccount,
         request: QuotaRequest,
         now: Duration,
-        spread: f64,
+        random: f64,
     ) -> QuotaDecision {
-        let Some(allowance) = account.allowance else {
+        let Some(quota) = account.allowance else {
             return QuotaDecision::Admitted;
         };
         let window = self.tolerance.window;
@@ -186,17 +185,15 @@
         state
             .demand
             .record(request.priority_class, request.cost, now);
-        let transition = state
-            .allowance
-            .get_or_insert(AllowanceTransition::new(allowance));
-        let allowance = transition.effective(allowance, window, now);
-        let rate = self.tolerance.quota_rate(allowance);
+        let transition = state.quota.get_or_insert(QuotaTransition::new(quota));
+        let quota = transition.effective(quota, window, now);
+        let rate = self.tolerance.quota_rate(quota);
         let created_at = state.plan.as_ref().map(|plan| plan.created_at);
         if created_at.is_none_or(|created_at| now.saturating_sub(created_at) >= PLAN_TTL) {
             self.refresh_plan(&account.name, rate, now);
         }
         match self.accounts.get_mut(&account.name) {
-            Some(state) => state.try_consume(request, now, spread),
+            Some(state) => state.try_consume(request, now, random),
             None => QuotaDecision::Rejected,
         }
     }
@@ -251,9 +248,10 @@
         (accounts.collect(), totals.unresponsive)
     }
 
-    /// Updates which hosts of unresponsive peers are really unseen: they may be reporting to
-    /// another leader. `time_since_seen` returns the age of a host's last heartbeat, and
-    /// `unseen_share` is the fraction of all hosts without a recent one.
+    /// Updates the fraction of each unresponsive peer's hosts that no host has seen recently.
+    /// The others may report to another leader. `time_since_seen` returns the age of a
+    /// host's last heartbeat, and `unseen_share` is the fraction of all hosts without a recent
+    /// one.
     pub fn set_unseen_hosts(
         &mut self,
         time_since_seen: impl Fn(u32) -> Option<Duration>,
@@ -365,7 +363,8 @@
     }
 
     /// Removes the reports that a report of this scope supersedes. A leader's report on the
-    /// fleet covers all other hosts; an earlier one covers the hosts that report here now.
+    /// fleet covers all other hosts, and an earlier report of a leader covers the hosts that
+    /// now report here directly.
     fn remove_covered(&mut self, scope: UsageScope) {
         self.remove_peers(|peer| scope == UsageScope::Fleet || peer.scope == UsageScope::Fleet);
     }
@@ -387,7 +386,7 @@
         regrouped_at.is_some_and(|at| now.saturating_sub(at) < HEARTBEAT_TIMEOUT)
     }
 
-    /// Marks a host that announced its shutdown: it will use no more quota. Its past usage
+    /// Marks a host that announced its shutdown and will use no more quota. Its past usage
     /// still counts, and is not counted twice if it keeps reporting until it stops.
     pub fn mark_departed(&mut self, host: &str) {
         if let Some(peer) = self.peers.get_mut(host) {
@@ -433,8 +432,8 @@
         });
     }
 
-    /// Returns the shares of an account's requests that reach unresponsive hosts, each with
-    /// the time since their last report.
+    /// Returns the shares of an account's requests that reach unresponsive hosts, each with the
+    /// time since their last report. Hosts that never reported count since this host started.
     fn unresponsive_shares(&self, name: &str, now: Duration) -> Vec<(f64, Duration)> {
         let counted: usize = self
             .peers
@@ -451,7 +450,7 @@
         shares
     }
 
-    /// Returns the same for the hosts that reports of a scope cover, in a fleet of `hosts`.
+    /// Returns the same for the hosts covered by reports of a scope, in a fleet of `hosts`.
     fn unresponsive_peer_shares(
         &self,
         name: &str,
@@ -568,15 +567,15 @@
             direct_total: 0.0,
             relayed_total: 0.0,
             peer_demand: 0.0,
-            allowance: None,
+            quota: None,
             plan: None,
         }
     }
 
-    fn try_consume(&mut self, request: QuotaRequest, now: Duration, spread: f64) -> QuotaDecision {
+    fn try_consume(&mut self, request: QuotaRequest, now: Duration, random: f64) -> QuotaDecision {
         if let Some(plan) = &mut self.plan {
             let has_quota = plan.available + plan.overdraft >= request.cost;
-            if !has_quota || spread >= plan.fraction(request.priority_class) {
+            if !has_quota || random >= plan.fraction(request.priority_class) {
                 return QuotaDecision::Rejected;
             }
             plan.available -= request.cost;
--- a/src/quota/quota_tolerance.rs
+++ b/src/quota/quota_tolerance.rs
@@ -29,7 +29,7 @@
     pub slack: f64,
 }
 
-/// Token-bucket parameters of one account: a burst, and a refill rate.
+/// Rate at which requests of one account are admitted: a burst, and an amount per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct QuotaRate {
     pub(super) per_second: f64,
@@ -41,18 +41,18 @@
 }
 
 impl QuotaTolerance {
-    /// Returns the admission rate for an allowance.
-    pub(super) fn quota_rate(self, allowance: TokenRate) -> QuotaRate {
+    /// Returns the admission rate for a quota.
+    pub(super) fn quota_rate(self, quota: TokenRate) -> QuotaRate {
         if self.overage <= 0.0 {
             return QuotaRate {
-                per_second: allowance.per_second,
-                burst: allowance.burst,
+                per_second: quota.per_second,
+                burst: quota.burst,
                 reserved: 0.0,
                 overdraft: 0.0,
             };
         }
         let seconds = self.window.as_secs_f64().max(0.001);
-        let nominal = allowance.per_second * seconds + allowance.burst;
+        let nominal = quota.per_second * seconds + quota.burst;
         let limit = nominal * (1.0 + self.overage) + self.slack;
         let usable = limit * USABLE_FRACTION;
         let burst = usable * BURST_FRACTION;
@@ -65,29 +65,29 @@
     }
 }
 
-/// Allowance of an account, with a gradual transition after it was lowered.
+/// Quota of an account, with a gradual transition after it was lowered.
 ///
-/// The lower allowance applies to the part of the window after the change. Usage before it
-/// was within the previous allowance, and a compliant account must not be rejected for a
-/// whole window.
+/// The lower quota applies to the part of the window after the change. Usage before the change
+/// was within the previous quota, and a compliant account must not be rejected for a whole
+/// window.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AllowanceTransition {
+pub(super) struct QuotaTransition {
     current: TokenRate,
     previous: TokenRate,
     changed_at: Duration,
 }
 
-impl AllowanceTransition {
-    /// Starts with an allowance that did not change recently.
-    pub(super) const fn new(allowance: TokenRate) -> Self {
+impl QuotaTransition {
+    /// Creates the state of a quota that did not change recently.
+    pub(super) const fn new(quota: TokenRate) -> Self {
         Self {
-            current: allowance,
-            previous: allowance,
+            current: quota,
+            previous: quota,
             changed_at: Duration::ZERO,
         }
     }
 
-    /// Returns the effective allowance, where `configured` is the one in the catalog.
+    /// Returns the effective quota, where `configured` is the one in the catalog.
     pub(super) fn effective(
         &mut self,
         configured: TokenRate,
--- a/src/quota/usage_window.rs
+++ b/src/quota/usage_window.rs
@@ -10,10 +10,10 @@
 /// Usage over the last window, in buckets.
 ///
 /// The remaining quota is computed from the usage history each time rather than kept as a
-/// running level, so hosts that receive the same reports reach the same result. Levels
-/// that each host refilled, drained and capped separately would drift apart: the host with
-/// the highest level would admit everything an account sends, and clients of all other
-/// hosts would be rejected for as long as the account exceeds its quota.
+/// running level, so hosts that receive the same reports reach the same result. Levels that
+/// each host refilled, drained and capped separately would drift apart: the host with the
+/// highest level would admit everything an account sends, and callers of all other hosts would
+/// be rejected for as long as the account exceeds its quota.
 #[derive(Clone, Debug)]
 pub(super) struct UsageWindow {
     /// Length of one bucket.
@@ -59,9 +59,9 @@
     /// Returns the amount available now: the minimum over all periods that end now and lie
     /// within the window. It is negative if too much was used.
     ///
-    /// `estimated` returns the possible usage of unresponsive peers over the given last
-    /// period. A host whose uptime is shorter than the window does not know the usage before
-    /// its start, and assumes that only the reserve was left then.
+    /// `estimated` returns the possible usage of unresponsive peers over the given last period.
+    /// A host whose uptime is shorter than the window does not know the usage before its start,
+    /// and assumes that only the reserved amount was left at that time.
     pub(super) fn available(
         &mut self,
         rate: QuotaRate,
