--- a/src/catalog/client_account.rs
+++ b/src/catalog/client_account.rs
@@ -20,7 +20,7 @@
 pub struct ClientAccount {
     /// Name of the account, which targets receive in place of the key.
     pub name: AccountName,
-    /// Keys that authenticate its clients.
+    /// Keys that authenticate its callers.
     pub keys: Vec<String>,
     /// Tier of its requests, overriding the route's tier.
     pub tier: Option<TierRank>,
--- a/src/catalog/route_catalog.rs
+++ b/src/catalog/route_catalog.rs
@@ -13,7 +13,7 @@
 use crate::ids::CatalogVersion;
 use crate::peers::pack_value;
 
-/// Limits on client requests and connections.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallerLimits {
     /// Maximum size of a request head in bytes.
@@ -27,7 +27,8 @@
 }
 
 impl Default for CallerLimits {
-    /// Returns the limits used until a configuration is known, which are common in HTTP servers.
+    /// Returns the limits used until a configuration is known. They are common defaults of HTTP
+    /// servers.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
@@ -49,7 +50,7 @@
     pub pools: Vec<TargetPool>,
     /// All accounts; if there are none, no request needs a key.
     pub accounts: Vec<ClientAccount>,
-    /// Limits on client requests and connections.
+    /// Limits on the requests and connections of callers.
     pub limits: CallerLimits,
 }
 
@@ -96,7 +97,7 @@
         self.encoded_parts.get_or_init(|| pack_value(&self.parts))
     }
 
-    /// Returns the limits on client requests and connections.
+    /// Returns the limits on the requests and connections of callers.
     pub const fn limits(&self) -> CallerLimits {
         self.parts.limits
     }
--- a/src/catalog/service_route.rs
+++ b/src/catalog/service_route.rs
@@ -53,13 +53,13 @@
     pub prefix: String,
     /// How its requests may be retried and how they are answered.
     pub kind: CallKind,
-    /// Maximum time that a client may be kept waiting.
+    /// Maximum time that a caller may be kept waiting.
     pub timeout: Option<Duration>,
     /// Latency objective for the first event of a stream or for a complete answer.
     pub objective: Duration,
     /// Objective for the longest pause between two events of a stream.
     pub event_gap_objective: Option<Duration>,
-    /// Time after which clients give up waiting for the first event, if this is known to be
+    /// Time after which callers give up waiting for the first event, if this is known to be
     /// shorter than their deadline.
     pub abandon_timeout: Option<Duration>,
     /// Priority tier; 0 is the most urgent.
@@ -73,14 +73,14 @@
 }
 
 impl ServiceRoute {
-    /// Returns the pool for a request. `spread` is a uniformly distributed random number.
-    pub fn pool_for(&self, spread: u64) -> &PoolName {
+    /// Returns the pool for a request. `random` is uniformly distributed.
+    pub fn pool_for(&self, random: u64) -> &PoolName {
         let total: u64 = self
             .shares
             .iter()
             .map(|share| u64::from(share.weight))
             .sum();
-        let mut point = spread % total.max(1);
+        let mut point = random % total.max(1);
         for share in &self.shares {
             let weight = u64::from(share.weight);
             if point < weight {
--- a/src/members/member_table.rs
+++ b/src/members/member_table.rs
@@ -273,7 +273,7 @@
     }
 
     /// Returns the number of known hosts, including this one. Dead hosts count, since they may
-    /// be serving clients on the other side of a network partition.
+    /// be serving callers on the other side of a network partition.
     pub fn size(&self) -> usize {
         self.entries.len() + 1
     }
--- a/src/poison/poison_entry.rs
+++ b/src/poison/poison_entry.rs
@@ -7,7 +7,7 @@
 use crate::ids::TargetName;
 use crate::ids::UnixMillis;
 
-/// Hash of a request's account, class and body, identical on all hosts. A client that sends a
+/// Hash of a request's account, class and body, identical on all hosts. A caller that sends a
 /// poison request again may give it a new id, but is unlikely to change the body.
 pub type RequestFingerprint = u64;
 
--- a/src/poison/poison_table.rs
+++ b/src/poison/poison_table.rs
@@ -1,8 +1,8 @@
 //! Detection of requests that crash the targets that run them.
 //!
-//! It protects against a request that crashes every target that runs it and that the client
-//! sends again. Without it, each resend takes down another target until the whole fleet is
-//! gone, and all requests that ran on the same targets are lost as well.
+//! It protects against a request that crashes every target that runs it and that its caller
+//! sends again. Without it, each resend would crash another target until none is left, and all
+//! requests that ran on the same targets would be lost as well.
 
 use super::PoisonEntry;
 use super::RequestFingerprint;
@@ -12,11 +12,11 @@
 use crate::sorted::SortedMap;
 
 /// Number of losses after which a request is rejected. A single loss may be a coincidence,
-/// since a failing target takes down all requests that run there. Two losses are the most
-/// that users accept.
+/// since a failing target loses all requests that run there. Two losses are the most that users
+/// accept.
 const MAX_LOSSES: usize = 2;
-/// How long losses are remembered, in milliseconds. It is long enough for operators of the
-/// client to react, and short enough that a fixed engine gets the request again.
+/// How long losses are remembered, in milliseconds. It is long enough for the caller's
+/// operators to react, and short enough that a fixed engine gets the request again.
 const RETENTION_MS: u64 = 600_000;
 /// Losses of one target within this time count as one, in milliseconds. Several copies of the
 /// request may have run there for different hosts.
