--- a/src/view/platform_view.rs
+++ b/src/view/platform_view.rs
@@ -46,8 +46,8 @@
     dropped_revision: StoreRevision,
     /// Targets whose registrations expired during a store outage, and until when they may
     /// still serve.
-    lapsed: SortedMap<TargetName, Duration>,
-    /// Latest evacuation setting of each availability zone that was ever evacuated.
+    expired: SortedMap<TargetName, Duration>,
+    /// Latest evacuation setting of each availability zone that has ever had one.
     evacuations: SortedMap<ZoneName, ZoneEvacuation>,
 }
 
@@ -100,8 +100,8 @@
 
     /// Returns all targets and evacuations for a peer.
     ///
-    /// Lapsed targets are omitted. The store removed them before the view's revision, so a peer
-    /// that took them as registered would never learn of their removal.
+    /// Targets with expired registrations are omitted. The store removed them before the view's
+    /// revision, so a peer that took them as registered would never learn of their removal.
     pub fn full_update(&self) -> ViewUpdate {
         ViewUpdate {
             revision: self.revision,
@@ -181,20 +181,20 @@
 
     fn registered_targets(&self) -> impl Iterator<Item = &TargetRecord> {
         let targets = self.targets.values();
-        targets.filter(|target| !self.lapsed.contains_key(&target.name))
+        targets.filter(|target| !self.expired.contains_key(&target.name))
     }
 
     /// Removes targets with expired registrations that were not renewed in time.
     pub fn remove_lapsed(&mut self, now: Duration) -> ViewChange {
         let mut change = ViewChange::default();
-        let expired: Vec<TargetName> = self
-            .lapsed
+        let overdue: Vec<TargetName> = self
+            .expired
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(name, _)| name.clone())
             .collect();
-        for name in expired {
-            self.lapsed.remove(&name);
+        for name in overdue {
+            self.expired.remove(&name);
             self.targets.remove(&name);
             change.removed.push(name);
         }
@@ -279,9 +279,9 @@
             if held.revision > record.revision {
                 return;
             }
-            // The target registered again after its registration had lapsed.
+            // The target registered again after its registration had expired.
             if held.revision < record.revision {
-                self.lapsed.remove(&record.name);
+                self.expired.remove(&record.name);
             }
             if *held == record {
                 return;
@@ -303,12 +303,12 @@
             self.record_removal(removal, now);
             return;
         };
-        if held.revision > removal.revision || self.lapsed.contains_key(&removal.name) {
+        if held.revision > removal.revision || self.expired.contains_key(&removal.name) {
             return;
         }
         let ready = held.phase == super::TargetPhase::Ready;
         if ready && let Some(until) = grace.removal_deadline(now) {
-            self.lapsed.insert(removal.name.clone(), until);
+            self.expired.insert(removal.name.clone(), until);
         } else {
             self.targets.remove(&removal.name);
             change.removed.push(removal.name.clone());
