--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -82,7 +82,7 @@
 }
 
 /// Guards against a queue in order of arrival: in a burst that fills all slots, an urgent
-/// request would wait behind all others.
+/// request would wait for all others.
 #[test]
 fn urgent_requests_go_first_and_late_ones_last() {
     let now = start();
@@ -146,7 +146,7 @@
     assert_eq!(
         assigned.len(),
         6,
-        "8 slots are free, of which 2 of 40 stay reserved"
+        "8 of 40 slots are free, and 2 of these stay reserved"
     );
 }
 
@@ -187,10 +187,10 @@
     assert_eq!(late.map(|placed| placed.name).as_deref(), Some("slow"));
 }
 
-/// Guards against sending to an engine that crashed silently: until its registration expires
-/// seconds later, each request sent there would be lost.
+/// Guards against sending to an engine that crashed without closing its connections: until its
+/// registration expires seconds later, each request sent there would be lost.
 #[test]
-fn a_silent_engine_gets_no_more_requests() {
+fn an_unresponsive_engine_gets_no_more_requests() {
     let now = start();
     let mut table = table_with(vec![engine("dead", 12), engine("live", 12)]);
     while table.own_loads().len() < 2 {
@@ -261,7 +261,7 @@
     assert_eq!(full, None);
     assert!(
         free.is_some(),
-        "a host that is silent for 3 s counts as dead"
+        "a host without reports for 3 s counts as dead"
     );
 }
 
@@ -347,8 +347,8 @@
     }
 }
 
-/// Guards against long answers at slow engines, which time out after holding a slot all the
-/// time.
+/// Guards against long answers at slow engines, which time out after they held a slot until
+/// then.
 #[test]
 fn a_long_answer_goes_to_an_engine_that_ends_it_in_time() {
     let now = start();
@@ -395,8 +395,8 @@
     assert_eq!(names, vec!["fast"; 12]);
 }
 
-/// Guards against groups without targets: if a zone has lost its targets, its groups share those
-/// of the other zones.
+/// Guards against groups without targets. If a zone has lost its targets, its groups get some
+/// of those of the other zones.
 #[test]
 fn groups_of_a_zone_without_targets_share_the_others() {
     let mut sizes = Vec::new();
--- a/tests/platform_view.rs
+++ b/tests/platform_view.rs
@@ -95,7 +95,7 @@
 /// Guards against a host without targets after a store outage of five seconds, during which
 /// registrations expired. Running targets register again within two seconds.
 #[test]
-fn targets_that_lapsed_in_an_outage_serve_until_they_register_again() {
+fn targets_that_expire_in_an_outage_serve_until_they_register_again() {
     let view = SharedView::default();
     let targets = [target("back", 3), target("gone", 4)];
     view.apply_store_response(full_update(5, &targets), seconds(100), seconds(100));
@@ -115,9 +115,9 @@
     assert_eq!(view.targets().len(), 1);
 }
 
-/// Guards against lapsed targets being removed when a read other than the watch is the first to
-/// succeed after an outage. That read makes the view current, so the watch alone would not
-/// notice the outage.
+/// Guards against removing targets with expired registrations at once when a read other than
+/// the watch is the first to succeed after an outage. That read makes the view current, so the
+/// watch alone would not notice the outage.
 #[test]
 fn an_outage_is_detected_whichever_read_ends_it() {
     let view = SharedView::default();
@@ -134,9 +134,10 @@
 }
 
 /// Guards against two more seconds of requests to a target that left, after a host was cut off
-/// while its peers kept reading the store. The removal must not be taken for a lapse.
+/// while its peers kept reading the store. The removal must not be taken for an expired
+/// registration.
 #[test]
-fn no_target_lapses_while_peers_reach_the_store() {
+fn no_target_expires_while_peers_reach_the_store() {
     let view = SharedView::default();
     let first = ViewUpdate {
         catalog: Some(catalog(7)),
@@ -194,12 +195,12 @@
     assert_eq!(view.evidence_age(seconds(110)), Some(seconds(10)));
 }
 
-/// Guards against a peer that keeps lapsed targets forever. Two targets were replaced during a
-/// store outage. One host kept the old ones for the grace period, and its peer received its view
-/// at that time. The peer would then keep using the old targets, and three of four requests would
-/// be refused by their successors.
+/// Guards against a peer that never removes targets with expired registrations. Two targets
+/// were replaced during a store outage. One host kept the old ones for the grace period, and
+/// its peer received its view at that time. The peer would then keep using the old targets, and
+/// three of four requests would be refused by their successors.
 #[test]
-fn a_peer_does_not_take_a_lapsed_target_as_registered() {
+fn a_peer_does_not_take_an_expired_target_as_registered() {
     let (first, second) = (SharedView::default(), SharedView::default());
     let start = seconds(100);
     let known = [target("old", 3), target("other", 4)];
--- a/tests/poison_table.rs
+++ b/tests/poison_table.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Guards against a client that resends a crashing request to different hosts with new ids. Two
+/// Guards against a caller that resends a crashing request to different hosts with new ids. Two
 /// hosts observed one loss each; after one exchange both must reject the request.
 #[test]
 fn second_loss_on_another_host_rejects_on_both() {
--- a/tests/policy_load/main.rs
+++ b/tests/policy_load/main.rs
@@ -48,8 +48,8 @@
     assert!(matches!(actions[..], [PolicyAction::Dispatch { .. }]));
 }
 
-/// One account sends 40 requests, another sends one. In order of arrival, the small account would
-/// wait behind all of it.
+/// One account sends 40 requests, another sends one. In order of arrival, the small account
+/// would wait for all work of the large one.
 #[test]
 fn a_small_account_does_not_wait_behind_a_large_one() {
     let mut bench = PolicyBench::new(1, 4);
--- a/tests/policy_load/policy_bench.rs
+++ b/tests/policy_load/policy_bench.rs
@@ -110,7 +110,7 @@
         self.record(&actions);
     }
 
-    /// Tells whether any work runs.
+    /// Returns whether any work runs.
     pub(crate) fn has_running(&self) -> bool {
         !self.running.is_empty()
     }
--- a/tests/policy_load/policy_shed.rs
+++ b/tests/policy_load/policy_shed.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// Tells whether the newest work is among the refused.
+/// Returns whether the newest work is among the refused.
 fn is_refused(bench: &PolicyBench, actions: &[PolicyAction]) -> bool {
     let newest = bench.next_work() - 1;
     let mut refused = refusals(actions).into_iter();
@@ -67,9 +67,9 @@
     Ok(())
 }
 
-/// A seed with which running work was silent, so the engines seemed too slow for urgent work,
-/// which was refused as unattainable; long work with late deadlines was admitted and kept the
-/// engines slow.
+/// A seed with which running work made no progress, so the engines seemed too slow for urgent
+/// work, which was refused as unattainable. Long work with late deadlines was admitted and kept
+/// the engines slow.
 #[test]
 fn urgent_work_that_seems_unattainable_under_load_sheds_lower_work() {
     arbtest(run_random_load).seed(0x8ca6_7545_0000_00c3);
--- a/tests/policy_shares.rs
+++ b/tests/policy_shares.rs
@@ -312,8 +312,8 @@
     group.check();
 }
 
-/// A partition occurs while slots are lent. The borrower continues to use them, and the lender
-/// must not reclaim them, or both sides would fill them.
+/// A network partition occurs while slots are lent. The borrower continues to use them, and the
+/// lender must not reclaim them, or both sides would fill them.
 #[test]
 fn each_side_of_a_partition_keeps_the_slots_it_holds() {
     let mut group = HostGroup::new(2, 16);
--- a/tests/policy_slow_targets.rs
+++ b/tests/policy_slow_targets.rs
@@ -47,9 +47,9 @@
     actions.iter().any(dispatch)
 }
 
-/// Guards against work that waits beside free slots until its deadline: the only service slowed
-/// down from 1 ms to 20 ms per call, so it counts as slow, and work of the top tier avoids slow
-/// targets.
+/// Guards against work that waits until its deadline although slots are free: the only service
+/// slowed down from 1 ms to 20 ms per call, so it counts as slow, and work of the top tier
+/// avoids slow targets.
 #[test]
 fn work_goes_to_a_slow_service_if_there_is_no_other() {
     let mut policy = policy();
--- a/tests/policy_stall.rs
+++ b/tests/policy_stall.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// Guards against work that waits until its deadline beside an idle engine: the other of its two
-/// engines left the fleet just before.
+/// Guards against work that waits until its deadline although an engine is idle: the other of
+/// its two engines left the fleet just before.
 #[test]
 fn work_goes_to_the_remaining_engine_when_the_other_leaves() {
     let mut cell = cell();
@@ -107,8 +107,8 @@
     assert_eq!(dispatched, 6);
 }
 
-/// Guards against work that waits until its deadline beside an idle engine: the other engine
-/// crashed, and the reserve for urgent work was computed from the slots of both.
+/// Guards against work that waits until its deadline although an engine is idle: the other
+/// engine crashed, and the reserve for urgent work was computed from the slots of both.
 #[test]
 fn the_reserve_follows_the_remaining_slots() {
     let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
@@ -140,8 +140,8 @@
     assert_eq!(count_dispatches(&actions), 1, "{actions:?}");
 }
 
-/// Guards against work that waits until its deadline beside an idle service: its only service
-/// became ten times slower, and slow targets are avoided.
+/// Guards against work that waits until its deadline although a service is idle: its only
+/// service became ten times slower, and slow targets are avoided.
 #[test]
 fn work_goes_to_a_slow_target_if_it_is_the_only_one() {
     let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
@@ -163,8 +163,8 @@
     assert_eq!(dispatched, 60);
 }
 
-/// Work that could not connect to its only service is sent there again, and does not wait
-/// beside it.
+/// Guards against work that waits after it could not connect to its only service. It must be
+/// sent there again at once.
 #[test]
 fn work_is_retried_at_the_only_target_after_a_failed_connection() {
     let mut policy = DispatchPolicy::new("entry-1".into(), PolicySettings::default());
--- a/tests/quota_limiter.rs
+++ b/tests/quota_limiter.rs
@@ -230,8 +230,8 @@
 }
 
 /// Guards against one or two hosts admitting nearly everything of an account at ten times its
-/// limit, while clients of the other hosts are rejected. This happens if each host keeps its own
-/// quota level and the levels diverge.
+/// limit, while callers of the other hosts are rejected. This happens if each host keeps its
+/// own quota level and the levels diverge.
 #[test]
 fn all_hosts_admit_equal_shares_of_an_account() {
     let account = account_with(1000.0, 1000.0);
@@ -392,8 +392,8 @@
     assert_eq!(decision, QuotaDecision::Admitted);
 }
 
-/// Guards against a host that uses the whole limit after the connection to its only peer is
-/// lost. The peer may still serve the same account, so each side must keep to its share.
+/// Guards against a host that uses the whole limit after it lost the connection to its only
+/// peer. The peer may still serve the same account, so each side must keep to its share.
 #[test]
 fn an_unresponsive_peer_counts_as_using_its_share() {
     let account = account_with(1000.0, 1000.0);
@@ -418,7 +418,7 @@
 
 /// Guards against an exceeded limit and an uneven split during a network partition. Two of six
 /// hosts are cut off from the others and from each other, and the account's load rises to six
-/// times the usual, a third of which goes to one host. Clients of that host must not be
+/// times the usual, a third of which goes to one host. Callers of that host must not be
 /// rejected twice as often as others.
 #[test]
 fn sides_of_a_partition_keep_the_limit_together_and_share_it_by_load() {
--- a/tests/slot_shares.rs
+++ b/tests/slot_shares.rs
@@ -243,7 +243,7 @@
     (ENGINES * SLOTS) as f64 / SERVICE_TIME.as_secs_f64()
 }
 
-/// Guards against bursts that wait in the engines' queues, where urgent requests stand behind
+/// Guards against bursts that wait in the engines' queues, where urgent requests would wait for
 /// all others. At twice the capacity a third of the requests are urgent, so all of these can be
 /// in time as soon as the hosts detect the burst.
 #[test]
