--- a/src/dispatch/pool_table.rs
+++ b/src/dispatch/pool_table.rs
@@ -258,7 +258,7 @@
     }
 
     /// Estimates how long a request would wait, from the requests ahead of it and the rate at
-    /// which this host lately started requests at the pool.
+    /// which this host recently started requests at the pool.
     ///
     /// In a large burst the last requests in the queue would wait until their callers have
     /// left. With this estimate they are rejected at once.
--- a/src/dispatch/prefill_estimate.rs
+++ b/src/dispatch/prefill_estimate.rs
@@ -12,7 +12,7 @@
 const SAMPLE_WEIGHT: f64 = 0.03;
 /// Prompts up to this length update the base time: their prefill is negligible.
 const SHORT_PROMPT_TOKENS: f64 = 1000.0;
-/// Prompts from this length on update the prefill rate.
+/// Prompts of at least this length update the prefill rate.
 const LONG_PROMPT_TOKENS: f64 = 5000.0;
 
 /// Learned parameters of the time to the first event on the fastest targets of a pool. The
--- a/src/policy/slot_ledger.rs
+++ b/src/policy/slot_ledger.rs
@@ -58,9 +58,9 @@
     /// The slots that may be held until all peers have announced the epoch.
     provisional: u32,
     settled: bool,
-    /// Whether this host may still run more than its base share, from slots of an earlier epoch.
-    /// If it settled or announced its epoch meanwhile, the others would fill their base shares
-    /// as well and overfill the target.
+    /// Whether this host may still run more than its base share, from slots of an earlier
+    /// epoch. If it settled or announced its epoch in the meantime, the others would fill their
+    /// base shares as well and overfill the target.
     may_exceed_base: bool,
     lent: SortedMap<HostName, u32>,
     peers: SortedMap<HostName, PeerSlots>,
