--- a/src/limits/byte_budget.rs
+++ b/src/limits/byte_budget.rs
@@ -33,7 +33,7 @@
     /// Reserves bytes, unless that would exceed the limit.
     pub fn take(self: &Arc<Self>, bytes: usize) -> Option<BytePermit> {
         let taken = self.taken.fetch_add(bytes, Ordering::AcqRel);
-        // Dropping the permit releases the bytes, also if the limit is exceeded.
+        // If the limit is exceeded, the permit is dropped at once, which releases the bytes.
         let permit = BytePermit {
             budget: self.clone(),
             bytes,
--- a/src/members/gossip_schedule.rs
+++ b/src/members/gossip_schedule.rs
@@ -10,13 +10,13 @@
 /// Version of a host's loads; it increases with each change.
 pub type LoadVersion = u64;
 
-/// Factor by which the passive side of a pair waits longer before it calls the other side:
-/// its calls may get through where those in the other direction do not.
+/// Factor on the call interval after which the passive host of a pair calls the other host
+/// itself: its calls may succeed when calls in the other direction fail.
 const PASSIVE_FACTOR: f64 = 1.5;
-/// How long the passive side waits for the first call of a new member before it connects
-/// itself. It is longer than a new member needs to become known.
+/// How long the passive host waits for the first call of a new member before it connects to the
+/// member itself. It is longer than a new member needs to become known.
 const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long it waits for a call of a member with earlier exchanges.
+/// How long it waits for a call of a member with which it has exchanged messages before.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Which host of a pair starts the calls.
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -627,7 +627,7 @@
         let found = self
             .demands
             .binary_search_by_key(&priority_class, |demand| demand.priority_class);
-        // A class without recent demand is not what exceeds the quota.
+        // A class without recent demand does not cause the excess.
         found.map_or(1.0, |index| self.fractions[index])
     }
 }
--- a/src/view/lease_grace.rs
+++ b/src/view/lease_grace.rs
@@ -18,7 +18,7 @@
 }
 
 impl LeaseGrace {
-    /// Records a contact with the store, the first one for `outage`.
+    /// Records a contact with the store after a time of `outage` without one.
     ///
     /// A contact is an answer of the store or a peer's confirmation of one. If only this host
     /// was cut off, the others kept reading and confirm it. No registration expired in that
--- a/src/view/view_update.rs
+++ b/src/view/view_update.rs
@@ -39,7 +39,7 @@
 /// Changes caused by an update.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ViewChange {
-    /// Version of the catalog that was put in use.
+    /// Version of the newly applied catalog.
     pub catalog: Option<CatalogVersion>,
     /// Targets that are new or changed.
     pub changed: Vec<TargetName>,
