--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Simulates hosts with more requests than they can place, for `length` from `from` on. Each
-    /// host learns of the targets by `learn` after its delay.
+    /// Simulates hosts with more requests than they can place, for `length`, starting at
+    /// `from`. Each host learns of the targets by `learn` after its delay.
     fn run(
         &mut self,
         from: Duration,
@@ -200,7 +200,7 @@
 /// Guards against all hosts sending at once to a lost target that returns, before its
 /// registration says that it is cold.
 #[test]
-fn a_lost_target_is_rate_limited_from_its_first_answer_on() {
+fn a_lost_target_is_rate_limited_from_its_first_answer() {
     let mut simulation = ColdSimulation::new(Duration::from_millis(700));
     for table in &mut simulation.tables {
         table.set_targets(members(1, Duration::ZERO), start());
--- a/tests/dispatch_decisions.rs
+++ b/tests/dispatch_decisions.rs
@@ -265,8 +265,9 @@
     );
 }
 
-/// Guards against queueing requests in vain: in a burst of ten times the capacity, the last
-/// requests in the queue would wait for two seconds, and their callers would leave.
+/// Guards against queueing requests that cannot be served in time: in a burst of ten times the
+/// capacity, the last requests in the queue would wait for two seconds, and their callers would
+/// leave.
 #[test]
 fn a_wait_that_is_too_long_is_predicted() {
     let now = start();
--- a/tests/platform_view.rs
+++ b/tests/platform_view.rs
@@ -133,9 +133,9 @@
     assert_eq!(view.targets().len(), 1);
 }
 
-/// Guards against two more seconds of requests to a target that left, after a host was cut off
-/// while its peers kept reading the store. The removal must not be taken for an expired
-/// registration.
+/// Guards against a host that keeps sending to a target that left. The host was cut off while
+/// its peers kept reading the store. If it took the removal for an expired registration, the
+/// target would get requests for about two more seconds.
 #[test]
 fn no_target_expires_while_peers_reach_the_store() {
     let view = SharedView::default();
--- a/tests/quota_limiter.rs
+++ b/tests/quota_limiter.rs
@@ -357,7 +357,7 @@
 /// Guards against rejections for a whole window after an operator lowers a limit. Usage within
 /// the old limit must not count against the new one.
 #[test]
-fn a_lowered_limit_applies_from_its_change_on() {
+fn a_lowered_limit_applies_from_its_change() {
     let before = account_with(1000.0, 1000.0);
     let after = account_with(200.0, 1000.0);
     let mut limiter = single_limiter(Duration::ZERO);
--- a/tests/request_limits.rs
+++ b/tests/request_limits.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Lets each host learn of a limit that the target states from `at` on.
+    /// Lets each host learn of a limit that the target states since `at`.
     fn announce_limit(&mut self, per_second: Option<f64>, at: Duration) {
         for table in &mut self.tables {
             let age = MAX_DELAY.mul_f64(self.rng.random::<f64>());
