--- a/src/dispatch/peer_loads.rs
+++ b/src/dispatch/peer_loads.rs
@@ -50,8 +50,8 @@
 impl PeerLoads {
     /// Replaces a host's report. Returns the targets whose sums changed, sorted.
     ///
-    /// A leader's report on the fleet covers all other hosts, so it replaces their reports. A
-    /// report of another host replaces a leader's.
+    /// A leader's report on the fleet covers all other hosts, so it replaces their reports. Any
+    /// later report of another host replaces it.
     pub(super) fn update(
         &mut self,
         host: HostName,
