--- a/src/controllers/digest_controller.rs
+++ b/src/controllers/digest_controller.rs
@@ -99,18 +99,18 @@
     /// host's own exchange does.
     pub(crate) fn accept(&self, from: &HostName, digest: PeerDigest) -> PeerDigest {
         lock(&self.inbox).store(from, digest.clone());
-        self.learn_announced(from, digest);
+        self.apply_announced(from, digest);
         self.own_digest()
     }
 
     /// Processes the changes since a peer's last digest.
     pub(crate) fn accept_delta(&self, from: &HostName, delta: &DigestDelta) -> DigestReceipt {
-        let taken = lock(&self.inbox).apply_delta(from, delta);
-        let Some(digest) = taken else {
+        let applied = lock(&self.inbox).apply_delta(from, delta);
+        let Some(digest) = applied else {
             return DigestReceipt::UnknownBase;
         };
         let theirs = DocumentIdentity::of(&digest);
-        self.learn_announced(from, digest);
+        self.apply_announced(from, digest);
         let ours = self.document();
         match ours == theirs {
             true => DigestReceipt::SameDocument,
@@ -118,18 +118,18 @@
         }
     }
 
-    /// Learns the digest before announcing its document version: the announcement makes
+    /// Applies the digest before announcing its document version: the announcement makes
     /// the controller check a waiting document again, which must find the new roster.
-    fn learn_announced(&self, from: &HostName, digest: PeerDigest) {
+    fn apply_announced(&self, from: &HostName, digest: PeerDigest) {
         let document = DocumentIdentity::of(&digest);
-        self.learn(from, digest);
+        self.apply_digest(from, digest);
         self.config
             .peer_announced(from, document.version, document.digest);
     }
 
-    fn learn(&self, from: &HostName, digest: PeerDigest) {
+    fn apply_digest(&self, from: &HostName, digest: PeerDigest) {
         if let Some(roster) = digest.roster {
-            let changed = self.learn_roster(from, roster);
+            let changed = self.apply_roster(from, roster);
             if changed {
                 self.trigger_exchange();
             }
@@ -146,9 +146,9 @@
         self.trigger.try_send(()).ok();
     }
 
-    fn learn_roster(&self, from: &HostName, digest: RosterDigest) -> bool {
+    fn apply_roster(&self, from: &HostName, digest: RosterDigest) -> bool {
         let mut register = self.claims.register();
-        register.roster_mut().learn(from, digest, unix_now())
+        register.roster_mut().apply_digest(from, digest, unix_now())
     }
 
     fn document(&self) -> DocumentIdentity {
@@ -224,7 +224,7 @@
         let document = match self.mesh.call(host, call, EXCHANGE_TIMEOUT).await {
             Ok(PeerReply::Digest(digest)) => {
                 let document = DocumentIdentity::of(&digest);
-                self.learn(host, *digest);
+                self.apply_digest(host, *digest);
                 document
             }
             Ok(PeerReply::Receipt(DigestReceipt::SameDocument)) => DocumentIdentity::of(own),
--- a/src/controllers/tests.rs
+++ b/src/controllers/tests.rs
@@ -109,7 +109,7 @@
                 let name = HOSTS[from].to_owned();
                 registers[to]
                     .roster_mut()
-                    .learn(&name, digest.clone(), bootstrapped_at);
+                    .apply_digest(&name, digest.clone(), bootstrapped_at);
             }
         }
     }
--- a/src/gateway/host_state.rs
+++ b/src/gateway/host_state.rs
@@ -79,9 +79,9 @@
         if self.claims.has_majority() {
             return None;
         }
-        let block = self.claims.register().roster().bootstrap_block();
-        Some(match block {
-            Some(block) => block.to_string(),
+        let blocked = self.claims.register().roster().blocked_bootstrap();
+        Some(match blocked {
+            Some(blocked) => blocked.to_string(),
             None => "no majority of seats with a voice is connected".to_string(),
         })
     }
--- a/src/roster/bootstrap_block.rs
+++ b/src/roster/blocked_bootstrap.rs
@@ -1,4 +1,4 @@
-//! The reason that a roster is not bootstrapped.
+//! A bootstrap that is blocked by seats voting in an older roster.
 
 use derive_more::Display;
 
@@ -17,7 +17,7 @@
      if that roster is lost, stop or restart: {}",
     hosts.join(", ")
 )]
-pub struct BootstrapBlock {
+pub struct BlockedBootstrap {
     /// The roster that waits to be bootstrapped.
     pub roster: RosterNumber,
     /// The roster that is still active.
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -1,4 +1,4 @@
-//! Membership of the seats: which roster is active, and whether this process may vote.
+//! Determines which roster of seats is active and whether this process may vote in it.
 //!
 //! The rules and their proof are in `docs/PROOFS.md`, section "Claims". In short:
 //! - A process adopts only a direct successor of the roster that it knows to be
@@ -30,7 +30,7 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod bootstrap_block;
+mod blocked_bootstrap;
 mod known_rosters;
 mod offer_check;
 mod peer_table;
@@ -43,7 +43,7 @@
 mod seat_incarnation;
 mod tracker_settings;
 
-pub use bootstrap_block::BootstrapBlock;
+pub use blocked_bootstrap::BlockedBootstrap;
 pub(crate) use quorum_check::majority;
 pub use roster_digest::BootstrapRecord;
 pub use roster_digest::RosterDigest;
--- a/src/roster/offer_check.rs
+++ b/src/roster/offer_check.rs
@@ -7,10 +7,11 @@
 use super::quorum_check::majority;
 use crate::ids::RosterNumber;
 
-/// Checks the roster of a document; `voting` tells whether this process may vote.
+/// Checks the roster of a document; `voting` states whether this process may vote.
 ///
-/// # Errors The reason to refuse it, if the roster can't follow the one that is active
-/// here.
+/// # Errors
+///
+/// The reason to refuse it, if the roster can't follow the one that is active here.
 pub(super) fn check_offer(
     rosters: &KnownRosters,
     plan: &RosterPlan,
@@ -53,7 +54,7 @@
         // no voting seat, and the roster is bootstrapped only if none of its seats
         // votes.
         return match voting {
-            true => Err(RosterRefusal::AlreadyFounded { active }),
+            true => Err(RosterRefusal::AlreadyBootstrapped { active }),
             false => Ok(RosterDecision::Accepted),
         };
     };
--- a/src/roster/peer_table.rs
+++ b/src/roster/peer_table.rs
@@ -48,7 +48,7 @@
             return;
         }
         raise_incarnation(&mut self.incarnations, from, digest.incarnation);
-        self.raise_incarnations(&digest.incarnations);
+        self.merge_incarnations(&digest.incarnations);
         self.digests.insert(from.clone(), digest);
         if self.drops_stale {
             let incarnations = &self.incarnations;
@@ -61,13 +61,13 @@
     }
 
     /// Merges all incarnations reported by a peer.
-    pub(super) fn raise_incarnations(&mut self, reported: &SortedMap<HostName, SeatIncarnation>) {
+    pub(super) fn merge_incarnations(&mut self, reported: &SortedMap<HostName, SeatIncarnation>) {
         for (host, incarnation) in reported.iter() {
             raise_incarnation(&mut self.incarnations, host, *incarnation);
         }
     }
 
-    /// Removes hosts that are in no known roster, to bound the memory.
+    /// Removes hosts that are in no known roster, to limit the memory used.
     pub(super) fn keep_hosts(&mut self, hosts: &[HostName]) {
         if hosts.is_empty() {
             return;
--- a/src/roster/quorum_check.rs
+++ b/src/roster/quorum_check.rs
@@ -32,8 +32,8 @@
         return false;
     };
     let is_vote = |digest: &RosterDigest| {
-        let took_up = digest.voting && digest.adopted == Some(plan.tag);
-        took_up && (digest.active == Some(*former) || !rules.knew_former_active)
+        let adopted = digest.voting && digest.adopted == Some(plan.tag);
+        adopted && (digest.active == Some(*former) || !rules.knew_former_active)
     };
     let votes: Vec<SentDigest> = digests_of(seats, peers, own)
         .filter(|(_, digest)| is_vote(digest))
@@ -80,16 +80,16 @@
 /// Each digest must name exactly the incarnations of all others, which shows that all
 /// seats ran, without a vote, at the same time.
 pub(super) fn none_voting(plan: &RosterPlan, peers: &PeerTable, own: &RosterDigest) -> bool {
-    let silent: Vec<SentDigest> = digests_of(&plan.seats, peers, own)
+    let non_voting: Vec<SentDigest> = digests_of(&plan.seats, peers, own)
         .filter(|(_, digest)| !digest.voting && digest.adopted == Some(plan.tag))
         .collect();
     let knows_all = |incarnations: &SortedMap<HostName, SeatIncarnation>| {
-        silent
+        non_voting
             .iter()
             .all(|(host, digest)| incarnations.get(*host) == Some(&digest.incarnation))
     };
-    silent.len() == plan.seats.len()
-        && silent
+    non_voting.len() == plan.seats.len()
+        && non_voting
             .iter()
             .all(|(_, digest)| knows_all(&digest.incarnations))
 }
--- a/src/roster/roster_refusal.rs
+++ b/src/roster/roster_refusal.rs
@@ -10,7 +10,8 @@
 pub enum RosterDecision {
     /// The process already has this roster.
     Unchanged,
-    /// The roster replaces the active one or one that is about to become active.
+    /// The roster replaces the active or the adopted one, or may be offered here because
+    /// this process knows no active roster or may not vote.
     Accepted,
     /// The replaced roster is not known here yet. Nothing of the document may be put in
     /// force; offer it again when peers have reported more.
@@ -29,7 +30,7 @@
         "the document founds a fleet, but roster {active} is active here; \
          if that roster is lost, stop this host"
     )]
-    AlreadyFounded {
+    AlreadyBootstrapped {
         /// The active roster's number.
         active: RosterNumber,
     },
@@ -41,8 +42,7 @@
         /// The lowest number that could be accepted.
         lowest: RosterNumber,
     },
-    /// The roster replaces neither the active one nor one that is about to become
-    /// active.
+    /// The roster replaces neither the active nor the adopted one.
     #[display("the document replaces roster {former}, but roster {active} is active")]
     NotSuccessor {
         /// The roster that the document replaces.
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -1,6 +1,6 @@
 //! Tracks the known rosters of a process and whether it may vote.
 
-use super::BootstrapBlock;
+use super::BlockedBootstrap;
 use super::BootstrapRecord;
 use super::RosterDecision;
 use super::RosterDigest;
@@ -54,8 +54,10 @@
 
     /// Processes the roster of a document.
     ///
-    /// # Errors The reason to refuse it, if the roster can't follow the one that is
-    /// active here; the whole document must then be refused.
+    /// # Errors
+    ///
+    /// The reason to refuse it, if the roster can't follow the one that is active here;
+    /// the whole document must then be refused.
     pub fn offer(
         &mut self,
         plan: RosterPlan,
@@ -72,7 +74,7 @@
 
     /// Processes a peer's digest; returns whether anything changed, in which case peers
     /// should be notified at once.
-    pub fn learn(&mut self, from: &HostName, digest: RosterDigest, now: UnixMillis) -> bool {
+    pub fn apply_digest(&mut self, from: &HostName, digest: RosterDigest, now: UnixMillis) -> bool {
         let before = self.digest();
         self.peers.record(from, digest);
         // If two processes run under one name, the later one is the seat.
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Returns the active roster for callers of claims.
+    /// Returns the active roster, as needed to make claims.
     pub fn view(&self) -> Option<RosterView> {
         let active = self.rosters.active.as_ref()?;
         let needed = self.settings.rules.two_rosters;
@@ -152,9 +154,9 @@
         self.rosters.hosts()
     }
 
-    /// Returns the reason that the roster of the document in force is not bootstrapped;
-    /// `None` if it needs no bootstrap, or if no obstacle is known.
-    pub fn bootstrap_block(&self) -> Option<BootstrapBlock> {
+    /// Returns the blocked bootstrap of the roster of the document in force; `None` if it
+    /// needs no bootstrap, or if no seat is known to block it.
+    pub fn blocked_bootstrap(&self) -> Option<BlockedBootstrap> {
         let active = self.rosters.active.as_ref()?;
         let waiting = self.rosters.newest()?;
         if self.voting_range.is_some() || !waiting.bootstraps || waiting.tag == active.tag {
@@ -162,12 +164,12 @@
         }
         let seats = waiting.seats.iter().filter(|host| self.is_voting(host));
         let hosts: Vec<HostName> = seats.cloned().collect();
-        let block = BootstrapBlock {
+        let blocked = BlockedBootstrap {
             roster: waiting.tag.number,
             active: active.tag.number,
             hosts,
         };
-        (!block.hosts.is_empty()).then_some(block)
+        (!blocked.hosts.is_empty()).then_some(blocked)
     }
 
     /// Applies every state transition that the current knowledge permits.
@@ -221,14 +223,14 @@
         let active = self.rosters.active.as_ref();
         let continuing =
             active.is_some_and(|old| Some(old.tag) == plan.former_tag() && old.has_seat(host));
-        if let Some(span) = &mut self.voting_range {
+        if let Some(range) = &mut self.voting_range {
             // Seats that knew ids of the roster before the former one are no longer
             // asked, so this seat's memory of those ids no longer counts.
-            span.since = match continuing {
-                true => span.since.max(span.former_until),
+            range.since = match continuing {
+                true => range.since.max(range.former_until),
                 false => until,
             };
-            span.former_until = until;
+            range.former_until = until;
         }
         self.former_until = until;
         self.rosters.adopted = None;
@@ -271,7 +273,7 @@
         // A digest may have arrived before the roster was known, in which case its
         // incarnations were not kept.
         for incarnations in reported {
-            self.peers.raise_incarnations(&incarnations);
+            self.peers.merge_incarnations(&incarnations);
         }
         self.start_voting(now)
     }
--- a/src/roster/roster_view.rs
+++ b/src/roster/roster_view.rs
@@ -1,4 +1,4 @@
-//! What the claim protocol needs to know of rosters.
+//! The active roster and a seat's voting range, as needed by the claim protocol.
 
 use super::RosterTag;
 use crate::ids::HostName;
--- a/tests/claim_rules/fixture.rs
+++ b/tests/claim_rules/fixture.rs
@@ -82,7 +82,7 @@
 /// Delivers `from`'s digest to `to`.
 pub(crate) fn send_digest(from: &TestSeat, to: &mut TestSeat, now: UnixMillis) {
     let digest = from.seat.roster().digest();
-    to.seat.roster_mut().learn(&from.name, digest, now);
+    to.seat.roster_mut().apply_digest(&from.name, digest, now);
 }
 
 /// Exchanges digests between all seats until nothing more can be learned.
@@ -93,7 +93,7 @@
                 if from != to {
                     let digest = seats[from].seat.roster().digest();
                     let name = seats[from].name.clone();
-                    seats[to].seat.roster_mut().learn(&name, digest, now);
+                    seats[to].seat.roster_mut().apply_digest(&name, digest, now);
                 }
             }
         }
--- a/tests/claim_rules/rosters.rs
+++ b/tests/claim_rules/rosters.rs
@@ -40,7 +40,7 @@
     let tracker = a.seat.roster_mut();
     let mut offer = |plan: RosterPlan| tracker.offer(plan, 200);
     let lost = RosterPlan::new(&roster(2, &["x"]), Some(&roster(1, &["a", "b", "c"])), true);
-    let refused = Err(RosterRefusal::AlreadyFounded { active: 1 });
+    let refused = Err(RosterRefusal::AlreadyBootstrapped { active: 1 });
     assert_eq!(offer(plan(2, &["x"], None)), refused);
     assert_eq!(offer(lost), refused);
     assert_eq!(
@@ -265,7 +265,7 @@
     a.offer(&first, 2_000);
     exchange(&mut [&mut a, &mut b, &mut c], 2_000);
     assert!(a.is_voting());
-    b.seat.roster_mut().learn(&a.name, late_vote, 2_001);
+    b.seat.roster_mut().apply_digest(&a.name, late_vote, 2_001);
     b.offer(&next, 2_002);
     let request = id(2_100, 0);
     let old = c.view();
@@ -479,14 +479,16 @@
 
     let refusal = c.seat.roster_mut().offer(second.clone(), 300).unwrap_err();
     exchange(&mut [&mut c, &mut d], 301);
-    let block = d.seat.roster().bootstrap_block();
+    let blocked = d.seat.roster().blocked_bootstrap();
     let mut c = open("c", 400, ALL());
     c.offer(&second, 400);
     exchange(&mut [&mut c, &mut d], 401);
 
     assert!(refusal.to_string().ends_with("stop this host"), "{refusal}");
-    let text = block.map(|block| block.to_string()).unwrap_or_default();
+    let text = blocked
+        .map(|blocked| blocked.to_string())
+        .unwrap_or_default();
     assert!(text.ends_with("stop or restart: c"), "{text}");
     assert!(c.is_voting() && d.is_voting());
-    assert_eq!(d.seat.roster().bootstrap_block(), None);
+    assert_eq!(d.seat.roster().blocked_bootstrap(), None);
 }
--- a/tests/claim_walks/model/id_record.rs
+++ b/tests/claim_walks/model/id_record.rs
@@ -1,4 +1,4 @@
-//! What the clients and targets observed of one id, and whether it violates a
+//! What the callers and targets observed of one id, and whether it violates a
 //! guarantee.
 
 use cardamomgw::ids::AttemptNumber;
@@ -16,7 +16,7 @@
     TwoRosters(RosterNumber, RosterNumber),
 }
 
-/// What the clients and targets observed of one id.
+/// What the callers and targets observed of one id.
 #[derive(Default)]
 pub(super) struct IdRecord {
     pub(super) dispatched: Option<AttemptNumber>,
--- a/tests/claim_walks/model/model_callers.rs
+++ b/tests/claim_walks/model/model_callers.rs
@@ -1,4 +1,4 @@
-//! The clients, and the processing of their requests by the hosts.
+//! The callers, and the processing of their requests by the hosts.
 
 use std::str::FromStr;
 
@@ -75,7 +75,7 @@
         Some(id)
     }
 
-    /// Lets one host continue one of its rounds.
+    /// Lets a random host continue one of its rounds, chosen at random.
     pub(super) fn work(
         &mut self,
         profile: &WalkProfile,
--- a/tests/claim_walks/model/model_host.rs
+++ b/tests/claim_walks/model/model_host.rs
@@ -94,7 +94,7 @@
         let now = now + self.offset;
         match message {
             ModelMessage::Digest(digest) => {
-                let changed = self.seat.roster_mut().learn(from, digest, now);
+                let changed = self.seat.roster_mut().apply_digest(from, digest, now);
                 match changed {
                     true => self.gossip(),
                     false => Vec::new(),
