--- a/src/claim/bar_round.rs
+++ b/src/claim/bar_round.rs
@@ -1,4 +1,4 @@
-//! The caller's side of releasing a claim or barring an attempt, and the proof that a
+//! The claimant's side of releasing a claim or barring an attempt, and the proof that a
 //! request did not run.
 
 use std::sync::Arc;
--- a/src/claim/claim_message.rs
+++ b/src/claim/claim_message.rs
@@ -1,4 +1,4 @@
-//! Messages between a process that claims ids and the seats.
+//! Messages between claimants, the processes that claim ids, and the seats.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -46,7 +46,7 @@
 pub struct ClaimCall {
     /// The request.
     pub id: RequestId,
-    /// The roster that the caller considers active.
+    /// The roster that the claimant considers active.
     pub roster: RosterTag,
     /// The requested operation.
     pub operation: ClaimOperation,
--- a/src/claim/claim_round.rs
+++ b/src/claim/claim_round.rs
@@ -1,4 +1,4 @@
-//! The caller's side of claiming an attempt.
+//! The claimant's side of claiming an attempt.
 
 use std::sync::Arc;
 
--- a/src/claim/claim_rules.rs
+++ b/src/claim/claim_rules.rs
@@ -13,7 +13,7 @@
     pub knew_former_active: bool,
     /// Ids timed before the activation of a roster need majorities of both rosters.
     pub two_rosters: bool,
-    /// A seat answers "barred" only where nothing is granted.
+    /// A seat answers "barred" only if nothing is granted.
     pub bar_respects_grant: bool,
     /// A seat refuses calls that carry an older roster.
     pub refuse_older_rosters: bool,
--- a/src/claim/quorum_tally.rs
+++ b/src/claim/quorum_tally.rs
@@ -214,9 +214,9 @@
     }
 
     /// Adds the former roster to the quorum once any seat reports that the id is older
-    /// than the roster. The caller may learn of the activation earlier than that seat;
-    /// without this check it would ask the new roster alone about an id that the former
-    /// roster may have granted.
+    /// than the roster. The claimant may learn of the activation earlier than that
+    /// seat; without this check it would ask the new roster alone about an id that the
+    /// former roster may have granted.
     fn include_former(&mut self, answer: &SeatAnswer) {
         let needed = matches!(
             answer,
--- a/src/claim/seat_register.rs
+++ b/src/claim/seat_register.rs
@@ -60,8 +60,8 @@
     roster: RosterTracker,
     entries: SortedMap<RequestId, RegisterEntry>,
     holders: SortedMap<IncarnationId, HolderRecord>,
-    /// The latest time seen; it never decreases, so that a clock set back does not
-    /// reopen expired ids.
+    /// The latest time seen. It never decreases, so a clock that is set back does not
+    /// move the claim window back.
     latest: UnixMillis,
     /// Ids timed before this have expired and are refused permanently.
     expired_before: UnixMillis,
