--- a/src/answers/answer_cache.rs
+++ b/src/answers/answer_cache.rs
@@ -15,7 +15,7 @@
 use crate::ids::RequestId;
 use crate::sorted::SortedMap;
 
-/// How long a finished answer is kept for resends. A caller's time-out and its resend
+/// How long a finished answer is kept for resends. A caller's timeout and its resend
 /// usually happen well within a minute.
 const RETENTION: Duration = Duration::from_secs(60);
 
