--- a/src/controllers/claim_coordinator.rs
+++ b/src/controllers/claim_coordinator.rs
@@ -40,7 +40,8 @@
 const MAX_RENEWALS: usize = 3;
 
 /// Delays before a release is repeated to seats that did not answer it: they cover a
-/// lost message, a peer's reconnection, and a pause after which peers give the seat up.
+/// lost message, a peer's reconnection, and a pause after which peers drop the
+/// connection.
 const RELEASE_RETRY_DELAYS: [Duration; 3] = [
     Duration::from_millis(500),
     Duration::from_secs(3),
@@ -156,8 +157,8 @@
 
     /// Releases the grants of a lost round.
     ///
-    /// Grants left behind would block every resend until the claim window has passed,
-    /// although nothing is dispatched under them.
+    /// Grants that are not released would block every resend until the claim window has
+    /// passed, although nothing is dispatched under them.
     async fn release_lost(self: &Arc<Self>, lost: ClaimRound, status: ClaimStatus) -> ClaimOutcome {
         let Some(view) = self.view() else {
             return ClaimOutcome::NoMajority;
@@ -198,8 +199,8 @@
     }
 
     async fn retry_release(self: Arc<Self>, mut round: BarRound) {
-        for pause in RELEASE_RETRY_DELAYS {
-            task::sleep(pause).await;
+        for delay in RELEASE_RETRY_DELAYS {
+            task::sleep(delay).await;
             match self.view() {
                 Some(view) if round.newer_roster().is_some() => round.renew(view),
                 _ => round.resend_unanswered(),
--- a/src/controllers/config_controller.rs
+++ b/src/controllers/config_controller.rs
@@ -202,7 +202,7 @@
         future::timeout(REFRESH_TIMEOUT, wait).await.is_ok()
     }
 
-    /// Checks whether the host may serve, as far as the configuration is concerned.
+    /// Checks whether the state of the configuration allows the host to serve.
     ///
     /// # Errors
     ///
@@ -237,8 +237,8 @@
             version <= tracker.version() || tracker.has_refused(version)
         };
         if confirms {
-            self.freshness().peer_confirmed(from, asked);
-            self.show_freshness();
+            self.freshness().record_peer_confirmation(from, asked);
+            self.publish_freshness();
         }
     }
 
@@ -335,7 +335,7 @@
         let names: Vec<HostName> = seats.iter().map(|seat| seat.host.clone()).collect();
         self.current.store(Some(Arc::clone(entry)));
         self.freshness().set_seats(&self.dependencies.host, &names);
-        self.show_freshness();
+        self.publish_freshness();
         self.dependencies
             .mesh
             .set_peers(&known_peers(entry.view.document()));
@@ -385,8 +385,8 @@
 
     /// Records the result of a read of the platform that began at `asked`.
     pub(super) fn record_platform(&self, asked: Duration, answered: bool) {
-        self.freshness().platform_asked(asked, answered);
-        self.show_freshness();
+        self.freshness().record_platform_request(asked, answered);
+        self.publish_freshness();
     }
 
     /// Logs a change of state.
@@ -395,7 +395,7 @@
     }
 
     /// Publishes the time until which the view is fresh and wakes waiting requests.
-    fn show_freshness(&self) {
+    fn publish_freshness(&self) {
         let until = self.freshness().fresh_until();
         self.fresh_until_ms
             .store(until.as_millis() as u64, Ordering::Release);
--- a/src/controllers/config_refusal.rs
+++ b/src/controllers/config_refusal.rs
@@ -8,7 +8,7 @@
 /// The reason that a document is not put in force.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum ConfigRefusal {
-    /// A newer document is in force: the platform or the peer is behind.
+    /// A newer document is in force: the platform or the peer is out of date.
     #[display("version {offered} is older than {in_force}, which is in force")]
     Older {
         /// The version that was offered.
--- a/src/controllers/drain_state.rs
+++ b/src/controllers/drain_state.rs
@@ -1,4 +1,4 @@
-//! Whether the host is leaving, and the number of running requests.
+//! Tracks whether the host is leaving and how many requests are running.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::AtomicUsize;
@@ -10,7 +10,7 @@
 /// Poll interval of [`DrainState::wait_idle`].
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// Whether the host is leaving, and the number of running requests.
+/// Tracks whether the host is leaving and how many requests are running.
 #[derive(Debug, Default)]
 pub(crate) struct DrainState {
     leaving: AtomicBool,
--- a/src/controllers/leaving_tracker.rs
+++ b/src/controllers/leaving_tracker.rs
@@ -28,7 +28,7 @@
 /// report took effect, a draining target would get new work that is cut off when it
 /// ends. Therefore the sources are kept apart, reports of one source take effect only
 /// in the order of their own times, and one source that reports leaving is enough until
-/// it reports otherwise itself. The state in the configuration is kept by the caller.
+/// it reports otherwise itself. The state in the configuration is not kept here.
 #[derive(Debug, Default)]
 pub struct LeavingTracker {
     reports: SortedMap<String, [Option<StateReport>; 2]>,
@@ -110,8 +110,8 @@
         self.state == TargetState::Leaving
     }
 
-    /// Only a newer report replaces the last one; of two reports of one time, leaving
-    /// stays.
+    /// Returns whether this report replaces the known one: it must be newer, or be a
+    /// report of leaving with the same time.
     fn replaces(&self, known: Self) -> bool {
         self.taken > known.taken || (self.taken == known.taken && self.is_leaving())
     }
--- a/src/controllers/platform_watch.rs
+++ b/src/controllers/platform_watch.rs
@@ -53,9 +53,9 @@
         };
         controller.record_platform(asked, answer.is_ok());
         log_change(&controller, &mut lost, answer.as_ref().err());
-        let end = process_answer(&controller, answer);
+        let next = process_answer(&controller, answer);
         drop(controller);
-        match end {
+        match next {
             NextStep::Continue => backoff.reset(),
             NextStep::BackOff(advice) => {
                 let wait = backoff.next_delay(rand::random());
--- a/src/controllers/target_controller.rs
+++ b/src/controllers/target_controller.rs
@@ -291,8 +291,8 @@
     let exchange = connection.send(&head, Vec::new(), REPORT_TIMEOUT).await?;
     let mut answer = exchange.read_answer(REPORT_TIMEOUT).await?;
     let mut body = Vec::new();
-    while let Some(piece) = answer.next_chunk(REPORT_TIMEOUT).await? {
-        body.extend_from_slice(&piece);
+    while let Some(chunk) = answer.next_chunk(REPORT_TIMEOUT).await? {
+        body.extend_from_slice(&chunk);
         if body.len() > MAX_REPORT_BYTES {
             return Err(ExchangeError::Malformed);
         }
--- a/src/controllers/view_freshness.rs
+++ b/src/controllers/view_freshness.rs
@@ -14,14 +14,15 @@
 use crate::sorted::SortedMap;
 
 /// The maximum age of the view by which a request is dispatched. It covers three
-/// exchanges of 1 s: one may be lost, and a leaving target still gets no work after 3
-/// s.
+/// exchanges at intervals of 1 s: one may be lost, and a leaving target still gets no
+/// work after 3 s.
 pub const MAX_VIEW_AGE: Duration = Duration::from_secs(3);
 /// The maximum age of the platform's last answer if there are no peers to ask: a watch
 /// lasts 5 s and is aborted after 7 s.
 const MAX_PLATFORM_AGE: Duration = Duration::from_secs(9);
 /// How long a host stays ready while it reaches neither its peers nor the platform;
-/// with a shorter time, each short network fault would empty the load balancer.
+/// with a shorter time, each brief network fault would leave the load balancer without
+/// hosts.
 pub const READY_MAX_AGE: Duration = Duration::from_secs(10);
 /// How long a new process waits for its peers before the platform's answer alone is
 /// sufficient: the platform may be stale and the peers may have a newer document.
@@ -88,7 +89,7 @@
     }
 
     /// Records that a peer, asked at `asked`, has nothing newer than this process.
-    pub fn peer_confirmed(&mut self, host: &HostName, asked: Duration) {
+    pub fn record_peer_confirmation(&mut self, host: &HostName, asked: Duration) {
         let newer = self.confirmed.get(host).is_none_or(|known| *known < asked);
         if newer {
             self.confirmed.insert(host.clone(), asked);
@@ -96,7 +97,7 @@
     }
 
     /// Records that the platform was asked at `asked`, and whether it answered.
-    pub fn platform_asked(&mut self, asked: Duration, answered: bool) {
+    pub fn record_platform_request(&mut self, asked: Duration, answered: bool) {
         self.platform_asked = self.platform_asked.max(Some(asked));
         if answered {
             self.platform_answered = self.platform_answered.max(Some(asked));
@@ -120,8 +121,9 @@
     }
 
     /// Returns the time of the last valid confirmation. If other seats are needed for
-    /// the majority, only they count, since the platform may be stale. A host with the
-    /// only seat asks the platform, whether or not it answers.
+    /// the majority, only they count, since the platform may be stale. For a host with
+    /// the only seat, the last request to the platform counts, whether or not it was
+    /// answered.
     fn confirmed_at(&self) -> Option<Duration> {
         if self.needed == 0 {
             self.platform_asked
--- a/src/controllers/work_controller.rs
+++ b/src/controllers/work_controller.rs
@@ -36,7 +36,7 @@
 pub(crate) enum WorkSource {
     /// Received from a caller.
     Caller,
-    /// Handed over by a peer; it is not handed over again.
+    /// Forwarded by a peer; it is not forwarded again.
     Peer,
 }
 
@@ -58,7 +58,7 @@
 
 /// Runs the dispatch policy of one host.
 ///
-/// The policy is behind a mutex that is held for one decision and never across an
+/// The policy is guarded by a mutex that is held for one decision and never across an
 /// await; decisions are sent to the waiting tasks over channels.
 #[derive(Debug)]
 pub(crate) struct WorkController {
--- a/tests/config_gossip_freshness.rs
+++ b/tests/config_gossip_freshness.rs
@@ -28,7 +28,7 @@
 
 fn confirm(freshness: &mut ViewFreshness, hosts: &[&str], asked: Duration) {
     for host in hosts {
-        freshness.peer_confirmed(&(*host).to_owned(), asked);
+        freshness.record_peer_confirmation(&(*host).to_owned(), asked);
     }
 }
 
@@ -56,7 +56,7 @@
     let resumed = after(610);
 
     confirm(&mut freshness, &["b", "c"], after(11));
-    freshness.platform_asked(after(11), true);
+    freshness.record_platform_request(after(11), true);
 
     assert!(!freshness.is_fresh(resumed));
     confirm(&mut freshness, &["c"], resumed);
@@ -69,7 +69,7 @@
 fn platform_alone_does_not_confirm_where_peers_hold_the_majority() {
     let mut freshness = seated(&["a", "b", "c"]);
 
-    freshness.platform_asked(after(10), true);
+    freshness.record_platform_request(after(10), true);
 
     assert!(!freshness.is_fresh(after(10)));
 }
@@ -79,7 +79,7 @@
     let mut freshness = seated(&["a"]);
     let unasked = freshness.is_fresh(after(1));
 
-    freshness.platform_asked(after(1), false);
+    freshness.record_platform_request(after(1), false);
 
     assert!(!unasked);
     assert!(freshness.is_fresh(after(2)));
@@ -127,7 +127,7 @@
     let mut freshness = ViewFreshness::new(START);
     let empty = freshness.readiness(START);
     freshness.set_seats("a", &names(&["a", "b", "c"]));
-    freshness.platform_asked(START, true);
+    freshness.record_platform_request(START, true);
 
     let early = freshness.readiness(START);
     let late = freshness.readiness(START + PEER_WAIT);
@@ -144,7 +144,7 @@
 fn isolated_host_is_not_ready_and_gives_the_reason() {
     let mut freshness = seated(&["a", "b", "c", "d", "e"]);
     confirm(&mut freshness, &["b", "c"], after(10));
-    freshness.platform_asked(after(10), true);
+    freshness.record_platform_request(after(10), true);
     confirm(&mut freshness, &["b"], after(15));
 
     let before = freshness.readiness(after(15));
@@ -159,7 +159,7 @@
 fn platform_outage_leaves_a_host_with_peers_ready() {
     let mut freshness = seated(&["a", "b", "c"]);
 
-    freshness.platform_asked(after(900), false);
+    freshness.record_platform_request(after(900), false);
     confirm(&mut freshness, &["b"], after(900));
 
     assert_eq!(freshness.readiness(after(901)), Ok(()));
