--- a/src/peers/call_handler.rs
+++ b/src/peers/call_handler.rs
@@ -14,6 +14,6 @@
 pub trait CallHandler: Send + Sync + 'static {
     /// Answers one call of the host `from`. Calls run concurrently, each in its own
     /// task. Dropping `replies` before it is finished resets the stream, and the
-    /// caller gets [`super::PeerError::CallAbandoned`].
+    /// calling host gets [`super::PeerError::CallAbandoned`].
     fn handle(&self, from: HostName, call: PeerCall, replies: ReplySender) -> HandleFuture<'_>;
 }
--- a/src/peers/call_slot.rs
+++ b/src/peers/call_slot.rs
@@ -25,7 +25,7 @@
         let slot = Self {
             in_use: Arc::clone(in_use),
         };
-        // Incremented before the check, so that concurrent callers can't all pass it;
+        // Incremented before the check, so that concurrent calls can't all pass it;
         // on a refusal, dropping the slot decrements the count again.
         if in_use.fetch_add(1, Ordering::AcqRel) >= MAX_STREAMED_CALLS {
             return Err(PeerError::TooManyCalls);
--- a/src/peers/handshake_exchange.rs
+++ b/src/peers/handshake_exchange.rs
@@ -1,12 +1,12 @@
 //! The handshake that precedes h2: protocol version, host names and proof of the key.
 //!
-//! The caller sends a [`HostHello`], the listener answers with its own, then the caller
-//! sends its [`KeyProof`] and the listener its own. Each message is preceded by a header
-//! of four magic bytes, the version and the length, whose layout is the same in all
-//! versions. A listener of another version answers with its header alone, so that the
-//! caller can report the version it found. The caller sends its proof first: an
-//! unauthenticated caller gets no MAC from a listener on which it could try keys
-//! offline.
+//! The connecting end sends a [`HostHello`], the listener answers with its own, then the
+//! connecting end sends its [`KeyProof`] and the listener its own. Each message is
+//! preceded by a header of four magic bytes, the version and the length, whose layout is
+//! the same in all versions. A listener of another version answers with its header alone,
+//! so that the connecting end can report the version that it found. The connecting end
+//! sends its proof first: an unauthenticated one gets no MAC from a listener on which it
+//! could try keys offline.
 
 use async_std::io::ReadExt;
 use async_std::io::WriteExt;
@@ -43,7 +43,7 @@
 const HELLO_CODEC: Configuration<LittleEndian, Varint, Limit<MAX_HELLO_BYTES>> =
     bincode::config::standard().with_limit::<MAX_HELLO_BYTES>();
 
-/// The caller's first message, and the listener's answer to it.
+/// The first message of the connecting end, and the listener's answer to it.
 #[derive(Debug, Deserialize, Serialize)]
 struct HostHello {
     host: HostName,
@@ -59,21 +59,21 @@
 /// The end that a proof belongs to; part of the MAC, so that a proof can't be reflected.
 #[derive(Clone, Copy, Debug)]
 enum ProofSide {
-    Caller,
+    Connector,
     Listener,
 }
 
 impl ProofSide {
     const fn label(self) -> &'static [u8] {
         match self {
-            Self::Caller => b"cardamomgw caller",
+            Self::Connector => b"cardamomgw caller",
             Self::Listener => b"cardamomgw listener",
         }
     }
 }
 
 /// Runs the handshake as the connecting end; returns the listener's name.
-pub(crate) async fn handshake_as_caller<S>(
+pub(crate) async fn handshake_as_connector<S>(
     stream: &mut S,
     identity: &PeerIdentity,
 ) -> Result<HostName, PeerError>
@@ -83,7 +83,7 @@
     let ours = new_hello(identity);
     send_message(stream, &ours).await?;
     let theirs: HostHello = read_message(stream).await?;
-    let tag = make_proof(identity, ProofSide::Caller, &ours, &theirs)
+    let tag = make_proof(identity, ProofSide::Connector, &ours, &theirs)
         .finalize()
         .into_bytes()
         .into();
@@ -99,7 +99,7 @@
     Ok(theirs.host)
 }
 
-/// Runs the handshake as the accepting end; returns the caller's name.
+/// Runs the handshake as the accepting end; returns the name of the connecting host.
 pub(crate) async fn handshake_as_listener<S>(
     stream: &mut S,
     identity: &PeerIdentity,
@@ -117,7 +117,7 @@
     let ours = new_hello(identity);
     send_message(stream, &ours).await?;
     let proof: KeyProof = read_message(stream).await?;
-    make_proof(identity, ProofSide::Caller, &theirs, &ours)
+    make_proof(identity, ProofSide::Connector, &theirs, &ours)
         .verify_slice(&proof.tag)
         .map_err(|_| PeerError::NotAuthentic)?;
     let tag = make_proof(identity, ProofSide::Listener, &theirs, &ours)
@@ -139,14 +139,14 @@
 fn make_proof(
     identity: &PeerIdentity,
     side: ProofSide,
-    caller: &HostHello,
+    connector: &HostHello,
     listener: &HostHello,
 ) -> Hmac<Sha256> {
     let mut mac =
         Hmac::<Sha256>::new_from_slice(&identity.key).expect("HMAC takes a key of any length");
     mac.update(side.label());
     mac.update(&PROTOCOL_VERSION.to_be_bytes());
-    for hello in [caller, listener] {
+    for hello in [connector, listener] {
         mac.update(&hello.nonce);
         mac.update(&(hello.host.len() as u64).to_be_bytes());
         mac.update(hello.host.as_bytes());
@@ -154,7 +154,7 @@
     mac
 }
 
-/// Sends the caller a header with this host's protocol version and no message.
+/// Sends the connecting end a header with this host's protocol version and no message.
 async fn refuse_version<S: AsyncWrite + Unpin>(stream: &mut S) -> Result<(), PeerError> {
     stream.write_all(&make_header(0)).await?;
     stream.flush().await?;
--- a/src/peers/link_limits.rs
+++ b/src/peers/link_limits.rs
@@ -13,7 +13,7 @@
 /// How many of these may be streamed calls; the rest is reserved for short ones.
 pub const MAX_STREAMED_CALLS: usize = MAX_STREAMS as usize / 2;
 /// Flow-control window of a connection, in bytes: the sum of the windows of all calls.
-/// With a smaller one, streams that nobody reads (a caller with a stalled client) could
+/// With a smaller one, streams that are not read (because a caller has stalled) could
 /// exhaust the window, and the claims and digests on the same connection would stall as
-/// if the peer were silent.
+/// if the peer were unresponsive.
 pub(crate) const CONNECTION_WINDOW: u32 = STREAM_WINDOW * MAX_STREAMS;
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -16,8 +16,8 @@
 //! # Use
 //!
 //! Versions are those of the fleet document; times are wall-clock milliseconds where a
-//! field says so. A failed call returns a [`PeerError`], which tells whether the call may
-//! have taken effect.
+//! field's documentation states it. A failed call returns a [`PeerError`], which shows
+//! whether the call may have taken effect.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -39,11 +39,11 @@
     Duration::from_secs(SILENCE_TIMEOUT.as_secs() - PING_INTERVAL.as_secs());
 /// Timeout for opening a connection, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The first wait after a failure; a restarted peer is usually back within it.
-const MIN_RETRY_WAIT: Duration = Duration::from_millis(50);
-/// The longest wait between attempts. A healed partition is noticed within it, well
-/// below 2 s.
-const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
+/// The first delay after a failure; a restarted peer is usually back within it.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The longest delay between attempts. The end of a network partition is noticed within it,
+/// well below 2 s.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The state of a link, for operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -107,7 +107,7 @@
         self.address
     }
 
-    /// Tells whether the link can be kept for a peer of this name. A link to an address
+    /// Returns whether the link can be kept for a peer of this name. A link to an address
     /// from the settings is kept for the seat found there: if it were reopened, the first
     /// document in force would disconnect the host from all its peers for a moment.
     pub(crate) fn is_reusable_for(&self, expected: Option<&HostName>) -> bool {
@@ -124,7 +124,7 @@
             .or_else(|| self.announced_host.load().as_deref().cloned())
     }
 
-    /// Tells whether the peer is `host`.
+    /// Returns whether the peer is `host`.
     pub(crate) fn is_for_host(&self, host: &str) -> bool {
         match &self.expected {
             Some(expected) => expected == host,
@@ -149,7 +149,7 @@
         CallSlot::take(&self.streamed_calls)
     }
 
-    /// Tells whether calls can be made.
+    /// Returns whether calls can be made.
     pub(crate) fn is_connected(&self) -> bool {
         self.sender.load().is_some()
     }
@@ -179,7 +179,7 @@
     identity: Arc<PeerIdentity>,
     stopped: Receiver<()>,
 ) {
-    let mut backoff = RetryBackoff::new(MIN_RETRY_WAIT, MAX_RETRY_WAIT);
+    let mut backoff = RetryBackoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     while !stopped.is_closed() {
         let connect_count = link.connect_count.load(Ordering::Relaxed);
         let stop = async {
@@ -192,8 +192,8 @@
         if link.connect_count.load(Ordering::Relaxed) > connect_count {
             backoff.reset();
         }
-        let wait = backoff.next_delay(rand::random());
-        let pause = task::sleep(wait);
+        let delay = backoff.next_delay(rand::random());
+        let pause = task::sleep(delay);
         let stop = async {
             stopped.recv().await.ok();
         };
@@ -203,9 +203,9 @@
 
 /// Runs one connection to its end and returns why it ended.
 ///
-/// The connection is driven within this future. When a peer goes silent (its host lost
-/// power, or a middlebox dropped the connection's state), the socket reports no error,
-/// and calls would run into their timeouts one by one. An unanswered ping ends the
+/// The connection is driven within this future. When a peer becomes unresponsive (its
+/// host lost power, or a middlebox dropped the connection's state), the socket reports no
+/// error, and calls would run into their timeouts one by one. An unanswered ping ends the
 /// future, which drops the connection, and h2 fails all calls on it at once.
 async fn run_connection(link: &PeerLink, identity: &PeerIdentity) -> PeerError {
     let connected = future::timeout(CONNECT_TIMEOUT, connect(link, identity)).await;
@@ -239,7 +239,7 @@
     // Calls are small and wait for a reply: Nagle's algorithm would add a delayed ACK to each.
     stream.set_nodelay(true)?;
     let mut stream = MeteredStream::new(stream, Arc::clone(&link.meter));
-    let host = handshake_exchange::handshake_as_caller(&mut stream, identity).await?;
+    let host = handshake_exchange::handshake_as_connector(&mut stream, identity).await?;
     if link
         .expected
         .as_ref()
--- a/src/peers/peer_listener.rs
+++ b/src/peers/peer_listener.rs
@@ -40,8 +40,8 @@
 /// Timeout for the handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of open connections. In a fleet of 320 hosts each host is called by
-/// half of the others, and by all of them where half of the calls fail; the rest is
-/// reserve for replaced hosts whose connections have not ended yet.
+/// half of the others, and by all of them where half of the calls fail; the rest is for
+/// replaced hosts whose connections have not ended yet.
 const MAX_CONNECTIONS: usize = 512;
 /// The wait after a failed accept (no file descriptors left), to avoid a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -248,7 +248,8 @@
         Err(PeerError::MessageTooLarge) => {
             refuse_call(&shared, &mut respond, Reason::FRAME_SIZE_ERROR);
         }
-        // The caller cancelled the call or the connection is lost: there is nobody to answer.
+        // The calling host cancelled the call or the connection is lost: there is nobody to
+        // answer.
         Err(_) => {}
     }
 }
--- a/src/peers/peer_mesh.rs
+++ b/src/peers/peer_mesh.rs
@@ -88,7 +88,7 @@
         self.keeps_seeds.store(keeps, Ordering::Release);
     }
 
-    /// Tells whether connections to the seeds are maintained.
+    /// Returns whether connections to the seeds are maintained.
     pub fn keeps_seeds(&self) -> bool {
         self.keeps_seeds.load(Ordering::Acquire)
     }
@@ -154,8 +154,8 @@
         Ok(Arc::clone(other.unwrap_or(first)))
     }
 
-    /// Returns the sorted names of the connected peers, without this host, to which a
-    /// seed may lead.
+    /// Returns the sorted names of the connected peers. This host is left out, although its
+    /// own address may be among the seeds.
     pub fn connected_peers(&self) -> Vec<HostName> {
         let links = self.links.load();
         let mut hosts: Vec<HostName> = links
--- a/src/peers/peer_messages.rs
+++ b/src/peers/peer_messages.rs
@@ -30,7 +30,7 @@
 /// encodes a variant by its position.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerCall {
-    /// Sends the caller's full digest; answered with [`PeerReply::Digest`], which leaves
+    /// Sends the full digest of the calling host; answered with [`PeerReply::Digest`], which leaves
     /// out the policy's part.
     Digest(Box<PeerDigest>),
     /// Requests the document in force; answered with [`PeerReply::Document`].
@@ -63,7 +63,7 @@
     /// Requests the catalog; answered with a stream of [`PeerReply::PackageChunk`], which
     /// is empty if the called host has no newer one.
     Catalog {
-        /// The version of the catalog that the caller has.
+        /// The version of the catalog that the calling host has.
         known: CatalogVersion,
     },
 }
--- a/src/peers/peer_stream.rs
+++ b/src/peers/peer_stream.rs
@@ -1,4 +1,4 @@
-//! The caller's end of a call.
+//! The calling end of a call.
 
 use bytes::Bytes;
 use h2::client::ResponseFuture;
--- a/src/peers/reply_sender.rs
+++ b/src/peers/reply_sender.rs
@@ -15,8 +15,8 @@
 /// Sends the replies of one call.
 ///
 /// If it is dropped before [`ReplySender::finish`] or [`ReplySender::end`], it resets the
-/// stream: the caller gets [`PeerError::CallAbandoned`], never a truncated stream that
-/// looks complete.
+/// stream: the calling host gets [`PeerError::CallAbandoned`], never a truncated stream
+/// that looks complete.
 pub struct ReplySender {
     respond: SendResponse<Bytes>,
     body: Option<SendStream<Bytes>>,
@@ -37,7 +37,8 @@
     ///
     /// # Errors
     ///
-    /// The caller cancelled the call, the connection was lost, or the reply is too large.
+    /// The calling host cancelled the call, the connection was lost, or the reply is too
+    /// large.
     pub async fn send(&mut self, reply: PeerReply) -> Result<(), PeerError> {
         self.send_reply(&reply, false).await
     }
@@ -57,14 +58,14 @@
     ///
     /// # Errors
     ///
-    /// The caller cancelled the call, or the connection was lost.
+    /// The calling host cancelled the call, or the connection was lost.
     pub fn end(mut self) -> Result<(), PeerError> {
         self.open_body()?.send_data(Bytes::new(), true)?;
         self.finished = true;
         Ok(())
     }
 
-    /// Waits until the caller cancels the call or the connection is lost.
+    /// Waits until the calling host cancels the call or the connection is lost.
     pub async fn closed(&mut self) {
         let respond = &mut self.respond;
         match &mut self.body {
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -48,7 +48,7 @@
     let mut stream = TcpStream::connect(listener.address())
         .await
         .expect("the listener accepts");
-    handshake_exchange::handshake_as_caller(&mut stream, &identity())
+    handshake_exchange::handshake_as_connector(&mut stream, &identity())
         .await
         .expect("the key is right");
     let (sender, connection) = client::handshake(stream.compat())
--- a/tests/peers_faults.rs
+++ b/tests/peers_faults.rs
@@ -31,7 +31,7 @@
 use peers_support::identity;
 use peers_support::mesh_to;
 
-/// Answers digests, and keeps any other call open until the caller cancels it.
+/// Answers digests, and keeps any other call open until the calling host cancels it.
 struct HoldingHandler;
 
 impl CallHandler for HoldingHandler {
@@ -209,10 +209,10 @@
     })
     .await;
     let call = PeerCall::Digest(Box::default());
-    let meanwhile = mesh.call("b", call, TIMEOUT).await;
+    let result = mesh.call("b", call, TIMEOUT).await;
     let _second = rebind("b", address).await;
 
-    assert_eq!(meanwhile, Err(PeerError::NotConnected));
+    assert_eq!(result, Err(PeerError::NotConnected));
     eventually("b answers again", async || answers(&mesh, "b").await).await;
 }
 
--- a/tests/peers_mesh.rs
+++ b/tests/peers_mesh.rs
@@ -32,7 +32,7 @@
 use peers_support::mesh_to;
 
 /// Answers `Digest` at once, `Document` with a large body and `Serve` with a stream, and
-/// leaves `Join` unanswered until the caller cancels it.
+/// leaves `Join` unanswered until the calling host cancels it.
 #[derive(Default)]
 struct EchoHandler {
     cancelled: AtomicUsize,
@@ -48,7 +48,7 @@
     async fn answer(&self, from: HostName, call: PeerCall, mut replies: ReplySender) {
         match call {
             PeerCall::Digest(mut digest) => {
-                // The version returns the length of the caller's name.
+                // The version returns the length of the calling host's name.
                 digest.version = from.len() as u64;
                 replies.finish(PeerReply::Digest(digest)).await.ok();
             }
@@ -178,7 +178,7 @@
 }
 
 /// A peer's handler ends in the middle of an answer. The stream must not end as if it were
-/// complete, or the caller would relay a truncated answer as complete.
+/// complete, or the calling host would relay a truncated answer as complete.
 #[async_std::test]
 async fn call_that_the_handler_drops_is_an_error_not_an_end() {
     let (listener, _handler) = listen("b").await;
@@ -211,7 +211,7 @@
     .await;
 }
 
-/// Callers with stalled clients leave many relayed answers unread. They would exhaust h2's
+/// Stalled callers leave many relayed answers unread. They would exhaust h2's
 /// default window of the connection, and claims and digests on the same connection would
 /// stall as if the peer were dead.
 #[async_std::test]
