--- a/src/gateway/caller_service.rs
+++ b/src/gateway/caller_service.rs
@@ -27,7 +27,7 @@
 /// connections then take a tenth of the 128 MB that a daemon may use.
 const MAX_CALLERS: usize = 4096;
 /// File descriptors reserved for listeners, peers, the platform and operators.
-const RESERVED_HANDLES: usize = 256;
+const RESERVED_DESCRIPTORS: usize = 256;
 
 /// Accepts connections of callers at an address until it is dropped.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
     let allowed = allowed.map_or(usize::MAX, |count| {
         usize::try_from(count).unwrap_or(usize::MAX)
     });
-    (allowed.saturating_sub(RESERVED_HANDLES) / 2).clamp(1, MAX_CALLERS)
+    (allowed.saturating_sub(RESERVED_DESCRIPTORS) / 2).clamp(1, MAX_CALLERS)
 }
 
 /// Refuses a caller beyond the limit; another host may have room.
--- a/src/gateway/claim_filter.rs
+++ b/src/gateway/claim_filter.rs
@@ -87,7 +87,7 @@
     TargetConnection::open(address, CONNECT_TIMEOUT).await
 }
 
-/// Refreshes the view if it is stale or this process was paused; tells whether the view
+/// Refreshes the view if it is stale or this process was paused; returns whether the view
 /// is fresh.
 async fn refresh_view(run: &RequestRun, began: Duration) -> bool {
     let now = boot_now();
--- a/src/gateway/host_server.rs
+++ b/src/gateway/host_server.rs
@@ -60,7 +60,7 @@
 /// of the 128 MB that a daemon may use.
 const MAX_BODY_BYTES: usize = 32 << 20;
 /// How often expired answers are removed.
-const TRIM_INTERVAL: Duration = Duration::from_secs(1);
+const EVICTION_INTERVAL: Duration = Duration::from_secs(1);
 /// How often the host checks its own state for changes to log; shorter changes show up
 /// only in the counters.
 const STATE_POLL_INTERVAL: Duration = Duration::from_millis(250);
@@ -190,7 +190,7 @@
             state.log.clone(),
             state.metrics.clone(),
         );
-        task::spawn(trim_answers(state.clone()));
+        task::spawn(evict_answers(state.clone()));
         state.log.write(&StateChange::Started {
             host: settings.host.clone(),
             program: env!("CARGO_PKG_VERSION"),
@@ -207,17 +207,17 @@
         })
     }
 
-    /// Returns where callers connect, with the port that was bound.
+    /// Returns the address for callers, with the bound port.
     pub const fn caller_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Returns where peers connect, with the port that was bound.
+    /// Returns the address for peers, with the bound port.
     pub const fn peer_address(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// Returns where operators connect, with the port that was bound.
+    /// Returns the address for operators, with the bound port.
     pub const fn operator_address(&self) -> SocketAddr {
         self.operators.address()
     }
@@ -288,9 +288,9 @@
     ClaimCoordinator::open(settings.host.clone(), incarnation, seat, mesh.clone())
 }
 
-async fn trim_answers(state: Arc<HostState>) {
+async fn evict_answers(state: Arc<HostState>) {
     loop {
-        task::sleep(TRIM_INTERVAL).await;
+        task::sleep(EVICTION_INTERVAL).await;
         state.answers.evict(boot_now());
     }
 }
--- a/src/gateway/join_filter.rs
+++ b/src/gateway/join_filter.rs
@@ -69,7 +69,7 @@
 
 async fn call_holder(run: &RequestRun, holder: &ClaimTicket) -> ReplyEnd {
     match holder.host == run.host.host {
-        // The claim is this process's own but has no answer here: it was released.
+        // This host holds the claim itself, but its answer is no longer in the cache.
         true => ReplyEnd::Lost,
         false => call_peer(run, &holder.host, join_call(run), is_valid_for_any_attempt).await,
     }
@@ -106,7 +106,7 @@
     }
 }
 
-/// Tells whether an answer is valid for every attempt of its id.
+/// Returns whether an answer is valid for every attempt of its id.
 ///
 /// A join call names no attempt. This guards against passing a `not-run` of an earlier
 /// attempt to the caller of a later one, which may still run; this host bars its own
@@ -144,7 +144,7 @@
     if run.buffer.has_head() {
         run.buffer.put_end(AnswerEnd::Truncated(kind));
     } else {
-        // Forgotten, so that a resend asks the holder again: it may only have been paused.
+        // Removed, so that a resend asks the holder again: it may only have been paused.
         run.host.answers.remove(run.request.id, &run.buffer);
         RequestRefusal::of(kind).put_answer(&run.buffer, run.request.id, RequestOutcome::Unknown);
     }
--- a/src/gateway/relay_filter.rs
+++ b/src/gateway/relay_filter.rs
@@ -58,7 +58,7 @@
 ) {
     let _sent = claim.dispatch();
     ticket.started();
-    run.meter.dispatched(prefill_tokens(run, &target));
+    run.meter.record_dispatch(prefill_tokens(run, &target));
     let head = target_head(run);
     let relayed = match connection
         .send(&head, run.body.to_vec(), SEND_TIMEOUT)
@@ -203,8 +203,8 @@
 async fn relay_buffered(run: &RequestRun, mut answer: TargetAnswer) -> Result<(), ErrorKind> {
     let mut body = Vec::new();
     let timeout = answer_timeout(run);
-    while let Some(piece) = answer.next_chunk(timeout).await.map_err(kind_of)? {
-        body.extend_from_slice(&piece);
+    while let Some(chunk) = answer.next_chunk(timeout).await.map_err(kind_of)? {
+        body.extend_from_slice(&chunk);
         if body.len() > MAX_BUFFERED_BYTES {
             return Err(ErrorKind::TargetFault);
         }
@@ -257,7 +257,8 @@
     or(async { Some(work.await) }, abandoned).await
 }
 
-/// Returns how long the target may stay silent, also before the head of its answer.
+/// Returns how long the target may send nothing, before the head of its answer and within
+/// the answer.
 fn answer_timeout(run: &RequestRun) -> Duration {
     let left = run.request.deadline.saturating_sub(boot_now());
     left + LATE_ANSWER_WAIT
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -87,7 +87,7 @@
             ChainResult::Abandoned(claim) => self.abandon(claim).await,
         }
         let outcome = self.buffer.outcome();
-        self.meter.ended(outcome);
+        self.meter.record_end(outcome);
         self.record();
         let answers = &self.host.answers;
         match outcome {
@@ -170,7 +170,7 @@
                 }
                 Some(WorkPlacement::Target(target)) => target,
             };
-            self.meter.placed();
+            self.meter.record_placement();
             let _exclusive = self
                 .host
                 .suspects
--- a/src/gateway/request_meter.rs
+++ b/src/gateway/request_meter.rs
@@ -31,17 +31,17 @@
     }
 
     /// Records that the request left the queue.
-    pub(crate) fn placed(&self) {
+    pub(crate) fn record_placement(&self) {
         self.series.record_queue_time(self.elapsed());
     }
 
     /// Records the number of prompt tokens sent to a target.
-    pub(crate) fn dispatched(&self, prompt_tokens: TokenCount) {
+    pub(crate) fn record_dispatch(&self, prompt_tokens: TokenCount) {
         self.series.add_prefill_tokens(prompt_tokens);
     }
 
     /// Records the number of tokens received so far.
-    pub(crate) fn progressed(&self, tokens: TokenCount) {
+    pub(crate) fn record_progress(&self, tokens: TokenCount) {
         let now = boot_now();
         let mut last = self
             .last_token
@@ -59,7 +59,7 @@
     }
 
     /// Records the outcome of the request.
-    pub(crate) fn ended(&self, outcome: RequestOutcome) {
+    pub(crate) fn record_end(&self, outcome: RequestOutcome) {
         let in_time = outcome == RequestOutcome::Done && boot_now() <= self.deadline;
         self.series.record_answer(outcome, self.elapsed(), in_time);
     }
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -31,7 +31,7 @@
 /// How many of its own mean token gaps a stream may be silent. An engine that batches
 /// long prompts stalls its streams for some tens of gaps.
 const SILENCE_TIMEOUT_GAPS: u32 = 64;
-/// How often a stream is resumed without a new token in between.
+/// How many times in a row a stream is resumed without a new token in between.
 const MAX_RESUMES: usize = 3;
 /// Timeout for each step of a resumption: connecting, sending and reading the head.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
@@ -104,15 +104,15 @@
     }
 
     async fn relay_chunks(&mut self, answer: &mut TargetAnswer) -> Result<(), ExchangeError> {
-        while let Some(piece) = answer.next_chunk(self.silence_timeout()).await? {
+        while let Some(chunk) = answer.next_chunk(self.silence_timeout()).await? {
             let relayed = self
                 .guard
-                .accept(&piece)
+                .accept(&chunk)
                 .map_err(|_| ExchangeError::Malformed)?;
             if !relayed.is_empty() {
                 self.run.buffer.put_bytes(Bytes::from(relayed));
                 self.ticket.progressed(self.guard.next_offset());
-                self.run.meter.progressed(self.guard.next_offset());
+                self.run.meter.record_progress(self.guard.next_offset());
             }
         }
         // The end of the body isn't enough: the engine's own end marker must be there.
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -1,4 +1,4 @@
-//! Which answers may be passed on between hosts.
+//! Tests of the check that decides which answers are passed on between hosts.
 
 use super::join_filter::is_valid_for_any_attempt;
 use crate::http::AnswerHead;
