--- a/src/logs/decision_line.rs
+++ b/src/logs/decision_line.rs
@@ -146,7 +146,7 @@
         /// Number of serving hosts, including this one; quotas are divided among them.
         hosts: usize,
     },
-    /// Targets became suspected, because they are unreachable or silent, or recovered;
+    /// Targets became suspected, because they are unreachable or unresponsive, or recovered;
     /// suspected targets get no new requests.
     #[display("suspected targets changed")]
     TargetsSuspected {
@@ -242,7 +242,7 @@
         status: u16,
         /// When to retry, in milliseconds.
         retry_after_ms: Option<u64>,
-        /// How many sends there were.
+        /// Number of sends.
         attempts: u32,
         /// From its arrival, in milliseconds.
         total_ms: u64,
@@ -258,7 +258,7 @@
     CallerLeft {
         /// The request.
         request: String,
-        /// How many sends there were.
+        /// Number of sends.
         attempts: u32,
         /// From its arrival, in milliseconds.
         total_ms: u64,
@@ -291,8 +291,8 @@
         }
     }
 
-    /// Tells whether the line may be left out above the rate limit; true only for lines that
-    /// report no failure.
+    /// Returns whether the line may be left out above the rate limit; true only for lines
+    /// that report no failure.
     pub const fn is_routine(&self) -> bool {
         matches!(
             self,
--- a/src/logs/decision_log.rs
+++ b/src/logs/decision_log.rs
@@ -73,8 +73,8 @@
         spdlog::log!(logger: self.logger, level, "{line}", kv: { line:serde });
     }
 
-    /// Returns how many routine lines were left out and how many lines were dropped because
-    /// the queue was full.
+    /// Returns how many routine lines were left out, and the count of lines that the queue
+    /// dropped.
     pub fn lost_lines(&self) -> (u64, u64) {
         (self.left_out.load(Ordering::Relaxed), self.queue.dropped())
     }
--- a/src/logs/state_change.rs
+++ b/src/logs/state_change.rs
@@ -33,7 +33,7 @@
     /// The host accepts no requests.
     #[display("not ready: {reason}")]
     NotReady {
-        /// What is missing.
+        /// The reason.
         reason: String,
     },
     /// A fleet document came into force.
