--- a/src/errors.rs
+++ b/src/errors.rs
@@ -100,7 +100,7 @@
     /// The target's connection was lost after the dispatch, and with it the answer.
     #[display("target-lost")]
     TargetLost,
-    /// The target went silent after the dispatch.
+    /// The target became unresponsive after the dispatch.
     #[display("target-silent")]
     TargetSilent,
     /// The target refused the request because it is leaving.
@@ -112,7 +112,7 @@
     /// Requests with the same fingerprint crashed the targets that ran them.
     #[display("crashes-targets")]
     CrashesTargets,
-    /// The limit of connected callers is reached.
+    /// The limit of caller connections is reached.
     #[display("too-many-callers")]
     TooManyCallers,
     /// The host's view of the store is too old to dispatch on.
--- a/src/fleet/validation/target_checks.rs
+++ b/src/fleet/validation/target_checks.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Checks that addresses are unique: two targets with the same address would run
-/// twice its slots there.
+/// Checks that addresses are unique: two targets with the same address would allow
+/// twice as many requests there as it has slots for.
 fn check_unique_addresses(document: &FleetDocument, faults: &mut Vec<DocumentFault>) {
     let addresses: Vec<String> = document
         .targets
--- a/src/metrics/request_series.rs
+++ b/src/metrics/request_series.rs
@@ -44,7 +44,7 @@
         self.prefill_tokens.add(u64::from(tokens));
     }
 
-    /// Records the end of an answer; `in_time` tells whether it met the deadline.
+    /// Records the end of an answer; `in_time` states whether it met the deadline.
     pub fn record_answer(&self, outcome: RequestOutcome, time: Duration, in_time: bool) {
         self.whole_time.record(time.as_secs_f64());
         let counter = match (outcome, in_time) {
