--- a/tests/process_resend.rs
+++ b/tests/process_resend.rs
@@ -41,7 +41,8 @@
     fleet
 }
 
-/// Fills every slot of the service with a call from each host.
+/// Fills every slot of the service with a call from each host, so that a host's death ends
+/// only one of them.
 async fn fill_slots(fleet: &TestFleet) {
     for host in fleet.caller_addresses() {
         drop(spawn_call(host, &booking(&new_request_id())));
