--- a/src/gateway/caller_service.rs
+++ b/src/gateway/caller_service.rs
@@ -49,7 +49,7 @@
         Ok(Self { listener })
     }
 
-    /// Returns the address that was bound.
+    /// Returns the bound address.
     pub(crate) const fn address(&self) -> SocketAddr {
         self.listener.address()
     }
--- a/src/peers/peer_listener.rs
+++ b/src/peers/peer_listener.rs
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Returns the address that was bound.
+    /// Returns the bound address.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
--- a/src/roster/roster_digest.rs
+++ b/src/roster/roster_digest.rs
@@ -26,8 +26,8 @@
     pub incarnations: SortedMap<HostName, SeatIncarnation>,
     /// The bootstrap of the active roster; sent while one of its seats may not vote.
     pub bootstrap: Option<BootstrapRecord>,
-    /// The active roster itself; sent while a peer is known to be behind it, since that
-    /// peer may have missed its document or adopted another one.
+    /// The active roster itself; sent while a peer is known to consider an older one
+    /// active, since that peer may have missed its document or adopted another one.
     pub plan: Option<RosterPlan>,
 }
 
--- a/src/roster/roster_tracker.rs
+++ b/src/roster/roster_tracker.rs
@@ -367,15 +367,15 @@
         reported.or_else(|| self.rosters.plan_of(tag))
     }
 
-    /// Returns the active roster while a peer is known to be behind it.
+    /// Returns the active roster while a peer is known to consider an older one active.
     fn plan_to_send(&self) -> Option<RosterPlan> {
         let active = self.rosters.active.as_ref()?;
-        let is_behind = |digest: &RosterDigest| {
+        let is_outdated = |digest: &RosterDigest| {
             digest
                 .active
                 .is_none_or(|tag| tag.number < active.tag.number)
         };
-        let behind = self.peers.digests().any(is_behind);
-        behind.then(|| active.clone())
+        let needed = self.peers.digests().any(is_outdated);
+        needed.then(|| active.clone())
     }
 }
--- a/tests/claim_rules/register.rs
+++ b/tests/claim_rules/register.rs
@@ -1,4 +1,4 @@
-//! Focused tests of one roster's registers and of the caller's rounds.
+//! Focused tests of one roster's registers and of the claimants' rounds.
 
 use crate::fixture::SKEW_MS;
 use crate::fixture::TestSeat;
--- a/tests/claim_rules/rosters.rs
+++ b/tests/claim_rules/rosters.rs
@@ -74,8 +74,8 @@
         offer(other),
         Err(RosterRefusal::OtherSuccessor { adopted: 2 })
     );
-    let on_the_way = plan(3, &["a", "d"], Some(&["a", "b", "d"]));
-    assert_eq!(offer(on_the_way), Ok(RosterDecision::Accepted));
+    let follows_adopted = plan(3, &["a", "d"], Some(&["a", "b", "d"]));
+    assert_eq!(offer(follows_adopted), Ok(RosterDecision::Accepted));
 }
 
 /// An operator replaces every host, one at a time, while callers keep sending. Ids
--- a/tests/claim_walks/model/model_host.rs
+++ b/tests/claim_walks/model/model_host.rs
@@ -1,4 +1,4 @@
-//! One host of the model: its seat and the rounds of its callers.
+//! One host of the model: its seat, and its rounds on behalf of its callers.
 
 use std::sync::Arc;
 
--- a/tests/config_view.rs
+++ b/tests/config_view.rs
@@ -68,7 +68,7 @@
 /// than the one whose rules were applied. Paths that the two ends may interpret
 /// differently therefore have no class.
 #[test]
-fn a_path_with_dot_parts_has_no_class() {
+fn a_path_with_dot_segments_has_no_class() {
     let view = sample_view();
 
     for path in [
