--- a/src/controllers/claim_coordinator.rs
+++ b/src/controllers/claim_coordinator.rs
@@ -83,7 +83,7 @@
     next_round: AtomicU64,
 }
 
-/// A seat's reply; `None` if the call failed.
+/// The result of a call to a seat; `reply` is `None` if the call failed.
 struct SeatReply {
     /// How many times the round had been renewed when the call was sent.
     renewals: usize,
--- a/src/gateway/request_chain.rs
+++ b/src/gateway/request_chain.rs
@@ -83,7 +83,9 @@
         match self.run_filters().await {
             ChainResult::Answered => (),
             ChainResult::Refused(refusal) => self.bar_and_refuse(refusal).await,
-            ChainResult::RefusedHolding(refusal, claim) => self.release_claim(refusal, claim).await,
+            ChainResult::RefusedHolding(refusal, claim) => {
+                self.release_and_refuse(refusal, claim).await
+            }
             ChainResult::Abandoned(claim) => self.abandon(claim).await,
         }
         let outcome = self.buffer.outcome();
@@ -241,7 +243,7 @@
     }
 
     /// Answers a refusal after releasing the claim; see [`RequestRun::bar_and_refuse`].
-    async fn release_claim(&self, refusal: RequestRefusal, claim: HeldClaim<UnsentStage>) {
+    async fn release_and_refuse(&self, refusal: RequestRefusal, claim: HeldClaim<UnsentStage>) {
         match self.host.claims.release(claim).await {
             BarOutcome::Proven => self.refuse_proven(refusal),
             BarOutcome::Held(holder) => join_holder(self, holder, refusal).await,
--- a/src/peers/peer_mesh.rs
+++ b/src/peers/peer_mesh.rs
@@ -48,7 +48,8 @@
     }
 
     /// Replaces the named peers: the seats of the roster without this host. Connections
-    /// to unchanged peers are kept, and so are those to seeds that are no seat's address.
+    /// to unchanged peers are kept, and so are those to seeds that are no seat's address,
+    /// unless [`PeerMesh::keep_seeds`] was turned off.
     pub fn set_peers(&self, peers: &[(HostName, SocketAddr)]) {
         let _change = self.change.lock().unwrap_or_else(PoisonError::into_inner);
         let before = self.links.load_full();
