--- a/src/peers/peer_mesh.rs
+++ b/src/peers/peer_mesh.rs
@@ -48,7 +48,8 @@
     }
 
     /// Replaces the named peers: the seats of the roster without this host. Connections
-    /// to unchanged peers are kept, and so are those to seeds that are no seat's address.
+    /// to unchanged peers are kept, and so are those to seeds that are no seat's address,
+    /// unless [`PeerMesh::keep_seeds`] was turned off.
     pub fn set_peers(&self, peers: &[(HostName, SocketAddr)]) {
         let _change = self.change.lock().unwrap_or_else(PoisonError::into_inner);
         let before = self.links.load_full();
@@ -88,7 +89,7 @@
         self.keeps_seeds.store(keeps, Ordering::Release);
     }
 
-    /// Tells whether connections to the seeds are maintained.
+    /// Returns whether connections to the seeds are maintained.
     pub fn keeps_seeds(&self) -> bool {
         self.keeps_seeds.load(Ordering::Acquire)
     }
@@ -154,8 +155,8 @@
         Ok(Arc::clone(other.unwrap_or(first)))
     }
 
-    /// Returns the sorted names of the connected peers, without this host, to which a
-    /// seed may lead.
+    /// Returns the sorted names of the connected peers. This host is left out, although its
+    /// own address may be among the seeds.
     pub fn connected_peers(&self) -> Vec<HostName> {
         let links = self.links.load();
         let mut hosts: Vec<HostName> = links
