--- a/src/edge/caller_link.rs
+++ b/src/edge/caller_connection.rs
@@ -21,15 +21,15 @@
 
 /// How long a body may pause; a caller that stops in the middle of one would hold
 /// its memory for ever.
-const BODY_PAUSE: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long beyond the promised time an idle connection stays open: a request that
 /// was sent just before the end must not cross the close.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 /// How much a caller may send ahead while its request runs, in bytes.
-const MAX_AHEAD_BYTES: usize = 64 << 10;
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
 /// How long and how much is read after the last answer, so that the close does not
 /// reset the connection before the caller has read the answer.
-const LINGER_TIME: Duration = Duration::from_secs(2);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_LINGER_READS: usize = 64;
 /// After what silence a caller counts as gone: well within the time that targets
 /// work on for nobody.
@@ -61,7 +61,7 @@
 
 /// One caller's connection.
 #[derive(Debug)]
-pub(crate) struct CallerLink {
+pub(crate) struct CallerConnection {
     /// The stream, for answers.
     pub(crate) stream: TcpStream,
     input: InputBuffer,
@@ -69,7 +69,7 @@
     pub(crate) reusable: bool,
 }
 
-impl CallerLink {
+impl CallerConnection {
     /// Takes over an accepted stream.
     pub(crate) fn new(stream: TcpStream) -> Self {
         bound_silence(&stream, SILENCE);
@@ -169,7 +169,7 @@
                 let go_on = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
                 go_on.await.map_err(|_| WireError::Cut)?;
             }
-            match timeout(BODY_PAUSE, self.input.fill(&self.stream)).await {
+            match timeout(BODY_TIMEOUT, self.input.fill(&self.stream)).await {
                 Ok(Ok(count)) if count > 0 => {}
                 Ok(Ok(_) | Err(_)) => return Err(ErrorKind::MalformedMessage),
                 Err(_) => return Err(ErrorKind::SlowCaller),
@@ -180,7 +180,7 @@
     /// Waits until the caller has closed its side, or for ever. What it sends ahead
     /// is kept for the next request.
     pub(crate) async fn gone(&mut self) {
-        while self.input.len() < MAX_AHEAD_BYTES {
+        while self.input.len() < MAX_PIPELINED_BYTES {
             match self.input.fill(&self.stream).await {
                 Ok(count) if count > 0 => {}
                 Ok(_) | Err(_) => return,
@@ -203,6 +203,6 @@
                 }
             }
         };
-        timeout(LINGER_TIME, drained).await.ok();
+        timeout(LINGER_TIMEOUT, drained).await.ok();
     }
 }
--- a/src/edge/caller_session.rs
+++ b/src/edge/caller_session.rs
@@ -4,21 +4,21 @@
 
 use async_std::net::TcpStream;
 
-use super::answer_writer::refusal_bytes;
-use super::answer_writer::write_bytes;
-use super::caller_link::BadRequest;
-use super::caller_link::CallerLink;
-use super::caller_link::CallerRequest;
+use super::caller_connection::BadRequest;
+use super::caller_connection::CallerConnection;
+use super::caller_connection::CallerRequest;
 use super::edge_metrics::count;
 use super::edge_refusal::EdgeRefusal;
 use super::edge_state::EdgeState;
-use super::leave_controller::LEAVING_DELAY;
 use super::quota_filter::consume_quota;
-use super::request_run::RequestRun;
-use super::request_run::RunEnd;
+use super::request_execution::ExecutionOutcome;
+use super::request_execution::RequestExecution;
+use super::response_writer::refusal_bytes;
+use super::response_writer::write_bytes;
 use super::route_filter::RoutedRequest;
 use super::route_filter::UnroutedRequest;
 use super::route_filter::route_request;
+use super::shutdown_controller::LEAVING_RETRY_DELAY;
 use crate::clock::boot_now;
 use crate::errors::ErrorKind;
 use crate::errors::RequestOutcome;
@@ -29,11 +29,11 @@
 
 /// Serves a connection to its end.
 pub(crate) async fn serve_caller(state: Arc<EdgeState>, stream: TcpStream) {
-    let mut caller = CallerLink::new(stream);
+    let mut caller = CallerConnection::new(stream);
     loop {
         let limits = state.view.catalog().map(|catalog| catalog.limits());
         let next = caller.next_request(limits.unwrap_or_default()).await;
-        let _running = state.enter_request();
+        let _running = state.track_request();
         // From the signal to leave on each answer is its connection's last.
         caller.reusable &= !state.is_leaving();
         let goes_on = match next {
@@ -56,11 +56,11 @@
 /// Serves one request; returns whether the connection may go on or end in peace.
 async fn serve_request(
     state: &Arc<EdgeState>,
-    caller: &mut CallerLink,
+    caller: &mut CallerConnection,
     request: CallerRequest,
 ) -> bool {
     let arrived = request.arrived;
-    let routed = match enter_request(state, request) {
+    let routed = match admit_request(state, request) {
         Ok(routed) => routed,
         Err(entry) => {
             let told = RefusalReport {
@@ -77,18 +77,18 @@
         }
     };
     state.note_request(&routed.pool);
-    let mut run = RequestRun::new(state, caller, &routed);
+    let mut run = RequestExecution::new(state, caller, &routed);
     let end = run.serve().await;
     let sends = run.sends();
-    if !matches!(end, RunEnd::Answered) {
+    if !matches!(end, ExecutionOutcome::Answered) {
         routed.record_end(run.outcome());
     }
     match end {
-        RunEnd::Answered => {
+        ExecutionOutcome::Answered => {
             caller.reusable &= !state.is_leaving();
             true
         }
-        RunEnd::Refused(refusal) => {
+        ExecutionOutcome::Refused(refusal) => {
             let told = RefusalReport {
                 message: Some(&routed.request.message),
                 refusal,
@@ -101,7 +101,7 @@
             };
             refuse(state, caller, told).await
         }
-        RunEnd::Closed => {
+        ExecutionOutcome::Closed => {
             count(&state.metrics.callers_left);
             state.log.write(&DecisionLine::CallerLeft {
                 request: routed.id.clone(),
@@ -114,7 +114,7 @@
 }
 
 /// A request that is not admitted.
-struct EntryRefusal {
+struct AdmissionRefusal {
     message: RequestMessage,
     refusal: EdgeRefusal,
     account: Option<AccountName>,
@@ -122,20 +122,20 @@
 }
 
 /// Lets a request in, or says why not.
-fn enter_request(
+fn admit_request(
     state: &Arc<EdgeState>,
     request: CallerRequest,
-) -> Result<RoutedRequest, Box<EntryRefusal>> {
+) -> Result<RoutedRequest, Box<AdmissionRefusal>> {
     let refuse = |message, refusal, account, cost| {
-        Box::new(EntryRefusal {
+        Box::new(AdmissionRefusal {
             message,
             refusal,
             account,
             cost,
         })
     };
-    if !state.takes_requests() {
-        let refusal = EdgeRefusal::after(ErrorKind::HostLeaving, LEAVING_DELAY);
+    if !state.accepts_requests() {
+        let refusal = EdgeRefusal::after(ErrorKind::HostLeaving, LEAVING_RETRY_DELAY);
         return Err(refuse(request.message, refusal, None, None));
     }
     let routed = route_request(state, request).map_err(|unrouted| {
@@ -169,12 +169,12 @@
     cost: Option<f64>,
 }
 
-async fn refuse(state: &EdgeState, caller: &mut CallerLink, told: RefusalReport<'_>) -> bool {
-    let name = &state.dialect.request_id;
+async fn refuse(state: &EdgeState, caller: &mut CallerConnection, told: RefusalReport<'_>) -> bool {
+    let name = &state.header_names.request_id;
     let id = told.message.and_then(|message| message.headers.text(name));
     let refusal = told.refusal;
     let bytes = refusal_bytes(refusal, id.map(|id| (name.as_str(), id)), !caller.reusable);
-    state.requests.count_error(refusal.kind, told.tier);
+    state.request_metrics.count_error(refusal.kind, told.tier);
     let waiting = told
         .pool
         .map_or(0, |pool| state.queue.lock_table().waiting(pool));
@@ -194,7 +194,7 @@
     write_bytes(&caller.stream, &bytes).await.is_ok()
 }
 
-async fn refuse_bad(state: &EdgeState, caller: &mut CallerLink, bad: BadRequest) {
+async fn refuse_bad(state: &EdgeState, caller: &mut CallerConnection, bad: BadRequest) {
     // What follows can't be told from the rest of this request.
     caller.reusable = false;
     let told = RefusalReport {
--- a/src/edge/target_links.rs
+++ b/src/edge/connection_pool.rs
@@ -25,7 +25,7 @@
 /// clock began with the answer, and what is sent as it closes is lost.
 const IDLE_MARGIN: Duration = Duration::from_millis(400);
 /// How long a connection is kept whose target doesn't say for how long.
-const USUAL_IDLE: Duration = Duration::from_millis(700);
+const DEFAULT_IDLE: Duration = Duration::from_millis(700);
 /// How many idle connections to one target are kept.
 const MAX_IDLE: usize = 16;
 /// After what silence a target's connection counts as dead.
@@ -37,7 +37,7 @@
 
 /// A connection to a target.
 #[derive(Debug)]
-pub(crate) struct TargetLink {
+pub(crate) struct TargetConnection {
     pub(crate) stream: TcpStream,
     pub(crate) input: InputBuffer,
     /// Whether it carried another request before. A late answer to that one may
@@ -46,19 +46,19 @@
 }
 
 #[derive(Debug)]
-struct IdleLink {
-    link: TargetLink,
+struct IdleConnection {
+    link: TargetConnection,
     until: Duration,
 }
 
 /// Connections to targets that are kept between requests, by the target's name: its
 /// address may be another one's by the next request.
 #[derive(Debug, Default)]
-pub(crate) struct TargetLinks {
-    idle: Mutex<SortedMap<TargetName, Vec<IdleLink>>>,
+pub(crate) struct ConnectionPool {
+    idle: Mutex<SortedMap<TargetName, Vec<IdleConnection>>>,
 }
 
-impl TargetLink {
+impl TargetConnection {
     /// Connects.
     ///
     /// # Errors
@@ -77,10 +77,10 @@
     }
 }
 
-impl TargetLinks {
+impl ConnectionPool {
     /// Returns the kept connection that was used last, as it is the least likely to
     /// be closed at the other end.
-    pub(crate) async fn take(&self, target: &TargetName) -> Option<TargetLink> {
+    pub(crate) async fn take(&self, target: &TargetName) -> Option<TargetConnection> {
         loop {
             let mut link = self.pop(target)?;
             // Bytes that come unasked belong to no request; an end is an end.
@@ -93,15 +93,15 @@
     }
 
     /// Keeps a connection behind a whole answer.
-    pub(crate) fn put(&self, target: &TargetName, link: TargetLink, answer: &AnswerMessage) {
+    pub(crate) fn put(&self, target: &TargetName, link: TargetConnection, answer: &AnswerMessage) {
         if !link.input.is_empty() {
             return;
         }
-        let kept = keep_alive(answer).unwrap_or(USUAL_IDLE);
+        let kept = keep_alive(answer).unwrap_or(DEFAULT_IDLE);
         let Some(kept) = kept.checked_sub(IDLE_MARGIN).filter(|kept| !kept.is_zero()) else {
             return;
         };
-        let idle = IdleLink {
+        let idle = IdleConnection {
             link,
             until: boot_now() + kept,
         };
@@ -113,10 +113,10 @@
     }
 
     /// Keeps a connection on which nothing was sent yet.
-    pub(crate) fn put_fresh(&self, target: &TargetName, link: TargetLink) {
-        let idle = IdleLink {
+    pub(crate) fn put_unused(&self, target: &TargetName, link: TargetConnection) {
+        let idle = IdleConnection {
             link,
-            until: boot_now() + USUAL_IDLE,
+            until: boot_now() + DEFAULT_IDLE,
         };
         let mut links = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         links
@@ -140,7 +140,7 @@
         });
     }
 
-    fn pop(&self, target: &TargetName) -> Option<TargetLink> {
+    fn pop(&self, target: &TargetName) -> Option<TargetConnection> {
         let now = boot_now();
         let mut links = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let held = links.get_mut(target)?;
--- a/src/edge/crash_check.rs
+++ b/src/edge/crash_check.rs
@@ -5,16 +5,16 @@
 
 use async_std::task;
 
+use super::connection_pool::TargetConnection;
 use super::edge_metrics::count;
 use super::edge_state::EdgeState;
-use super::target_links::TargetLink;
 use crate::dispatch::PlacedTarget;
 use crate::logs::DecisionLine;
 use crate::poison::RequestFingerprint;
 
 /// How long after the cut the target is looked at. A process that crashed takes
 /// no connections at once, and is back only after seconds.
-const LOOK_AFTER: Duration = Duration::from_millis(30);
+const PROBE_DELAY: Duration = Duration::from_millis(30);
 
 /// Looks whether a target that cut a request still takes connections, and suspects
 /// the request if it doesn't.
@@ -29,10 +29,10 @@
     fingerprint: RequestFingerprint,
     request: String,
 ) {
-    task::sleep(LOOK_AFTER).await;
+    task::sleep(PROBE_DELAY).await;
     count(&state.metrics.connects);
-    if let Ok(link) = TargetLink::open(target.address).await {
-        state.links.put_fresh(&target.name, link);
+    if let Ok(link) = TargetConnection::open(target.address).await {
+        state.connections.put_unused(&target.name, link);
         return;
     }
     let name = target.name;
--- a/src/edge/deadline_history.rs
+++ b/src/edge/deadline_history.rs
@@ -7,13 +7,13 @@
 /// How many deadlines are remembered for a route.
 const MAX_DEADLINES: usize = 8;
 /// How often a deadline must have come to be one that callers start with.
-const LEAST_COUNT: u32 = 5;
+const MIN_COUNT: u32 = 5;
 /// The highest count, so that deadlines that are no longer used are forgotten.
 const MAX_COUNT: u32 = 1000;
 
 /// Where callers start with deadlines of their own, these differ by less than this part. One
 /// that was told to come back has less left than that.
-const FIRST_PART: f64 = 0.8;
+const MIN_FIRST_RATIO: f64 = 0.8;
 /// How long a deadline counts among those that callers start with.
 const DEADLINE_MEMORY: Duration = Duration::from_secs(30);
 
@@ -50,14 +50,14 @@
             .get_or_insert_with(route.to_owned(), RouteDeadlines::default);
         count(&mut route.seen, left);
         let longest = route.longest_with(left, now);
-        let usual = route.seen.iter().filter(|held| held.count >= LEAST_COUNT);
+        let usual = route.seen.iter().filter(|held| held.count >= MIN_COUNT);
         let started = usual
             .map(|held| held.deadline)
             .filter(|deadline| *deadline >= left)
             .min();
         match started {
             Some(started) => started - left,
-            None if left < longest.mul_f64(FIRST_PART) => longest - left,
+            None if left < longest.mul_f64(MIN_FIRST_RATIO) => longest - left,
             None => Duration::ZERO,
         }
     }
--- a/src/edge/edge_host.rs
+++ b/src/edge/edge_host.rs
@@ -24,14 +24,14 @@
 use super::edge_state::EdgeState;
 use super::gossip_controller::run_gossip;
 use super::gossip_service::GossipService;
-use super::header_dialect::HeaderDialect;
-use super::leave_controller::leave;
-use super::operator_pages::serve_metrics;
-use super::operator_pages::serve_readiness;
+use super::header_names::HeaderNames;
+use super::operator_endpoints::serve_metrics;
+use super::operator_endpoints::serve_readiness;
 use super::settings_controller::follow_settings;
+use super::shutdown_controller::leave;
+use super::watch_controller::expire_stale;
 use super::watch_controller::follow_store;
-use super::watch_controller::prove_view;
-use super::watch_controller::tidy;
+use super::watch_controller::refresh_evidence;
 use crate::logs::DecisionLine;
 use crate::logs::DecisionLog;
 use crate::metrics::RequestMetrics;
@@ -45,7 +45,7 @@
 const PEER_KEY: &[u8] = b"cardamomgw edge hosts";
 /// The share of the descriptors that callers' connections may take; the rest is for
 /// targets, peers and files.
-const CALLER_SHARE: f64 = 0.6;
+const CALLER_DESCRIPTOR_RATIO: f64 = 0.6;
 /// How long to wait when no connection can be accepted: descriptors are gone, and
 /// asking again at once would only burn the processor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -55,7 +55,7 @@
     /// The settings.
     pub(crate) settings: EdgeSettings,
     /// The names of headers.
-    pub(crate) dialect: HeaderDialect,
+    pub(crate) header_names: HeaderNames,
     /// The store.
     pub(crate) source: Arc<dyn FleetSource>,
     /// Reads the settings again.
@@ -118,7 +118,7 @@
     ) -> io::Result<Self> {
         let settings = parts.settings;
         let requests = RequestMetrics::open().map_err(io::Error::other)?;
-        let state = EdgeState::new(settings.clone(), parts.dialect, log, requests);
+        let state = EdgeState::new(settings.clone(), parts.header_names, log, requests);
         let identity = PeerIdentity {
             host: settings.host.clone(),
             key: PEER_KEY.to_vec(),
@@ -128,7 +128,7 @@
         let seeds = settings.seeds.iter().copied();
         let seeds = seeds.filter(|seed| *seed != settings.peer_address);
         let mesh = PeerMesh::spawn(identity, seeds.collect());
-        let most = (settings.max_descriptors as f64 * CALLER_SHARE) as usize;
+        let most = (settings.max_descriptors as f64 * CALLER_DESCRIPTOR_RATIO) as usize;
         let addresses = EdgeAddresses {
             caller: listen(&state, settings.caller_address, most, serve_caller).await?,
             ready: listen(&state, settings.ready_address, most, serve_readiness).await?,
@@ -138,11 +138,14 @@
             },
         };
         let (reload, asked) = async_channel::bounded(1);
-        task::spawn(prove_view(Arc::clone(&state), Arc::clone(&parts.source)));
+        task::spawn(refresh_evidence(
+            Arc::clone(&state),
+            Arc::clone(&parts.source),
+        ));
         task::spawn(follow_store(Arc::clone(&state), parts.source));
         task::spawn(run_gossip(Arc::clone(&state), Arc::clone(&mesh)));
         task::spawn(follow_settings(Arc::clone(&state), parts.loader, asked));
-        task::spawn(tidy(Arc::clone(&state)));
+        task::spawn(expire_stale(Arc::clone(&state)));
         Ok(Self {
             state,
             reload,
--- a/src/edge/edge_settings.rs
+++ b/src/edge/edge_settings.rs
@@ -39,15 +39,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct EdgeBounds {
     /// How long the process has from the signal to leave to its end.
-    pub(crate) leave_grace: Duration,
+    pub(crate) shutdown_grace: Duration,
     /// How old the view of keys may be for a request with a key to run; `None`
     /// where a key that was taken away need not bind hosts that are cut off.
-    pub(crate) key_evidence: Option<Duration>,
+    pub(crate) max_key_age: Option<Duration>,
     /// Within which a new configuration must be in force.
-    pub(crate) configuration_delay: Duration,
+    pub(crate) max_configuration_delay: Duration,
     /// Within which a target that leaves, or whose availability zone is evacuated, must get
     /// no new work.
-    pub(crate) target_delay: Duration,
+    pub(crate) max_target_delay: Duration,
     /// Repeats by requests, over all hosts.
     pub(crate) retry_ratio: f64,
     /// Repeats beyond that in a window, over all hosts.
@@ -61,10 +61,10 @@
 impl Default for EdgeBounds {
     fn default() -> Self {
         Self {
-            leave_grace: Duration::from_secs(8),
-            key_evidence: Some(Duration::from_secs(5)),
-            configuration_delay: Duration::from_secs(2),
-            target_delay: Duration::from_secs(2),
+            shutdown_grace: Duration::from_secs(8),
+            max_key_age: Some(Duration::from_secs(5)),
+            max_configuration_delay: Duration::from_secs(2),
+            max_target_delay: Duration::from_secs(2),
             retry_ratio: 0.2,
             retry_slack: 10.0,
             retry_window: Duration::from_secs(10),
--- a/src/edge/edge_state.rs
+++ b/src/edge/edge_state.rs
@@ -12,14 +12,14 @@
 
 use arc_swap::ArcSwap;
 
+use super::connection_pool::ConnectionPool;
 use super::deadline_history::DeadlineHistory;
 use super::edge_metrics::EdgeMetrics;
 use super::edge_settings::EdgeSettings;
 use super::fleet_role::FleetRole;
-use super::fleet_role::KnownSize;
-use super::header_dialect::HeaderDialect;
-use super::local_digest::SentState;
-use super::target_links::TargetLinks;
+use super::fleet_role::PeerFleetSize;
+use super::gossip_builder::GossipCursors;
+use super::header_names::HeaderNames;
 use crate::clock::boot_now;
 use crate::dispatch::DispatchQueue;
 use crate::dispatch::PoolMember;
@@ -45,51 +45,51 @@
 /// What all requests and controllers of one host share.
 pub(crate) struct EdgeState {
     pub(crate) settings: ArcSwap<EdgeSettings>,
-    pub(crate) dialect: HeaderDialect,
+    pub(crate) header_names: HeaderNames,
     pub(crate) incarnation: IncarnationId,
     /// When the process started, on the boot clock.
     pub(crate) started: Duration,
     pub(crate) view: SharedView,
     pub(crate) queue: Arc<DispatchQueue>,
-    pub(crate) links: TargetLinks,
+    pub(crate) connections: ConnectionPool,
     pub(crate) poison: PoisonGuard,
     pub(crate) log: DecisionLog,
     pub(crate) metrics: EdgeMetrics,
     /// Histograms and answers by tier, class and account.
-    pub(crate) requests: Arc<RequestMetrics>,
+    pub(crate) request_metrics: Arc<RequestMetrics>,
     members: Mutex<MemberTable>,
-    schedule: Mutex<GossipSchedule>,
+    gossip_schedule: Mutex<GossipSchedule>,
     role: ArcSwap<FleetRole>,
-    known_size: Mutex<KnownSize>,
+    peer_fleet_size: Mutex<PeerFleetSize>,
     /// The hosts that report to this one, and when each did last.
-    reports: Mutex<SortedMap<HostName, Duration>>,
+    reporting_hosts: Mutex<SortedMap<HostName, Duration>>,
     /// How many hosts each peer knows.
-    known_by: Mutex<SortedMap<HostName, usize>>,
+    peer_host_count: Mutex<SortedMap<HostName, usize>>,
     /// Candidates that did not answer as leaders, and until when they are passed over.
-    passed_over: Mutex<SortedMap<HostName, Duration>>,
-    sent_state: Mutex<SentState>,
+    skipped_leaders: Mutex<SortedMap<HostName, Duration>>,
+    gossip_cursors: Mutex<GossipCursors>,
     deadlines: Mutex<DeadlineHistory>,
     /// The slots that hosts which report to this one may use.
     slot_grants: Mutex<SlotGrants>,
-    quotas: Mutex<QuotaLimiter>,
-    retries: Mutex<RetryBudget>,
+    quota_ledger: Mutex<QuotaLimiter>,
+    retry_budget: Mutex<RetryBudget>,
     /// Boot time in milliseconds of the signal to leave; 0 before it.
     leaving_since: AtomicU64,
     /// Whether requests are refused because the host is about to end.
-    entry_closed: AtomicBool,
-    running: AtomicUsize,
+    is_rejecting: AtomicBool,
+    active_requests: AtomicUsize,
 }
 
 /// Counts a request for as long as it is served.
-pub(crate) struct RunningGuard(Arc<EdgeState>);
+pub(crate) struct RequestGuard(Arc<EdgeState>);
 
 impl EdgeState {
     /// Puts a host's state together.
     pub(crate) fn new(
         settings: EdgeSettings,
-        dialect: HeaderDialect,
+        header_names: HeaderNames,
         log: DecisionLog,
-        requests: Arc<RequestMetrics>,
+        request_metrics: Arc<RequestMetrics>,
     ) -> Arc<Self> {
         let tolerance = settings.bounds.quota_tolerance;
         let started = boot_now();
@@ -100,30 +100,30 @@
         Arc::new(Self {
             queue: DispatchQueue::new(settings.availability_zone.clone()),
             members: Mutex::new(MemberTable::new(settings.host.clone())),
-            schedule: Mutex::new(GossipSchedule::new(settings.host.clone())),
+            gossip_schedule: Mutex::new(GossipSchedule::new(settings.host.clone())),
             role: ArcSwap::default(),
-            known_size: Mutex::default(),
-            reports: Mutex::default(),
-            known_by: Mutex::default(),
-            passed_over: Mutex::default(),
+            peer_fleet_size: Mutex::default(),
+            reporting_hosts: Mutex::default(),
+            peer_host_count: Mutex::default(),
+            skipped_leaders: Mutex::default(),
             deadlines: Mutex::default(),
             slot_grants: Mutex::default(),
-            sent_state: Mutex::default(),
+            gossip_cursors: Mutex::default(),
             settings: ArcSwap::from_pointee(settings),
-            dialect,
+            header_names,
             incarnation: rand::random(),
             started,
             view: SharedView::default(),
-            links: TargetLinks::default(),
+            connections: ConnectionPool::default(),
             poison: PoisonGuard::default(),
             log,
             metrics: EdgeMetrics::default(),
-            requests,
-            quotas: Mutex::new(QuotaLimiter::new(tolerance, hosts, started)),
-            retries: Mutex::default(),
+            request_metrics,
+            quota_ledger: Mutex::new(QuotaLimiter::new(tolerance, hosts, started)),
+            retry_budget: Mutex::default(),
             leaving_since: AtomicU64::new(0),
-            entry_closed: AtomicBool::new(false),
-            running: AtomicUsize::new(0),
+            is_rejecting: AtomicBool::new(false),
+            active_requests: AtomicUsize::new(0),
         })
     }
 
@@ -133,13 +133,13 @@
     }
 
     /// Gives access to the schedule of gossip; never held over a wait.
-    pub(crate) fn schedule(&self) -> MutexGuard<'_, GossipSchedule> {
-        lock(&self.schedule)
+    pub(crate) fn gossip_schedule(&self) -> MutexGuard<'_, GossipSchedule> {
+        lock(&self.gossip_schedule)
     }
 
     /// Gives access to the hosts that report to this one; never held over a wait.
-    pub(crate) fn reports(&self) -> MutexGuard<'_, SortedMap<HostName, Duration>> {
-        lock(&self.reports)
+    pub(crate) fn reporting_hosts(&self) -> MutexGuard<'_, SortedMap<HostName, Duration>> {
+        lock(&self.reporting_hosts)
     }
 
     /// Gives access to the granted slots; never held over a wait.
@@ -158,69 +158,69 @@
     }
 
     /// Returns the largest fleet that a peer knew lately.
-    pub(crate) fn known_size(&self) -> KnownSize {
-        *lock(&self.known_size)
+    pub(crate) fn peer_fleet_size(&self) -> PeerFleetSize {
+        *lock(&self.peer_fleet_size)
     }
 
     /// Notes how many hosts a peer knows.
-    pub(crate) fn note_fleet_size(&self, hosts: usize, grouped: bool, now: Duration) {
-        lock(&self.known_size).note(hosts, grouped, now);
+    pub(crate) fn record_fleet_size(&self, hosts: usize, grouped: bool, now: Duration) {
+        lock(&self.peer_fleet_size).note(hosts, grouped, now);
     }
 
     /// Returns how many hosts a peer knows, as it says itself.
-    pub(crate) fn known_by(&self, host: &str) -> usize {
-        lock(&self.known_by).get(host).copied().unwrap_or(0)
+    pub(crate) fn peer_host_count(&self, host: &str) -> usize {
+        lock(&self.peer_host_count).get(host).copied().unwrap_or(0)
     }
 
     /// Notes how many hosts a peer knows.
-    pub(crate) fn note_known_by(&self, host: &HostName, hosts: usize) {
-        lock(&self.known_by).insert(host.clone(), hosts);
+    pub(crate) fn record_host_count(&self, host: &HostName, hosts: usize) {
+        lock(&self.peer_host_count).insert(host.clone(), hosts);
     }
 
     /// Passes a candidate over until it may answer as a leader.
-    pub(crate) fn pass_over(&self, host: &HostName, until: Duration) {
-        lock(&self.passed_over).insert(host.clone(), until);
+    pub(crate) fn skip_leader(&self, host: &HostName, until: Duration) {
+        lock(&self.skipped_leaders).insert(host.clone(), until);
     }
 
     /// Tells whether a candidate is passed over.
-    pub(crate) fn is_passed_over(&self, host: &HostName, now: Duration) -> bool {
-        let mut passed = lock(&self.passed_over);
+    pub(crate) fn is_skipped_leader(&self, host: &HostName, now: Duration) -> bool {
+        let mut passed = lock(&self.skipped_leaders);
         passed.retain(|_, until| *until > now);
         passed.contains_key(host)
     }
 
     /// Gives access to what was told last; never held over a wait.
-    pub(crate) fn sent_state(&self) -> MutexGuard<'_, SentState> {
-        lock(&self.sent_state)
+    pub(crate) fn gossip_cursors(&self) -> MutexGuard<'_, GossipCursors> {
+        lock(&self.gossip_cursors)
     }
 
     /// Gives access to the quotas; never held over a wait.
-    pub(crate) fn quotas(&self) -> MutexGuard<'_, QuotaLimiter> {
-        lock(&self.quotas)
+    pub(crate) fn quota_ledger(&self) -> MutexGuard<'_, QuotaLimiter> {
+        lock(&self.quota_ledger)
     }
 
     /// Counts a repeat if all hosts together may still make one.
     pub(crate) fn try_retry(&self, pool: &str) -> bool {
         let bounds = self.settings.load().bounds.retry_bounds();
         let hosts = self.members().size();
-        lock(&self.retries).try_retry(pool, bounds, hosts, boot_now())
+        lock(&self.retry_budget).try_retry(pool, bounds, hosts, boot_now())
     }
 
     /// Tells whether all hosts together may make one more repeat.
     pub(crate) fn can_retry(&self, pool: &str) -> bool {
         let bounds = self.settings.load().bounds.retry_bounds();
         let hosts = self.members().size();
-        lock(&self.retries).can_retry(pool, bounds, hosts, boot_now())
+        lock(&self.retry_budget).can_retry(pool, bounds, hosts, boot_now())
     }
 
     /// Counts a request for a pool.
     pub(crate) fn note_request(&self, pool: &str) {
         let bounds = self.settings.load().bounds.retry_bounds();
-        lock(&self.retries).record_request(pool, bounds, boot_now());
+        lock(&self.retry_budget).record_request(pool, bounds, boot_now());
     }
 
     /// Notes what a caller of a route has left; returns how long it has waited already.
-    pub(crate) fn note_deadline(&self, route: &str, left: Duration) -> Duration {
+    pub(crate) fn record_deadline(&self, route: &str, left: Duration) -> Duration {
         lock(&self.deadlines).note(route, left, boot_now())
     }
 
@@ -240,8 +240,8 @@
     /// Guards against a host that is cut off, or was suspended: it would admitted a
     /// key that was taken away since. The age is taken on the boot clock, which
     /// counts a suspension.
-    pub(crate) fn knows_keys(&self) -> bool {
-        let bound = self.settings.load().bounds.key_evidence;
+    pub(crate) fn has_fresh_keys(&self) -> bool {
+        let bound = self.settings.load().bounds.max_key_age;
         match (bound, self.evidence_age()) {
             (None, age) => age.is_some(),
             (Some(bound), Some(age)) => age + EVIDENCE_MARGIN < bound,
@@ -250,14 +250,14 @@
     }
 
     /// Tells whether the view is young enough to say that a route or key is not there.
-    pub(crate) fn knows_absence(&self) -> bool {
-        let bound = self.settings.load().bounds.configuration_delay;
+    pub(crate) fn can_confirm_absence(&self) -> bool {
+        let bound = self.settings.load().bounds.max_configuration_delay;
         self.evidence_age().is_some_and(|age| age < bound * 2)
     }
 
     /// Tells whether the host should get new connections.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.view.catalog().is_some() && self.knows_keys()
+        !self.is_leaving() && self.view.catalog().is_some() && self.has_fresh_keys()
     }
 
     /// Begins to leave.
@@ -282,41 +282,41 @@
     }
 
     /// Returns how many hosts serve now, this one included.
-    pub(crate) fn live_hosts(&self) -> usize {
+    pub(crate) fn live_host_count(&self) -> usize {
         self.members().live_count(boot_now()) + 1
     }
 
     /// Returns how many of the hosts that serve now stand before this one in the
     /// order of their names.
-    pub(crate) fn earlier_hosts(&self) -> usize {
+    pub(crate) fn own_rank(&self) -> usize {
         let settings = self.settings.load();
         let names = self.members().live_names(boot_now());
         names.partition_point(|name| *name < settings.host)
     }
 
     /// Refuses requests from now on.
-    pub(crate) fn close_entry(&self) {
-        self.entry_closed.store(true, Ordering::Release);
+    pub(crate) fn stop_accepting(&self) {
+        self.is_rejecting.store(true, Ordering::Release);
     }
 
     /// Tells whether requests are admitted.
-    pub(crate) fn takes_requests(&self) -> bool {
-        !self.entry_closed.load(Ordering::Acquire)
+    pub(crate) fn accepts_requests(&self) -> bool {
+        !self.is_rejecting.load(Ordering::Acquire)
     }
 
     /// Counts a request until the guard is dropped.
-    pub(crate) fn enter_request(self: &Arc<Self>) -> RunningGuard {
-        self.running.fetch_add(1, Ordering::AcqRel);
-        RunningGuard(Arc::clone(self))
+    pub(crate) fn track_request(self: &Arc<Self>) -> RequestGuard {
+        self.active_requests.fetch_add(1, Ordering::AcqRel);
+        RequestGuard(Arc::clone(self))
     }
 
     /// Returns how many requests are served now.
-    pub(crate) fn running(&self) -> usize {
-        self.running.load(Ordering::Acquire)
+    pub(crate) fn active_requests(&self) -> usize {
+        self.active_requests.load(Ordering::Acquire)
     }
 
     /// Brings the table up to a change of the view, and writes it down.
-    pub(crate) fn take_change(&self, change: ViewChange, peer: Option<&HostName>) {
+    pub(crate) fn apply_change(&self, change: ViewChange, peer: Option<&HostName>) {
         if change.is_empty() {
             return;
         }
@@ -362,9 +362,9 @@
     }
 }
 
-impl Drop for RunningGuard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.running.fetch_sub(1, Ordering::AcqRel);
+        self.0.active_requests.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -11,26 +11,26 @@
 use crate::members::is_grouped;
 
 /// How long a layout of the groups is kept before it is made anew.
-const LAYOUT_AGE: Duration = Duration::from_millis(1000);
+const MAX_LAYOUT_AGE: Duration = Duration::from_millis(1000);
 /// The same on a host that has started lately and learns of others.
-const YOUNG_LAYOUT_AGE: Duration = Duration::from_millis(100);
+const STARTUP_LAYOUT_AGE: Duration = Duration::from_millis(100);
 /// How long a host waits for a first message about how many others there are.
-const FIRST_WORD_TIME: Duration = Duration::from_secs(1);
+const FIRST_GOSSIP_TIMEOUT: Duration = Duration::from_secs(1);
 /// For how long a host that was reported to acts as a leader.
-const REPORT_TIME: Duration = Duration::from_millis(1500);
+const REPORT_TTL: Duration = Duration::from_millis(1500);
 /// How long the size of the fleet that a peer knows counts.
-const SIZE_TIME: Duration = Duration::from_secs(3);
+const FLEET_SIZE_TTL: Duration = Duration::from_secs(3);
 /// The part of a known fleet that a host must know before it takes its place there.
-const KNOWN_PART: f64 = 0.9;
+const MIN_KNOWN_RATIO: f64 = 0.9;
 /// For how long a host waits at most until it knows that part.
-const LONGEST_JOIN: Duration = Duration::from_secs(5);
+const MAX_JOIN_TIME: Duration = Duration::from_secs(5);
 /// The age of the view of the targets from which a host polls the store that doesn't watch
 /// it, as a part of the bound on changes of targets; and by how much more of it the last
 /// turn waits. What is left is for the read.
-const POLL_PART: f64 = 0.6;
-const POLL_TURNS_PART: f64 = 0.15;
+const POLL_AGE_RATIO: f64 = 0.6;
+const POLL_RANK_RATIO: f64 = 0.15;
 /// How many turns there are in which hosts read what nobody else has.
-const MAX_TURNS: usize = 9;
+const MAX_READ_RANK: usize = 9;
 
 /// How a host reads the changes of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -62,7 +62,7 @@
 
 /// The largest fleet that a peer knew lately.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct KnownSize {
+pub(crate) struct PeerFleetSize {
     hosts: usize,
     grouped: bool,
     at: Duration,
@@ -70,15 +70,15 @@
 
 impl FleetRole {
     /// Tells whether the host has its place in a group.
-    pub(crate) const fn is_placed(&self) -> bool {
+    pub(crate) const fn is_grouped_member(&self) -> bool {
         self.layout.is_grouped() && !self.is_joining
     }
 }
 
-impl KnownSize {
+impl PeerFleetSize {
     /// Notes the size that a peer knows, and whether it has its place in a group.
     pub(crate) fn note(&mut self, hosts: usize, grouped: bool, now: Duration) {
-        let is_old = now.saturating_sub(self.at) >= SIZE_TIME;
+        let is_old = now.saturating_sub(self.at) >= FLEET_SIZE_TTL;
         if hosts >= self.hosts || is_old {
             *self = Self {
                 hosts,
@@ -89,7 +89,7 @@
     }
 
     fn get(self, now: Duration) -> (usize, bool) {
-        match now.saturating_sub(self.at) < SIZE_TIME {
+        match now.saturating_sub(self.at) < FLEET_SIZE_TTL {
             true => (self.hosts, self.grouped),
             false => (0, false),
         }
@@ -101,16 +101,16 @@
     pub(crate) fn refresh_role(&self) -> Arc<FleetRole> {
         let now = boot_now();
         let held = self.role();
-        let longest = match now.saturating_sub(self.started) < LONGEST_JOIN {
-            true => YOUNG_LAYOUT_AGE,
-            false => LAYOUT_AGE,
+        let longest = match now.saturating_sub(self.started) < MAX_JOIN_TIME {
+            true => STARTUP_LAYOUT_AGE,
+            false => MAX_LAYOUT_AGE,
         };
         if now.saturating_sub(held.made) < longest {
             return held;
         }
-        let role = Arc::new(self.make_role(&held, now));
+        let role = Arc::new(self.compute_role(&held, now));
         self.set_role(Arc::clone(&role));
-        let mut quotas = self.quotas();
+        let mut quotas = self.quota_ledger();
         quotas.set_grouped(role.layout.is_grouped(), now);
         quotas.set_host_count(role.layout.host_count(), now);
         let members = self.members();
@@ -127,7 +127,7 @@
         role
     }
 
-    fn make_role(&self, held: &FleetRole, now: Duration) -> FleetRole {
+    fn compute_role(&self, held: &FleetRole, now: Duration) -> FleetRole {
         let settings = self.settings.load();
         let own = LayoutHost {
             availability_zone: settings.availability_zone.clone(),
@@ -139,26 +139,27 @@
         let places = members.layout_hosts(now);
         drop(members);
         let known = places.len() + 1;
-        let (size, peers_grouped) = self.known_size().get(now);
+        let (size, peers_grouped) = self.peer_fleet_size().get(now);
         let grouped = is_grouped(size.max(known), held.layout.is_grouped() || peers_grouped);
         let layout = GroupLayout::new(&own, places, grouped);
         let age = now.saturating_sub(self.started);
-        let awaits_word = size == 0 && !settings.seeds.is_empty() && age < FIRST_WORD_TIME;
-        let knows_few = (known as f64) < size as f64 * KNOWN_PART;
-        let is_joining = age < LONGEST_JOIN && (knows_few || awaits_word);
+        let awaits_first_gossip =
+            size == 0 && !settings.seeds.is_empty() && age < FIRST_GOSSIP_TIMEOUT;
+        let knows_few = (known as f64) < size as f64 * MIN_KNOWN_RATIO;
+        let is_joining = age < MAX_JOIN_TIME && (knows_few || awaits_first_gossip);
         let own_group = layout.own_group();
         let leads = layout.leader_candidates(own_group).first() == Some(&&own.host);
         let turn = match (layout.is_grouped(), leads) {
-            (false, _) => self.earlier_hosts(),
+            (false, _) => self.own_rank(),
             (true, true) => own_group,
-            (true, false) => MAX_TURNS,
+            (true, false) => MAX_READ_RANK,
         };
         FleetRole {
             watches: !layout.is_grouped() && !is_joining,
             may_watch: layout.is_grouped() && layout.is_first_in_zone(own_group),
             leads,
             is_joining,
-            turn: turn.min(MAX_TURNS),
+            turn: turn.min(MAX_READ_RANK),
             layout,
             made: now,
         }
@@ -166,13 +167,13 @@
 
     /// Tells whether this host leads its group, or others report to it all the same.
     pub(crate) fn acts_as_leader(&self, role: &FleetRole) -> bool {
-        if !role.is_placed() {
+        if !role.is_grouped_member() {
             return false;
         }
         role.leads || {
             let now = boot_now();
-            let mut reports = self.reports();
-            reports.retain(|_, at| now.saturating_sub(*at) < REPORT_TIME);
+            let mut reports = self.reporting_hosts();
+            reports.retain(|_, at| now.saturating_sub(*at) < REPORT_TTL);
             !reports.is_empty()
         }
     }
@@ -183,16 +184,16 @@
     }
 
     /// Notes that a host reported to this one.
-    pub(crate) fn note_report(&self, host: &HostName, now: Duration) {
-        self.reports().insert(host.clone(), now);
+    pub(crate) fn record_report(&self, host: &HostName, now: Duration) {
+        self.reporting_hosts().insert(host.clone(), now);
     }
 
     /// Returns how many hosts watch the store.
-    pub(crate) fn watching_hosts(&self) -> usize {
+    pub(crate) fn watching_host_count(&self) -> usize {
         let role = self.role();
         match role.layout.is_grouped() {
             true => role.layout.own_share().zones.len(),
-            false => self.live_hosts(),
+            false => self.live_host_count(),
         }
     }
 
@@ -202,9 +203,9 @@
         if role.watches || role.may_watch && self.acts_as_leader(&role) {
             return StoreAccess::Watch;
         }
-        let delay = self.settings.load().bounds.target_delay;
-        let turn = role.turn as f64 / MAX_TURNS as f64;
-        let bound = delay.mul_f64(POLL_PART + POLL_TURNS_PART * turn);
+        let delay = self.settings.load().bounds.max_target_delay;
+        let turn = role.turn as f64 / MAX_READ_RANK as f64;
+        let bound = delay.mul_f64(POLL_AGE_RATIO + POLL_RANK_RATIO * turn);
         let age = self.view.view_age(boot_now());
         match age.is_none_or(|age| age >= bound) {
             true => StoreAccess::Poll,
--- a/src/edge/local_digest.rs
+++ b/src/edge/gossip_builder.rs
@@ -20,29 +20,29 @@
 
 /// How many other hosts each message names in turn. Who is there hardly changes, and all
 /// of them would be most of its bytes in a large fleet.
-const NOTES_A_MESSAGE: usize = 2;
+const NOTES_PER_MESSAGE: usize = 2;
 /// How many changes of targets a message carries at most: it must pass a narrow link to all
 /// hosts of a group in time.
-const CHANGES_A_MESSAGE: usize = 128;
+const MAX_CHANGES_PER_MESSAGE: usize = 128;
 /// How many hosts it names to one that knows few.
-const FIRST_NOTES: usize = 512;
+const BOOTSTRAP_NOTES: usize = 512;
 /// The part of the hosts that a peer must know to be named only those that changed.
-const KNOWN_PART: f64 = 0.8;
-/// Into how many messages the heartbeats of a whole fleet are divided.
-const SIGHTING_TURNS: usize = 8;
+const MIN_KNOWN_RATIO: f64 = 0.8;
+/// Into how many messages the sightings of a whole fleet are divided.
+const SIGHTING_ROUNDS: usize = 8;
 /// Until when a host has started lately.
-const YOUNG_AGE: Duration = Duration::from_secs(5);
+const STARTUP_AGE: Duration = Duration::from_secs(5);
 /// For how long a change is sent to a peer that was not sent anything before.
-const CHANGE_TIME: Duration = Duration::from_secs(6);
+const DEFAULT_CHANGE_WINDOW: Duration = Duration::from_secs(6);
 
 /// Tells whether a host of this age has started lately, and knows few others.
-pub(super) fn is_young(age: Duration) -> bool {
-    age < YOUNG_AGE
+pub(super) fn is_starting_up(age: Duration) -> bool {
+    age < STARTUP_AGE
 }
 
 /// What a message is made for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct MessageRequest<'r> {
+pub(crate) struct MessageOptions<'r> {
     /// The peer that gets it.
     pub(crate) receiver: &'r str,
     /// Whose usage and loads it tells.
@@ -59,17 +59,17 @@
 
 /// The loads that were last sent, and which members are named next.
 #[derive(Debug, Default)]
-pub(crate) struct SentState {
+pub(crate) struct GossipCursors {
     loads: Vec<TargetLoad>,
     version: LoadVersion,
-    note_turn: usize,
-    /// Which heartbeats each peer gets next.
-    sighting_turns: SortedMap<HostName, usize>,
+    note_offset: usize,
+    /// Which sightings each peer gets next.
+    sighting_offsets: SortedMap<HostName, usize>,
 }
 
-impl SentState {
+impl GossipCursors {
     /// Takes the loads of now; returns their version.
-    fn take_loads(&mut self, loads: &[TargetLoad]) -> LoadVersion {
+    fn update_loads(&mut self, loads: &[TargetLoad]) -> LoadVersion {
         if self.loads != loads {
             self.loads = loads.to_vec();
             self.version += 1;
@@ -77,15 +77,15 @@
         self.version
     }
 
-    fn take_note_turn(&mut self, count: usize) -> usize {
-        let turn = self.note_turn;
-        self.note_turn = turn.wrapping_add(count);
+    fn next_note_offset(&mut self, count: usize) -> usize {
+        let turn = self.note_offset;
+        self.note_offset = turn.wrapping_add(count);
         turn
     }
 
-    fn take_sighting_turn(&mut self, receiver: &str, count: usize) -> usize {
+    fn next_sighting_offset(&mut self, receiver: &str, count: usize) -> usize {
         let next = self
-            .sighting_turns
+            .sighting_offsets
             .get_or_insert_with(receiver.to_owned(), || 0);
         let turn = *next;
         *next = turn.wrapping_add(count);
@@ -97,25 +97,30 @@
     /// Returns the version of what this host runs at each target.
     pub(crate) fn load_version(&self) -> LoadVersion {
         let loads = self.queue.lock_table().own_loads();
-        self.sent_state().take_loads(&loads)
+        self.gossip_cursors().update_loads(&loads)
     }
 
     /// Returns a message for a peer, and the version of this host's loads.
-    pub(crate) fn message_for(&self, request: MessageRequest<'_>) -> (GossipMessage, LoadVersion) {
+    pub(crate) fn build_message(
+        &self,
+        request: MessageOptions<'_>,
+    ) -> (GossipMessage, LoadVersion) {
         let now = boot_now();
         let version = self.load_version();
         let life = now.saturating_sub(self.started);
-        let new = request.new || is_young(life);
-        let since = request.since.unwrap_or(now.saturating_sub(CHANGE_TIME));
+        let new = request.new || is_starting_up(life);
+        let since = request
+            .since
+            .unwrap_or(now.saturating_sub(DEFAULT_CHANGE_WINDOW));
         let (revision, catalog) = self.view.held_versions();
         let (usage, unresponsive) = self.usage_for(request, new, now);
         let message = GossipMessage {
             own: self.own_note(),
             uptime_ms: life.as_millis() as u64,
-            hosts: self.live_hosts() as u16,
-            grouped: self.role().is_placed(),
-            members: self.some_notes(request, since, now),
-            heartbeats: self.some_sightings(request, now),
+            hosts: self.live_host_count() as u16,
+            grouped: self.role().is_grouped_member(),
+            members: self.select_notes(request, since, now),
+            heartbeats: self.select_sightings(request, now),
             revision,
             complete_revision: self.view.revision(),
             catalog,
@@ -147,7 +152,7 @@
         }
         let update = self.view.update_since(message.complete_revision)?;
         let changes = update.targets.len() + update.removals.len();
-        (changes <= CHANGES_A_MESSAGE).then(|| Box::new(update))
+        (changes <= MAX_CHANGES_PER_MESSAGE).then(|| Box::new(update))
     }
 
     /// Grants a host of the group its part of the shard's slots.
@@ -176,11 +181,11 @@
 
     fn usage_for(
         &self,
-        request: MessageRequest<'_>,
+        request: MessageOptions<'_>,
         all: bool,
         now: Duration,
     ) -> (Vec<AccountUsage>, UnresponsiveHosts) {
-        let mut ledger = self.quotas();
+        let mut ledger = self.quota_ledger();
         match request.scope {
             None => (Vec::new(), UnresponsiveHosts::default()),
             Some(UsageScope::Host) => (ledger.own_usage(all, now), UnresponsiveHosts::default()),
@@ -189,7 +194,7 @@
         }
     }
 
-    fn loads_for(&self, request: MessageRequest<'_>) -> Option<Vec<TargetLoad>> {
+    fn loads_for(&self, request: MessageOptions<'_>) -> Option<Vec<TargetLoad>> {
         let table = self.queue.lock_table();
         Some(match request.scope? {
             UsageScope::Host => table.own_loads(),
@@ -200,46 +205,46 @@
 
     /// Returns notes of hosts that changed since the last exchange, and of some others,
     /// others each time.
-    fn some_notes(
+    fn select_notes(
         &self,
-        request: MessageRequest<'_>,
+        request: MessageOptions<'_>,
         since: Duration,
         now: Duration,
     ) -> Vec<MemberRecord> {
         let members = self.members();
         let known = (members.live_count(now) + 1) as f64;
-        if (request.peer_hosts as f64) < known * KNOWN_PART {
-            return members.records_from(0, FIRST_NOTES, now);
+        if (request.peer_hosts as f64) < known * MIN_KNOWN_RATIO {
+            return members.records_from(0, BOOTSTRAP_NOTES, now);
         }
-        let turn = self.sent_state().take_note_turn(NOTES_A_MESSAGE);
-        let mut notes = members.records_from(turn, NOTES_A_MESSAGE, now);
+        let turn = self.gossip_cursors().next_note_offset(NOTES_PER_MESSAGE);
+        let mut notes = members.records_from(turn, NOTES_PER_MESSAGE, now);
         notes.extend(members.changed_records(since, now));
         notes
     }
 
     /// Returns when hosts were seen: those that report here, or some of all.
-    fn some_sightings(&self, request: MessageRequest<'_>, now: Duration) -> Vec<HeartbeatAge> {
+    fn select_sightings(&self, request: MessageOptions<'_>, now: Duration) -> Vec<HeartbeatAge> {
         match request.scope {
             None | Some(UsageScope::Host) => Vec::new(),
-            Some(UsageScope::Group) => self.reporters(now),
+            Some(UsageScope::Group) => self.reporter_sightings(now),
             Some(UsageScope::Fleet) => {
                 let members = self.members();
-                let count = members.size().div_ceil(SIGHTING_TURNS);
-                let mut sent = self.sent_state();
-                let turn = sent.take_sighting_turn(request.receiver, count);
+                let count = members.size().div_ceil(SIGHTING_ROUNDS);
+                let mut sent = self.gossip_cursors();
+                let turn = sent.next_sighting_offset(request.receiver, count);
                 members.heartbeats(turn, count, now)
             }
         }
     }
 
     /// Returns the hosts that report to this one, itself included.
-    fn reporters(&self, now: Duration) -> Vec<HeartbeatAge> {
+    fn reporter_sightings(&self, now: Duration) -> Vec<HeartbeatAge> {
         let own = HeartbeatAge {
             host: hash_host(&self.settings.load().host),
             age_ms: 0,
         };
         let mut heartbeats = vec![own];
-        let reports = self.reports();
+        let reports = self.reporting_hosts();
         heartbeats.extend(reports.iter().map(|(host, at)| HeartbeatAge {
             host: hash_host(host),
             age_ms: now.saturating_sub(*at).as_millis() as u32,
--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -15,11 +15,11 @@
 
 use super::edge_state::EdgeState;
 use super::fleet_role::FleetRole;
+use super::gossip_builder::MessageOptions;
 use super::gossip_merge::merge_members;
 use super::gossip_merge::merge_message;
-use super::local_digest::MessageRequest;
+use super::view_fetcher::PeerViewState;
 use super::view_fetcher::ViewFetcher;
-use super::view_fetcher::ViewMark;
 use super::view_logger::ViewLogger;
 use crate::clock::boot_now;
 use crate::ids::HostName;
@@ -36,11 +36,11 @@
 /// How often due peers are looked for in a small fleet, and loads that changed are sent.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(100);
 /// The same until a peer, or the store, has given this host a view.
-const FIRST_PERIOD: Duration = Duration::from_millis(25);
+const BOOTSTRAP_PERIOD: Duration = Duration::from_millis(25);
 /// The same in a large fleet.
 const GROUP_PERIOD: Duration = Duration::from_millis(200);
 /// After how many periods peers gossip though no load changed: a heartbeat.
-const QUIET_PERIODS: u32 = 4;
+const HEARTBEAT_PERIODS: u32 = 4;
 /// How often a member reports to its leader while requests wait: its part of the slots is
 /// worked out by what all members want.
 const BUSY_REPORT_PERIOD: Duration = Duration::from_millis(100);
@@ -51,13 +51,13 @@
 /// How long a peer may take to answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// How many of a group's candidates a member keeps connections to.
-const KEPT_CANDIDATES: usize = 2;
+const CONNECTED_CANDIDATES: usize = 2;
 /// How many dead hosts a host tries to reach at a time, and for how long: a cut that heals
 /// must be noticed.
-const DEAD_LINKS: usize = 4;
-const DEAD_TURN: Duration = Duration::from_secs(2);
+const DEAD_HOST_PROBES: usize = 4;
+const DEAD_PROBE_PERIOD: Duration = Duration::from_secs(2);
 /// How long a candidate that did not answer as a leader is passed over.
-const PASS_OVER_TIME: Duration = Duration::from_secs(2);
+const LEADER_SKIP_TIME: Duration = Duration::from_secs(2);
 
 /// What the exchanges of one host share.
 struct GossipSender {
@@ -81,7 +81,7 @@
     loop {
         let role = sender.state.role();
         task::sleep(match role.layout.is_grouped() {
-            _ if sender.state.view.catalog().is_none() => FIRST_PERIOD,
+            _ if sender.state.view.catalog().is_none() => BOOTSTRAP_PERIOD,
             true if sender.state.has_waiting() => BUSY_REPORT_PERIOD,
             true => GROUP_PERIOD,
             false => GOSSIP_PERIOD,
@@ -91,8 +91,8 @@
         let connected = sender.mesh.connected_peers();
         logger.look(&sender.state, &connected);
         let peers = sender.choose_peers(&role, &connected);
-        sender.refresh_links(&role, &peers, &mut linked);
-        sender.call_due(&role, &peers, &connected);
+        sender.refresh_connections(&role, &peers, &mut linked);
+        sender.call_due_peers(&role, &peers, &connected);
     }
 }
 
@@ -107,10 +107,10 @@
             return connected.iter().cloned().map(joining_peer).collect();
         }
         let is_usable = |host: &&HostName| {
-            connected.binary_search(host).is_ok() && !self.state.is_passed_over(host, boot_now())
+            connected.binary_search(host).is_ok() && !self.state.is_skipped_leader(host, boot_now())
         };
         match self.state.acts_as_leader(role) {
-            true => self.leaders_of_others(&role.layout, is_usable),
+            true => self.other_leaders(&role.layout, is_usable),
             false => {
                 let candidates = role.layout.leader_candidates(role.layout.own_group());
                 let leader = candidates.into_iter().find(is_usable);
@@ -125,7 +125,7 @@
     }
 
     /// Returns the leaders of all other groups.
-    fn leaders_of_others(
+    fn other_leaders(
         &self,
         layout: &GroupLayout,
         is_usable: impl Fn(&&HostName) -> bool,
@@ -135,7 +135,7 @@
             let candidates = layout.leader_candidates(group);
             candidates
                 .into_iter()
-                .take(KEPT_CANDIDATES)
+                .take(CONNECTED_CANDIDATES)
                 .find(&is_usable)
         });
         let peers = leaders.cloned().map(|host| GossipPeer {
@@ -149,23 +149,28 @@
     }
 
     /// Keeps connections to those that this host calls, or may have to.
-    fn refresh_links(&self, role: &FleetRole, peers: &[GossipPeer], linked: &mut Vec<HostName>) {
+    fn refresh_connections(
+        &self,
+        role: &FleetRole,
+        peers: &[GossipPeer],
+        linked: &mut Vec<HostName>,
+    ) {
         let now = boot_now();
         let settings = self.state.settings.load();
         let mut wanted = match role.layout.is_grouped() {
-            true => self.group_links(role),
+            true => self.group_connections(role),
             false if role.is_joining => Vec::new(),
-            false => self.mesh_links(now),
+            false => self.mesh_connections(now),
         };
         let members = self.state.members();
-        let turn = (now.as_millis() / DEAD_TURN.as_millis()) as usize * DEAD_LINKS;
-        wanted.extend(members.dead_names(turn, DEAD_LINKS, now));
+        let turn = (now.as_millis() / DEAD_PROBE_PERIOD.as_millis()) as usize * DEAD_HOST_PROBES;
+        wanted.extend(members.dead_names(turn, DEAD_HOST_PROBES, now));
         wanted.extend(peers.iter().map(|peer| peer.host.clone()));
         wanted.retain(|host| *host != settings.host);
         wanted.sort();
         wanted.dedup();
         self.state
-            .schedule()
+            .gossip_schedule()
             .retain(|host| wanted.iter().any(|name| name == host) || !role.layout.is_grouped());
         let needs_seeds = !role.layout.is_grouped() || role.is_joining || peers.is_empty();
         if wanted == *linked && self.mesh.keeps_seeds() == needs_seeds {
@@ -180,13 +185,13 @@
     }
 
     /// Returns the hosts of a small fleet to which connections are kept up.
-    fn mesh_links(&self, now: Duration) -> Vec<HostName> {
+    fn mesh_connections(&self, now: Duration) -> Vec<HostName> {
         let live = self.state.members().live_names(now);
-        let mut schedule = self.state.schedule();
+        let mut schedule = self.state.gossip_schedule();
         schedule.wanted_connections(live.iter(), now)
     }
 
-    fn group_links(&self, role: &FleetRole) -> Vec<HostName> {
+    fn group_connections(&self, role: &FleetRole) -> Vec<HostName> {
         let layout = &role.layout;
         let groups = match self.state.acts_as_leader(role) {
             true => 0..layout.group_count(),
@@ -195,13 +200,18 @@
         let mut wanted = Vec::new();
         for group in groups {
             let candidates = layout.leader_candidates(group).into_iter();
-            wanted.extend(candidates.take(KEPT_CANDIDATES).cloned());
+            wanted.extend(candidates.take(CONNECTED_CANDIDATES).cloned());
         }
         wanted
     }
 
     /// Calls the peers that are due.
-    fn call_due(self: &Arc<Self>, role: &FleetRole, peers: &[GossipPeer], connected: &[HostName]) {
+    fn call_due_peers(
+        self: &Arc<Self>,
+        role: &FleetRole,
+        peers: &[GossipPeer],
+        connected: &[HostName],
+    ) {
         let now = boot_now();
         let version = self.state.load_version();
         let scope = match self.state.acts_as_leader(role) {
@@ -209,18 +219,20 @@
             false => UsageScope::Host,
         };
         if scope == UsageScope::Group {
-            self.take_own_share(now);
+            self.grant_own_slots(now);
         }
-        let due = self.state.schedule().due(peers, version, now);
+        let due = self.state.gossip_schedule().due(peers, version, now);
         let due = due.into_iter();
         for peer in due.filter(|peer| connected.binary_search(&peer.host).is_ok()) {
-            self.state.schedule().record_call_start(&peer.host, now);
+            self.state
+                .gossip_schedule()
+                .record_call_start(&peer.host, now);
             task::spawn(Arc::clone(self).call(peer, scope));
         }
     }
 
     /// Divides the slots of the shard for this host itself, as for those that report to it.
-    fn take_own_share(&self, now: Duration) {
+    fn grant_own_slots(&self, now: Duration) {
         let host = self.state.settings.load().host.clone();
         let demands = self.state.queue.lock_table().slot_demands();
         self.state.slot_grants().update_demands(&host, demands, now);
@@ -231,13 +243,13 @@
     /// Makes one exchange.
     async fn call(self: Arc<Self>, peer: DuePeer, scope: UsageScope) {
         let begun = boot_now();
-        let since = self.state.schedule().last_exchange(&peer.host);
-        let (message, version) = self.state.message_for(MessageRequest {
+        let since = self.state.gossip_schedule().last_exchange(&peer.host);
+        let (message, version) = self.state.build_message(MessageOptions {
             receiver: &peer.host,
             scope: Some(scope),
             near: peer.sends_loads,
             new: peer.is_first_exchange,
-            peer_hosts: self.state.known_by(&peer.host),
+            peer_hosts: self.state.peer_host_count(&peer.host),
             since,
         });
         let call = PeerCall::Gossip(Box::new(message));
@@ -248,20 +260,20 @@
             Ok(_) => return self.fail_exchange(&peer.host, "another reply"),
             Err(error) => return self.fail_exchange(&peer.host, &error.to_string()),
         };
-        self.note_success(&peer.host);
+        self.record_success(&peer.host);
         self.state
-            .schedule()
+            .gossip_schedule()
             .record_call_end(&peer.host, Some(version));
-        if self.state.role().is_placed() && received.scope.is_none() {
+        if self.state.role().is_grouped_member() && received.scope.is_none() {
             // It is no leader: it joins or leaves, or knows other hosts.
             self.state
-                .pass_over(&peer.host, boot_now() + PASS_OVER_TIME);
+                .skip_leader(&peer.host, boot_now() + LEADER_SKIP_TIME);
         }
         let update = received.update.take();
-        let mark = ViewMark::of(&received);
+        let mark = PeerViewState::of(&received);
         let is_usable = match (scope, received.scope) {
             // A leader's word for all others counts for those that report to it.
-            (UsageScope::Host, Some(UsageScope::Fleet)) => self.state.role().is_placed(),
+            (UsageScope::Host, Some(UsageScope::Fleet)) => self.state.role().is_grouped_member(),
             (sent, answered) => answered == Some(sent),
         };
         match is_usable {
@@ -270,20 +282,20 @@
         }
         // The age comes before the view: what the view lacks may have lapsed only
         // because the store was away, and the age says whether it was.
-        self.take_mark(mark, begun);
+        self.record_view_state(mark, begun);
         if let Some(update) = update {
             self.fetcher.take_update(*update, &peer.host);
         }
         self.fetcher.catch_up(&peer.host, mark).await;
         // It counts only for what is held, which may be more now.
-        self.take_mark(mark, begun);
+        self.record_view_state(mark, begun);
     }
 
     /// Ends an exchange that failed, and passes the peer over for a while.
     fn fail_exchange(&self, peer: &HostName, reason: &str) {
         let state = &self.state;
-        state.schedule().record_call_end(peer, None);
-        state.pass_over(peer, boot_now() + PASS_OVER_TIME);
+        state.gossip_schedule().record_call_end(peer, None);
+        state.skip_leader(peer, boot_now() + LEADER_SKIP_TIME);
         let mut failing = self.failing();
         if let Err(index) = failing.binary_search(peer) {
             failing.insert(index, peer.clone());
@@ -296,7 +308,7 @@
     }
 
     /// Notes that an exchange succeeded.
-    fn note_success(&self, peer: &HostName) {
+    fn record_success(&self, peer: &HostName) {
         let mut failing = self.failing();
         if let Ok(index) = failing.binary_search(peer) {
             let peer = failing.remove(index);
@@ -312,7 +324,7 @@
     ///
     /// It was given after the call began, so the peer's view was the store's at this
     /// moment or later.
-    fn take_mark(&self, mark: ViewMark, begun: Duration) {
+    fn record_view_state(&self, mark: PeerViewState, begun: Duration) {
         let view = &self.state.view;
         let shown = |age_ms: u64| begun.saturating_sub(Duration::from_millis(age_ms));
         if let Some(age) = mark.evidence_age_ms {
@@ -330,7 +342,7 @@
     let peers = peers.map(|host| GossipPeer {
         host,
         active_interval: GOSSIP_PERIOD,
-        idle_interval: GOSSIP_PERIOD * QUIET_PERIODS,
+        idle_interval: GOSSIP_PERIOD * HEARTBEAT_PERIODS,
         initiator: CallInitiator::ByHash,
         sends_loads: true,
     });
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::edge_state::EdgeState;
-use super::local_digest::MessageRequest;
-use super::local_digest::is_young;
+use super::gossip_builder::MessageOptions;
+use super::gossip_builder::is_starting_up;
 use crate::clock::boot_now;
 use crate::logs::DecisionLine;
 use crate::members::GossipMessage;
@@ -14,20 +14,21 @@
 use crate::quota::UsageScope;
 
 /// Takes a peer's message in, and returns this host's.
-pub(crate) fn answer_gossip(state: &Arc<EdgeState>, message: GossipMessage) -> GossipMessage {
+pub(crate) fn handle_gossip(state: &Arc<EdgeState>, message: GossipMessage) -> GossipMessage {
     let peer = message.own.host.clone();
     let now = boot_now();
     let role = state.role();
     let near = message.loads.is_some();
     let peer_hosts = usize::from(message.hosts);
-    let new = is_young(Duration::from_millis(message.uptime_ms)) || state.schedule().is_new(&peer);
-    let since = state.schedule().last_exchange(&peer);
+    let new = is_starting_up(Duration::from_millis(message.uptime_ms))
+        || state.gossip_schedule().is_new(&peer);
+    let since = state.gossip_schedule().last_exchange(&peer);
     let update = state.update_for(&message);
     let (revision, catalog) = state.view.held_versions();
     let is_ahead = message.revision > revision || message.catalog > catalog;
-    let placed = role.is_placed() && message.grouped;
+    let placed = role.is_grouped_member() && message.grouped;
     if placed && message.scope == Some(UsageScope::Host) && !message.own.leaving {
-        state.note_report(&peer, now);
+        state.record_report(&peer, now);
     }
     let leads = placed && !state.is_leaving() && state.acts_as_leader(&role);
     let is_mesh = !role.layout.is_grouped() && !message.grouped;
@@ -41,7 +42,7 @@
         Some(_) => merge_message(state, message),
         None => merge_members(state, &message),
     }
-    let (mut own, version) = state.message_for(MessageRequest {
+    let (mut own, version) = state.build_message(MessageOptions {
         peer_hosts,
         receiver: &peer,
         scope,
@@ -50,7 +51,7 @@
         since,
     });
     own.update = update;
-    let mut schedule = state.schedule();
+    let mut schedule = state.gossip_schedule();
     schedule.record_answered_call(&peer, version, now);
     if is_ahead && scope == Some(UsageScope::Group) {
         schedule.expedite(&peer);
@@ -84,13 +85,13 @@
         },
         covered: match scope {
             UsageScope::Host => vec![crate::members::hash_host(&host)],
-            UsageScope::Group => hashes_of(&message.heartbeats),
+            UsageScope::Group => host_hashes(&message.heartbeats),
             UsageScope::Fleet => Vec::new(),
         },
         accounts: message.usage,
         unresponsive: message.unresponsive,
     };
-    let mut quotas = state.quotas();
+    let mut quotas = state.quota_ledger();
     quotas.record_report(host.clone(), report, now);
     if message.own.leaving {
         quotas.mark_departed(&host);
@@ -117,10 +118,10 @@
         members.apply_heartbeat(*sighting, now);
     }
     drop(members);
-    state.note_known_by(&message.own.host, usize::from(message.hosts));
+    state.record_host_count(&message.own.host, usize::from(message.hosts));
     state.poison.merge(&message.poison);
     merge_limits(state, message);
-    state.note_fleet_size(usize::from(message.hosts), message.grouped, now);
+    state.record_fleet_size(usize::from(message.hosts), message.grouped, now);
 }
 
 /// Takes in the limits of targets that a peer knows of.
@@ -139,6 +140,6 @@
     }
 }
 
-fn hashes_of(heartbeats: &[HeartbeatAge]) -> Vec<u32> {
+fn host_hashes(heartbeats: &[HeartbeatAge]) -> Vec<u32> {
     heartbeats.iter().map(|sighting| sighting.host).collect()
 }
--- a/src/edge/gossip_service.rs
+++ b/src/edge/gossip_service.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 
 use super::edge_state::EdgeState;
-use super::gossip_merge::answer_gossip;
+use super::gossip_merge::handle_gossip;
 use crate::errors::ErrorKind;
 use crate::ids::CatalogVersion;
 use crate::ids::HostName;
@@ -42,7 +42,7 @@
     fn answer(&self, call: PeerCall) -> PeerReply {
         match call {
             PeerCall::Gossip(message) => {
-                PeerReply::Gossip(Box::new(answer_gossip(&self.state, *message)))
+                PeerReply::Gossip(Box::new(handle_gossip(&self.state, *message)))
             }
             // Hosts that serve routes keep neither seats nor documents.
             _ => PeerReply::Refused {
--- a/src/edge/header_dialect.rs
+++ b/src/edge/header_names.rs
@@ -2,7 +2,7 @@
 
 /// The names of the headers that the host reads and sets.
 #[derive(Clone, Debug)]
-pub(crate) struct HeaderDialect {
+pub(crate) struct HeaderNames {
     /// The id of one attempt of a caller; targets echo it.
     pub(crate) request_id: String,
     /// How many milliseconds the caller, and so a target, has left.
--- a/src/edge/operator_pages.rs
+++ b/src/edge/operator_endpoints.rs
@@ -4,9 +4,9 @@
 
 use async_std::net::TcpStream;
 
-use super::answer_writer::write_bytes;
-use super::caller_link::CallerLink;
+use super::caller_connection::CallerConnection;
 use super::edge_state::EdgeState;
+use super::response_writer::write_bytes;
 use crate::catalog::CallerLimits;
 use crate::metrics::MetricsError;
 
@@ -29,7 +29,7 @@
 }
 
 async fn serve_page(stream: TcpStream, page: impl Fn() -> (u16, String)) {
-    let mut caller = CallerLink::new(stream);
+    let mut caller = CallerConnection::new(stream);
     while let Ok(Some(_)) = caller.next_request(CallerLimits::default()).await {
         let (status, body) = page();
         let reason = match status {
@@ -61,12 +61,12 @@
         ("store_revision", revision),
         ("evidence_age_ms", age),
         ("view_age_ms", state.view_age_ms().unwrap_or(0)),
-        ("members_live", state.live_hosts() as u64),
-        ("requests_running", state.running() as u64),
-        ("target_connections_kept", state.links.kept() as u64),
+        ("members_live", state.live_host_count() as u64),
+        ("requests_running", state.active_requests() as u64),
+        ("target_connections_kept", state.connections.kept() as u64),
         ("log_lines_left_out_total", left_out),
         ("log_lines_dropped_total", dropped),
     ]);
-    text.push_str(&state.requests.text()?);
+    text.push_str(&state.request_metrics.text()?);
     Ok(text)
 }
--- a/src/edge/quota_filter.rs
+++ b/src/edge/quota_filter.rs
@@ -12,8 +12,8 @@
 /// When a caller may come back that asked beyond its account's allowance, in objectives
 /// of its route: soon enough that its second try can still be in time, and spread, so
 /// that those refused together don't come back together.
-const LEAST_RETURN: f64 = 0.2;
-const RETURN_SPREAD: f64 = 0.3;
+const MIN_RETRY_RATIO: f64 = 0.2;
+const RETRY_JITTER: f64 = 0.3;
 
 /// Counts a request against its account's allowance.
 ///
@@ -41,12 +41,12 @@
         cost,
     };
     let verdict = state
-        .quotas()
+        .quota_ledger()
         .try_consume(account, request, boot_now(), rand::random());
     match verdict {
         QuotaDecision::Admitted => Ok(()),
         QuotaDecision::Rejected => {
-            let spread = LEAST_RETURN + RETURN_SPREAD * rand::random::<f64>();
+            let spread = MIN_RETRY_RATIO + RETRY_JITTER * rand::random::<f64>();
             let wait = routed.objective.mul_f64(spread);
             Err((EdgeRefusal::after(ErrorKind::AccountLimit, wait), cost))
         }
--- a/src/edge/run_report.rs
+++ b/src/edge/request_reporting.rs
@@ -1,14 +1,14 @@
 //! What is counted and written down of a request on its way.
 
 use super::edge_metrics::count;
-use super::request_run::RequestRun;
+use super::request_execution::RequestExecution;
 use crate::errors::RequestOutcome;
 use crate::ids::TargetName;
 use crate::logs::DecisionLine;
 
-impl RequestRun<'_> {
+impl RequestExecution<'_> {
     /// Counts and writes down a send.
-    pub(super) fn write_sent(&self, target: &TargetName) {
+    pub(super) fn report_sent(&self, target: &TargetName) {
         let state = self.state;
         let waited = self.routed.age();
         count(&state.metrics.sends);
@@ -40,7 +40,7 @@
     }
 
     /// Writes down a send that brought no whole answer.
-    pub(super) fn write_failure(&self, target: &TargetName, cause: &str, again: bool) {
+    pub(super) fn report_failure(&self, target: &TargetName, cause: &str, again: bool) {
         self.state.log.write(&DecisionLine::SendFailed {
             request: self.routed.id.clone(),
             target: target.clone(),
@@ -51,18 +51,23 @@
     }
 
     /// Counts and writes down a target's whole answer.
-    pub(super) fn write_served(&self, target: &TargetName, status: u16) {
+    pub(super) fn report_served(&self, target: &TargetName, status: u16) {
         count(&self.state.metrics.answered);
         if !self.progress.began {
             // A plain answer begins as it ends.
             self.routed.series.record_first_token(self.routed.age());
         }
         self.state.poison.record_success(self.routed.fingerprint);
-        self.write_answered(target, status, RequestOutcome::Done);
+        self.report_answered(target, status, RequestOutcome::Done);
     }
 
     /// Counts and writes down what a target answered, be it a failure.
-    pub(super) fn write_answered(&self, target: &TargetName, status: u16, outcome: RequestOutcome) {
+    pub(super) fn report_answered(
+        &self,
+        target: &TargetName,
+        status: u16,
+        outcome: RequestOutcome,
+    ) {
         let total = self.routed.age();
         let first = self.progress.first_at().map_or(total, |first| {
             first.saturating_sub(self.routed.request.arrived)
--- a/src/edge/answer_relay.rs
+++ b/src/edge/response_relay.rs
@@ -7,15 +7,15 @@
 use async_std::task;
 use futures_lite::future::or;
 
-use super::answer_writer::AnswerFraming;
-use super::answer_writer::frame_end;
-use super::answer_writer::frame_piece;
-use super::answer_writer::relayed_head;
-use super::answer_writer::stream_framing;
-use super::answer_writer::write_bytes;
-use super::caller_link::CallerLink;
+use super::caller_connection::CallerConnection;
 use super::event_splitter::EventSplitter;
-use super::send_end::LossCause;
+use super::response_writer::ResponseFraming;
+use super::response_writer::frame_chunk;
+use super::response_writer::frame_end;
+use super::response_writer::response_head_from;
+use super::response_writer::stream_framing;
+use super::response_writer::write_bytes;
+use super::send_outcome::LossCause;
 use super::target_call::CallError;
 use super::target_call::TargetCall;
 use crate::clock::boot_now;
@@ -30,7 +30,7 @@
 
 /// How a stream's relay ended.
 #[derive(Debug)]
-pub(crate) enum RelayEnd {
+pub(crate) enum RelayOutcome {
     /// The answer is whole at the caller.
     Whole,
     /// The caller left.
@@ -42,7 +42,7 @@
 }
 
 /// What one turn of the relay brought.
-enum RelayTurn {
+enum RelayEvent {
     Target(Result<bool, CallError>),
     CallerGone,
     TimeOver,
@@ -60,12 +60,12 @@
     longest_pause: Duration,
     arrived: Duration,
     series: Arc<RequestSeries>,
-    framing: Option<AnswerFraming>,
+    framing: Option<ResponseFraming>,
 }
 
 /// When the relay of a stream gives up.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RelayBounds {
+pub(crate) struct RelayLimits {
     /// When the request's time is over, on the boot clock.
     pub(crate) deadline: Duration,
     /// How long the target may say nothing before another one is asked to go on; `None`
@@ -103,18 +103,18 @@
         self.longest_pause
     }
 
-    /// Passes events on as they come. A silent target is left only where `can_move` says that
+    /// Passes events on as they come. A silent target is left only where `can_resume` says that
     /// another one has room for the rest. The head goes out with the first one: until
     /// then another target can still answer.
     pub(crate) async fn relay(
         &mut self,
-        caller: &mut CallerLink,
+        caller: &mut CallerConnection,
         request: &RequestMessage,
         call: &mut TargetCall,
         slot: &mut SlotGuard,
-        bounds: RelayBounds,
-        can_move: impl Fn() -> bool,
-    ) -> RelayEnd {
+        bounds: RelayLimits,
+        can_resume: impl Fn() -> bool,
+    ) -> RelayOutcome {
         let mut received = Vec::new();
         let left = bounds.deadline.saturating_sub(boot_now());
         let mut time_over = Box::pin(task::sleep(left));
@@ -123,32 +123,34 @@
         loop {
             received.clear();
             let turn = {
-                let target = async { RelayTurn::Target(call.read_body(&mut received).await) };
+                let target = async { RelayEvent::Target(call.read_body(&mut received).await) };
                 let gone = async {
                     caller.gone().await;
-                    RelayTurn::CallerGone
+                    RelayEvent::CallerGone
                 };
                 let over = async {
                     (&mut time_over).await;
-                    RelayTurn::TimeOver
+                    RelayEvent::TimeOver
                 };
                 let silent = async {
                     match bounds.silence {
                         Some(silence) => task::sleep(silence).await,
                         None => std::future::pending().await,
                     }
-                    RelayTurn::Silent
+                    RelayEvent::Silent
                 };
                 or(target, or(gone, or(over, silent))).await
             };
             let whole = match turn {
-                RelayTurn::Target(Ok(whole)) => whole,
-                RelayTurn::Target(Err(error)) => return RelayEnd::TargetLost(error.into()),
-                RelayTurn::CallerGone => return RelayEnd::CallerGone,
-                RelayTurn::TimeOver => return RelayEnd::TimeOver,
-                RelayTurn::Silent if can_move() => return RelayEnd::TargetLost(LossCause::Silent),
+                RelayEvent::Target(Ok(whole)) => whole,
+                RelayEvent::Target(Err(error)) => return RelayOutcome::TargetLost(error.into()),
+                RelayEvent::CallerGone => return RelayOutcome::CallerGone,
+                RelayEvent::TimeOver => return RelayOutcome::TimeOver,
+                RelayEvent::Silent if can_resume() => {
+                    return RelayOutcome::TargetLost(LossCause::Silent);
+                }
                 // The target may be slow only, and a cut answer helps nobody.
-                RelayTurn::Silent => continue,
+                RelayEvent::Silent => continue,
             };
             let mut events = self.splitter.take_events(&mut received);
             if whole {
@@ -168,11 +170,11 @@
                     self.began = true;
                     self.record_events();
                 }
-                Ok(Err(_)) => return RelayEnd::CallerGone,
-                Err(_) => return RelayEnd::TimeOver,
+                Ok(Err(_)) => return RelayOutcome::CallerGone,
+                Err(_) => return RelayOutcome::TimeOver,
             }
             if whole {
-                return RelayEnd::Whole;
+                return RelayOutcome::Whole;
             }
         }
     }
@@ -208,12 +210,12 @@
             Some(framing) => framing,
             None => {
                 let framing = stream_framing(request);
-                output = relayed_head(head, framing, !reusable);
+                output = response_head_from(head, framing, !reusable);
                 self.framing = Some(framing);
                 framing
             }
         };
-        frame_piece(framing, events, &mut output);
+        frame_chunk(framing, events, &mut output);
         if whole {
             frame_end(framing, &mut output);
         }
@@ -244,13 +246,13 @@
 
 /// Writes a collected answer to the caller; returns whether it arrived there.
 pub(crate) async fn write_collected(
-    caller: &CallerLink,
+    caller: &CallerConnection,
     head: &AnswerMessage,
     body: &[u8],
     limit: Duration,
 ) -> bool {
-    let framing = AnswerFraming::Length(body.len());
-    let mut output = relayed_head(head, framing, !caller.reusable);
+    let framing = ResponseFraming::Length(body.len());
+    let mut output = response_head_from(head, framing, !caller.reusable);
     output.extend_from_slice(body);
     let written = timeout(limit, write_bytes(&caller.stream, &output));
     matches!(written.await, Ok(Ok(())))
--- a/src/edge/answer_writer.rs
+++ b/src/edge/response_writer.rs
@@ -13,7 +13,7 @@
 
 /// How the body towards the caller is framed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum AnswerFraming {
+pub(crate) enum ResponseFraming {
     /// By its length.
     Length(usize),
     /// In chunks.
@@ -23,7 +23,11 @@
 }
 
 /// Returns a target's head as the caller gets it.
-pub(crate) fn relayed_head(head: &AnswerMessage, framing: AnswerFraming, close: bool) -> Vec<u8> {
+pub(crate) fn response_head_from(
+    head: &AnswerMessage,
+    framing: ResponseFraming,
+    close: bool,
+) -> Vec<u8> {
     let mut headers = head.headers.clone();
     headers.drop_hop_by_hop();
     head_bytes(head.status, &headers, framing, close)
@@ -48,7 +52,7 @@
     if let Some(retry_after) = refusal.retry_after {
         headers.push("Retry-After", seconds_text(retry_after));
     }
-    let framing = AnswerFraming::Length(body.len());
+    let framing = ResponseFraming::Length(body.len());
     let mut bytes = head_bytes(row.status, &headers, framing, close);
     bytes.extend_from_slice(body.as_bytes());
     bytes
@@ -64,50 +68,50 @@
 }
 
 /// Wraps a piece of a body as the framing asks.
-pub(crate) fn frame_piece(framing: AnswerFraming, piece: &[u8], output: &mut Vec<u8>) {
+pub(crate) fn frame_chunk(framing: ResponseFraming, piece: &[u8], output: &mut Vec<u8>) {
     if piece.is_empty() {
         return;
     }
-    if framing == AnswerFraming::Chunked {
+    if framing == ResponseFraming::Chunked {
         output.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
     }
     output.extend_from_slice(piece);
-    if framing == AnswerFraming::Chunked {
+    if framing == ResponseFraming::Chunked {
         output.extend_from_slice(b"\r\n");
     }
 }
 
 /// Adds the end of a whole body.
-pub(crate) fn frame_end(framing: AnswerFraming, output: &mut Vec<u8>) {
-    if framing == AnswerFraming::Chunked {
+pub(crate) fn frame_end(framing: ResponseFraming, output: &mut Vec<u8>) {
+    if framing == ResponseFraming::Chunked {
         output.extend_from_slice(b"0\r\n\r\n");
     }
 }
 
 /// Returns the framing of a stream towards the caller of `request`.
-pub(crate) const fn stream_framing(request: &RequestMessage) -> AnswerFraming {
+pub(crate) const fn stream_framing(request: &RequestMessage) -> ResponseFraming {
     match request.old_version {
-        true => AnswerFraming::UntilClose,
-        false => AnswerFraming::Chunked,
+        true => ResponseFraming::UntilClose,
+        false => ResponseFraming::Chunked,
     }
 }
 
 fn head_bytes(
     status: u16,
     headers: &MessageHeaders,
-    framing: AnswerFraming,
+    framing: ResponseFraming,
     close: bool,
 ) -> Vec<u8> {
     let mut bytes = format!("HTTP/1.1 {status} {}\r\n", reason(status)).into_bytes();
     headers.write_to(&mut bytes);
     match framing {
         // These never have a body, and so no length.
-        AnswerFraming::Length(0) if matches!(status, 204 | 304) => {}
-        AnswerFraming::Length(length) => {
+        ResponseFraming::Length(0) if matches!(status, 204 | 304) => {}
+        ResponseFraming::Length(length) => {
             bytes.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes());
         }
-        AnswerFraming::Chunked => bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
-        AnswerFraming::UntilClose => {}
+        ResponseFraming::Chunked => bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
+        ResponseFraming::UntilClose => {}
     }
     if close {
         bytes.extend_from_slice(b"Connection: close\r\n");
--- a/src/edge/route_filter.rs
+++ b/src/edge/route_filter.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::caller_link::CallerRequest;
+use super::caller_connection::CallerRequest;
 use super::edge_refusal::EdgeRefusal;
 use super::edge_state::EdgeState;
 use crate::catalog::CallKind;
@@ -22,7 +22,7 @@
 /// When a caller may come back to another host after this one knew too little.
 const OTHER_HOST_DELAY: Duration = Duration::from_millis(100);
 /// The longest time that a request is served whose caller and route name none.
-const USUAL_TIMEOUT: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a request uses, as it says itself.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -58,7 +58,7 @@
     /// How long its caller has waited in earlier attempts.
     pub(crate) waited: Duration,
     /// Until when its caller waits for the first event, on the boot clock.
-    pub(crate) patience_end: Duration,
+    pub(crate) first_event_deadline: Duration,
     /// The pool that runs it.
     pub(crate) pool: PoolName,
     /// The account.
@@ -121,9 +121,9 @@
     };
     let deadline = request.arrived + time_limit(state, route, &request);
     let headers = &request.message.headers;
-    let left = headers.number(&state.dialect.deadline_ms);
+    let left = headers.number(&state.header_names.deadline_ms);
     let waited = left.map_or(Duration::ZERO, |left| {
-        state.note_deadline(&route.name, Duration::from_millis(left))
+        state.record_deadline(&route.name, Duration::from_millis(left))
     });
     let usage = token_usage(state, &request);
     let account_name = account.as_ref().map_or("", |account| account.name.as_str());
@@ -142,12 +142,12 @@
         objective: route.objective,
         event_gap_objective: route.event_gap_objective,
         waited,
-        patience_end: route.abandon_timeout.map_or(deadline, |patience| {
+        first_event_deadline: route.abandon_timeout.map_or(deadline, |patience| {
             deadline.min(request.arrived + patience)
         }),
         pool: route.pool_for(rand::random()).clone(),
         series: state
-            .requests
+            .request_metrics
             .series(priority.account, &route.name, account_name),
         priority,
         account,
@@ -174,7 +174,7 @@
     let host = host.trim().to_ascii_lowercase();
     let host = host.split_once(':').map_or(host.as_str(), |(name, _)| name);
     let found = catalog.find_route(host, request.message.path());
-    found.ok_or_else(|| absence(state, ErrorKind::UnknownClass))
+    found.ok_or_else(|| absence_refusal(state, ErrorKind::UnknownClass))
 }
 
 /// Returns the account; `None` where the request needs none.
@@ -192,19 +192,19 @@
     if route.public {
         return Ok(account.cloned());
     }
-    if !state.knows_keys() {
+    if !state.has_fresh_keys() {
         return Err(EdgeRefusal::after(ErrorKind::StaleView, OTHER_HOST_DELAY));
     }
     match account {
         Some(account) => Ok(Some(account.clone())),
-        None => Err(absence(state, ErrorKind::UnknownAccount)),
+        None => Err(absence_refusal(state, ErrorKind::UnknownAccount)),
     }
 }
 
 /// Says that something is not there, or that this host can't know: what was added
 /// since may be in force elsewhere, and a caller that is told "unknown" gives up.
-fn absence(state: &EdgeState, kind: ErrorKind) -> EdgeRefusal {
-    match state.knows_absence() {
+fn absence_refusal(state: &EdgeState, kind: ErrorKind) -> EdgeRefusal {
+    match state.can_confirm_absence() {
         true => kind.into(),
         false => EdgeRefusal::after(ErrorKind::StaleView, OTHER_HOST_DELAY),
     }
@@ -217,12 +217,12 @@
         return None;
     }
     let (scheme, key) = headers.text("authorization")?.split_once(' ')?;
-    let known = scheme.eq_ignore_ascii_case(&state.dialect.key_scheme);
+    let known = scheme.eq_ignore_ascii_case(&state.header_names.key_scheme);
     known.then(|| key.trim())
 }
 
 fn request_id(state: &EdgeState, request: &CallerRequest) -> Result<String, EdgeRefusal> {
-    let id = request.message.headers.text(&state.dialect.request_id);
+    let id = request.message.headers.text(&state.header_names.request_id);
     id.map(str::to_owned)
         .ok_or_else(|| ErrorKind::BadRequestId.into())
 }
@@ -231,40 +231,40 @@
 /// lets it wait, whichever is shorter.
 fn time_limit(state: &EdgeState, route: &ServiceRoute, request: &CallerRequest) -> Duration {
     let headers = &request.message.headers;
-    let asked = headers.number(&state.dialect.deadline_ms);
+    let asked = headers.number(&state.header_names.deadline_ms);
     let asked = asked.map(Duration::from_millis);
     let limit = match (asked, route.timeout) {
         (Some(asked), Some(timeout)) => asked.min(timeout),
-        (asked, timeout) => asked.or(timeout).unwrap_or(USUAL_TIMEOUT),
+        (asked, timeout) => asked.or(timeout).unwrap_or(DEFAULT_TIMEOUT),
     };
-    limit.min(USUAL_TIMEOUT * 10)
+    limit.min(DEFAULT_TIMEOUT * 10)
 }
 
 fn token_usage(state: &EdgeState, request: &CallerRequest) -> Option<TokenUsage> {
     let headers = &request.message.headers;
-    let text = headers.text(&state.dialect.token_usage)?;
+    let text = headers.text(&state.header_names.token_usage)?;
     let (prompt, output) = text.split_once(',')?;
     Some(TokenUsage {
         prompt: prompt.trim().parse().ok()?,
         output: output.trim().parse().ok()?,
-        expected_output: headers.number(&state.dialect.length_hint),
+        expected_output: headers.number(&state.header_names.length_hint),
     })
 }
 
 /// Leaves the headers that the target may see, and says whose request it is.
 fn prepare_headers(state: &EdgeState, request: &mut CallerRequest, account: &str) {
-    let dialect = &state.dialect;
+    let header_names = &state.header_names;
     let headers = &mut request.message.headers;
     headers.drop_hop_by_hop();
     headers.retain(|name| {
-        let reserved = dialect.reserved.iter();
+        let reserved = header_names.reserved.iter();
         !name.eq_ignore_ascii_case("authorization")
-            && !name.eq_ignore_ascii_case(&dialect.deadline_ms)
+            && !name.eq_ignore_ascii_case(&header_names.deadline_ms)
             && !reserved
                 .into_iter()
                 .any(|held| name.eq_ignore_ascii_case(held))
     });
     if !account.is_empty() {
-        headers.push(&dialect.account, account);
+        headers.push(&header_names.account, account);
     }
 }
--- a/src/edge/send_end.rs
+++ b/src/edge/send_outcome.rs
@@ -28,7 +28,7 @@
 
 /// How one send ended.
 #[derive(Debug)]
-pub(crate) enum SendEnd {
+pub(crate) enum SendOutcome {
     /// The caller has its answer.
     Done { status: u16 },
     /// The caller has left; what runs is given up, or goes on by itself.
@@ -43,7 +43,7 @@
     Failure { head: AnswerMessage, body: Vec<u8> },
 }
 
-impl SendEnd {
+impl SendOutcome {
     /// Returns what the end tells of the target.
     pub(crate) fn attempt_outcome(&self) -> AttemptOutcome {
         match self {
--- a/src/edge/settings_controller.rs
+++ b/src/edge/settings_controller.rs
@@ -14,7 +14,7 @@
 
 /// How often the file is looked at. Its changes must be in force within two
 /// seconds, also without a signal.
-const LOOK_PERIOD: Duration = Duration::from_millis(800);
+const CHECK_PERIOD: Duration = Duration::from_millis(800);
 
 /// Follows the settings until the process ends; each message on `asked` asks for a
 /// look at once.
@@ -23,15 +23,15 @@
     loader: Arc<dyn SettingsLoader>,
     asked: Receiver<()>,
 ) {
-    let mut seen = file_mark(loader.path());
+    let mut seen = file_version(loader.path());
     loop {
-        let signalled = match timeout(LOOK_PERIOD, asked.recv()).await {
+        let signalled = match timeout(CHECK_PERIOD, asked.recv()).await {
             Ok(Ok(())) => true,
             // The host is gone.
             Ok(Err(_)) => return,
             Err(_) => false,
         };
-        let mark = file_mark(loader.path());
+        let mark = file_version(loader.path());
         if !signalled && mark == seen {
             continue;
         }
@@ -59,7 +59,7 @@
 }
 
 /// Returns what shows a change of the file; `None` while it can't be seen.
-fn file_mark(path: &Path) -> Option<(SystemTime, u64)> {
+fn file_version(path: &Path) -> Option<(SystemTime, u64)> {
     let metadata = std::fs::metadata(path).ok()?;
     Some((metadata.modified().ok()?, metadata.len()))
 }
--- a/src/edge/target_call.rs
+++ b/src/edge/target_call.rs
@@ -8,7 +8,7 @@
 use derive_more::Display;
 use derive_more::Error;
 
-use super::target_links::TargetLink;
+use super::connection_pool::TargetConnection;
 use crate::wire::AnswerMessage;
 use crate::wire::BodyDecoder;
 use crate::wire::BodyFraming;
@@ -40,7 +40,7 @@
 /// An answer whose head was read.
 #[derive(Debug)]
 pub(crate) struct TargetCall {
-    link: TargetLink,
+    link: TargetConnection,
     /// The head.
     pub(crate) head: AnswerMessage,
     decoder: BodyDecoder,
@@ -59,7 +59,7 @@
     ///
     /// The target may have run the request in each case.
     pub(crate) async fn send(
-        mut link: TargetLink,
+        mut link: TargetConnection,
         request: &[u8],
         identity: CallIdentity<'_>,
     ) -> Result<Self, CallError> {
@@ -70,7 +70,7 @@
             written = stream.write_all(request).await.is_ok();
             pending().await
         };
-        let head = or(write, read_own_head(&mut link, identity)).await?;
+        let head = or(write, read_matching_head(&mut link, identity)).await?;
         let framing = BodyFraming::of_answer(&head.headers, head.status, identity.method)
             .map_err(|_| CallError::Broken)?;
         let keeps = written && keeps_connection(&head, framing);
@@ -108,7 +108,7 @@
     }
 
     /// Returns the connection if it may carry another request.
-    pub(crate) fn into_kept(self) -> Option<(TargetLink, AnswerMessage)> {
+    pub(crate) fn into_reusable(self) -> Option<(TargetConnection, AnswerMessage)> {
         let kept = self.keeps && self.decoder.is_whole();
         kept.then_some((self.link, self.head))
     }
@@ -125,8 +125,8 @@
 /// expected; the id tells. Such an answer is read to its end and dropped. An answer
 /// without an id on a connection that had another request before could be that
 /// one's, so it can't be trusted.
-async fn read_own_head(
-    link: &mut TargetLink,
+async fn read_matching_head(
+    link: &mut TargetConnection,
     identity: CallIdentity<'_>,
 ) -> Result<AnswerMessage, CallError> {
     loop {
@@ -140,7 +140,7 @@
     }
 }
 
-async fn read_head(link: &mut TargetLink) -> Result<AnswerMessage, CallError> {
+async fn read_head(link: &mut TargetConnection) -> Result<AnswerMessage, CallError> {
     loop {
         match AnswerMessage::take(&mut link.input) {
             Ok(Some(head)) => return Ok(head),
@@ -155,7 +155,7 @@
 }
 
 async fn skip_body(
-    link: &mut TargetLink,
+    link: &mut TargetConnection,
     head: &AnswerMessage,
     method: &str,
 ) -> Result<(), CallError> {
--- a/src/edge/tests/edge_fixture.rs
+++ b/src/edge/tests/edge_fixture.rs
@@ -24,7 +24,7 @@
 use crate::edge::EdgeBounds;
 use crate::edge::EdgeHost;
 use crate::edge::EdgeSettings;
-use crate::edge::HeaderDialect;
+use crate::edge::HeaderNames;
 use crate::edge::SettingsLoader;
 use crate::edge::edge_host::EdgeDependencies;
 use crate::edge::edge_state::EdgeState;
@@ -154,7 +154,7 @@
     fn open_on(store: ManualStore, bounds: EdgeBounds) -> Self {
         let settings = settings_with(bounds);
         let parts = EdgeDependencies {
-            dialect: dialect(),
+            header_names: header_names(),
             source: Arc::new(store.clone()),
             loader: Arc::new(FixedLoader(settings.clone())),
             settings,
@@ -243,10 +243,10 @@
 }
 
 /// Returns the state of a host that has no connections.
-pub(super) fn lone_state(bounds: EdgeBounds) -> Arc<EdgeState> {
+pub(super) fn isolated_state(bounds: EdgeBounds) -> Arc<EdgeState> {
     let log = DecisionLog::open_on(LineQueue::spawn(std::io::sink())).unwrap();
     let requests = RequestMetrics::open().unwrap();
-    EdgeState::new(settings_with(bounds), dialect(), log, requests)
+    EdgeState::new(settings_with(bounds), header_names(), log, requests)
 }
 
 /// Returns a catalog with so many more routes.
@@ -278,8 +278,8 @@
     }
 }
 
-fn dialect() -> HeaderDialect {
-    HeaderDialect {
+fn header_names() -> HeaderNames {
+    HeaderNames {
         request_id: "X-Request".into(),
         deadline_ms: "X-Left-Ms".into(),
         account: "X-Account".into(),
--- a/src/edge/tests/gossip.rs
+++ b/src/edge/tests/gossip.rs
@@ -4,13 +4,13 @@
 
 use bincode::config::standard;
 
+use super::edge_fixture::isolated_state;
 use super::edge_fixture::large_catalog;
-use super::edge_fixture::lone_state;
 use crate::catalog::CatalogParts;
 use crate::catalog::RouteCatalog;
 use crate::clock::boot_now;
 use crate::edge::EdgeBounds;
-use crate::edge::local_digest::MessageRequest;
+use crate::edge::gossip_builder::MessageOptions;
 use crate::peers::unpack_value;
 use crate::view::TargetPhase;
 use crate::view::TargetRecord;
@@ -62,8 +62,8 @@
 /// Guards against a large catalog that holds up what a peer must know of leaving targets.
 #[test]
 fn a_leaving_target_is_told_without_the_catalog() {
-    let leader = lone_state(EdgeBounds::default());
-    let member = lone_state(EdgeBounds::default());
+    let leader = isolated_state(EdgeBounds::default());
+    let member = isolated_state(EdgeBounds::default());
     let now = boot_now();
     member
         .view
@@ -74,7 +74,7 @@
     leader
         .view
         .apply_store_response(removal_update(3), now, now);
-    let (message, _) = member.message_for(MessageRequest {
+    let (message, _) = member.build_message(MessageOptions {
         receiver: "leader",
         scope: None,
         near: false,
@@ -113,13 +113,13 @@
 /// Guards against a host that starts and never gets the view, as no answer can carry it in time.
 #[test]
 fn gossip_does_not_carry_a_large_view() {
-    let leader = lone_state(EdgeBounds::default());
-    let young = lone_state(EdgeBounds::default());
+    let leader = isolated_state(EdgeBounds::default());
+    let young = isolated_state(EdgeBounds::default());
     let now = boot_now();
     leader
         .view
         .apply_store_response(targets_update(1, 3000), now, now);
-    let (message, _) = young.message_for(MessageRequest {
+    let (message, _) = young.build_message(MessageOptions {
         receiver: "leader",
         scope: None,
         near: false,
--- a/src/edge/tests/keys.rs
+++ b/src/edge/tests/keys.rs
@@ -60,7 +60,7 @@
 fn a_host_that_is_cut_off_refuses_keys_when_its_view_is_old() {
     let target = echo_target();
     let bounds = EdgeBounds {
-        key_evidence: Some(Duration::from_millis(2500)),
+        max_key_age: Some(Duration::from_millis(2500)),
         ..EdgeBounds::default()
     };
     let host = EdgeFixture::open_with(std::slice::from_ref(&target), bounds);
--- a/src/edge/tests/leaving.rs
+++ b/src/edge/tests/shutdown.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use super::super::event_splitter::EventSplitter;
-use super::super::leave_controller::LeaveStep;
+use super::super::shutdown_controller::ShutdownPhase;
 
 const LONGEST: Duration = Duration::from_millis(7600);
 
 /// Lets a host leave; `running` tells how many requests run at a time of it.
 /// Returns each step with the time at which it began.
-fn play_leaving(running: impl Fn(u64) -> usize) -> Vec<(u64, LeaveStep)> {
-    let mut step = LeaveStep::Serving;
+fn simulate_shutdown(running: impl Fn(u64) -> usize) -> Vec<(u64, ShutdownPhase)> {
+    let mut step = ShutdownPhase::Serving;
     let mut steps = vec![(0, step)];
     for time in (0..10_000).step_by(50) {
         let next = step.next(Duration::from_millis(time), running(time), LONGEST);
@@ -22,9 +22,9 @@
     steps
 }
 
-fn is_refusing(steps: &[(u64, LeaveStep)], time: u64) -> bool {
+fn is_refusing(steps: &[(u64, ShutdownPhase)], time: u64) -> bool {
     let before = steps.iter().rfind(|(since, _)| *since <= time);
-    before.is_some_and(|(_, step)| *step != LeaveStep::Serving)
+    before.is_some_and(|(_, step)| *step != ShutdownPhase::Serving)
 }
 
 /// A caller sent a long briefing on a kept connection three seconds after the host
@@ -32,11 +32,11 @@
 /// the caller saw a cut stream. The cause: it let requests in for too long.
 #[test]
 fn a_host_that_leaves_takes_nothing_that_it_cant_finish() {
-    let steps = play_leaving(|_| 1);
+    let steps = simulate_shutdown(|_| 1);
 
     assert!(!is_refusing(&steps, 2000));
     assert!(is_refusing(&steps, 2900));
-    assert_eq!(steps.last(), Some(&(7600, LeaveStep::Ended)));
+    assert_eq!(steps.last(), Some(&(7600, ShutdownPhase::Ended)));
 }
 
 /// A host that had nothing to do was about to end. In that moment a request came on
@@ -44,10 +44,10 @@
 /// the middle of the answer. The cause: the last look came before the end.
 #[test]
 fn a_request_that_meets_the_end_is_refused() {
-    let idle = play_leaving(|_| 0);
-    let refusing = play_leaving(|time| usize::from((2700..2800).contains(&time)));
+    let idle = simulate_shutdown(|_| 0);
+    let refusing = simulate_shutdown(|time| usize::from((2700..2800).contains(&time)));
 
-    let end = |steps: &[(u64, LeaveStep)]| steps.last().map(|(time, _)| *time);
+    let end = |steps: &[(u64, ShutdownPhase)]| steps.last().map(|(time, _)| *time);
     assert!(is_refusing(&idle, 2600));
     assert!(end(&idle).is_some_and(|end| end >= 2900));
     assert!(end(&refusing).is_some_and(|end| end >= 3050));
--- a/src/edge/tests/following.rs
+++ b/src/edge/tests/store_access.rs
@@ -4,7 +4,7 @@
 
 use super::super::fleet_role::StoreAccess;
 use super::super::watch_controller::watch_wait;
-use super::edge_fixture::lone_state;
+use super::edge_fixture::isolated_state;
 use crate::clock::boot_now;
 use crate::edge::EdgeBounds;
 use crate::view::ViewUpdate;
@@ -33,7 +33,7 @@
 /// Guards against a host that hears nothing of targets and uses one that has left.
 #[test]
 fn a_host_reads_the_store_before_its_view_of_the_targets_is_too_old() {
-    let host = lone_state(EdgeBounds::default());
+    let host = isolated_state(EdgeBounds::default());
     let now = boot_now();
     let update = ViewUpdate {
         revision: 1,
--- a/src/edge/view_fetcher.rs
+++ b/src/edge/view_fetcher.rs
@@ -29,7 +29,7 @@
 
 /// How far a peer's view of the fleet reaches, as it says itself.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ViewMark {
+pub(super) struct PeerViewState {
     pub(super) revision: StoreRevision,
     pub(super) catalog: CatalogVersion,
     pub(super) catalog_revision: StoreRevision,
@@ -37,7 +37,7 @@
     pub(super) view_age_ms: Option<u64>,
 }
 
-impl ViewMark {
+impl PeerViewState {
     pub(super) const fn of(message: &GossipMessage) -> Self {
         Self {
             revision: message.revision,
@@ -68,7 +68,7 @@
 
     /// Reads what a peer has and this host lacks, unless a package is on its way already. The
     /// catalog goes first: without it nothing is served.
-    pub(super) async fn catch_up(&self, peer: &HostName, mark: ViewMark) {
+    pub(super) async fn catch_up(&self, peer: &HostName, mark: PeerViewState) {
         let (revision, catalog) = self.state.view.held_versions();
         let is_behind = mark.catalog > catalog || mark.revision > revision;
         if !is_behind || self.is_fetching.swap(true, Ordering::AcqRel) {
@@ -116,9 +116,9 @@
     pub(super) fn take_update(&self, update: ViewUpdate, peer: &HostName) {
         let change = self.state.view.apply_peer_view(update, boot_now());
         if !change.is_empty() {
-            self.state.schedule().expedite_all();
+            self.state.gossip_schedule().expedite_all();
         }
-        self.state.take_change(change, Some(peer));
+        self.state.apply_change(change, Some(peer));
     }
 
     /// Makes a call that is answered with a package; `None` where that is empty.
