--- a/src/edge/caller_connection.rs
+++ b/src/edge/caller_connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: requests come in, in turn.
+//! Server side of one caller's HTTP connection; requests are read one after another.
 
 use std::future::pending;
 use std::net::Shutdown;
@@ -19,60 +19,57 @@
 use crate::wire::WireError;
 use crate::wire::bound_silence;
 
-/// How long a body may pause; a caller that stops in the middle of one would hold
-/// its memory for ever.
+/// Longest pause within a request body. Without it a caller that stops sending would keep
+/// its buffered body in memory indefinitely.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long beyond the promised time an idle connection stays open: a request that
-/// was sent just before the end must not cross the close.
+/// Time that an idle connection stays open beyond the advertised idle timeout, so that a
+/// request sent just before the timeout does not race with the close.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// How much a caller may send ahead while its request runs, in bytes.
+/// Limit on pipelined bytes that are buffered while a request runs.
 const MAX_PIPELINED_BYTES: usize = 64 << 10;
-/// How long and how much is read after the last answer, so that the close does not
-/// reset the connection before the caller has read the answer.
+/// Bounds on reading after the last response. The caller's remaining data is drained
+/// first, because closing with unread data resets the connection before the caller has
+/// read the response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_LINGER_READS: usize = 64;
-/// After what silence a caller counts as gone: well within the time that targets
-/// work on for nobody.
-const SILENCE: SilenceBounds = SilenceBounds {
+/// TCP settings that detect a dead caller, well before targets have finished work whose
+/// response nobody would receive.
+const KEEPALIVE: SilenceBounds = SilenceBounds {
     probe_after: Duration::from_secs(2),
     probes: 3,
     unacknowledged: Duration::from_secs(6),
 };
 
-/// A request that was read whole.
+/// A request that was read completely.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    /// The head.
     pub(crate) message: RequestMessage,
-    /// The body.
     pub(crate) body: Vec<u8>,
-    /// When its first byte came, on the boot clock.
+    /// Arrival of the first byte, on the boot clock.
     pub(crate) arrived: Duration,
 }
 
-/// A request that can't be read, as far as it was.
+/// A request that could not be read, with as much of it as was parsed.
 #[derive(Debug)]
 pub(crate) struct BadRequest {
-    /// What is wrong.
     pub(crate) kind: ErrorKind,
-    /// The head, where that was read.
+    /// The request head, if it was parsed.
     pub(crate) message: Option<RequestMessage>,
 }
 
-/// One caller's connection.
 #[derive(Debug)]
 pub(crate) struct CallerConnection {
-    /// The stream, for answers.
+    /// The socket, to which responses are written.
     pub(crate) stream: TcpStream,
     input: InputBuffer,
-    /// Whether another request may follow.
+    /// Whether the connection may carry another request.
     pub(crate) reusable: bool,
 }
 
 impl CallerConnection {
-    /// Takes over an accepted stream.
+    /// Wraps an accepted socket.
     pub(crate) fn new(stream: TcpStream) -> Self {
-        bound_silence(&stream, SILENCE);
+        bound_silence(&stream, KEEPALIVE);
         Self {
             stream,
             input: InputBuffer::default(),
@@ -80,11 +77,12 @@
         }
     }
 
-    /// Reads the next request; `None` when the caller is done, or idle too long.
+    /// Reads the next request. Returns `None` when the caller has closed the connection
+    /// or the idle timeout has passed.
     ///
     /// # Errors
     ///
-    /// What to answer; the connection then carries no further request.
+    /// The error to respond with. The connection must not be used for another request.
     pub(crate) async fn next_request(
         &mut self,
         limits: CallerLimits,
@@ -134,7 +132,8 @@
                 }
                 match input.fill(stream).await {
                     Ok(count) if count > 0 => {}
-                    // It left in the middle of the head: there is nobody to answer.
+                    // The caller disconnected within the head, so nobody is left to
+                    // answer.
                     Ok(_) | Err(_) => return Ok(None),
                 }
             }
@@ -155,7 +154,7 @@
         }
         let mut decoder = BodyDecoder::new(framing);
         let mut body = Vec::new();
-        let mut asked = !message.headers.has_word("expect", "100-continue");
+        let mut continue_done = !message.headers.has_word("expect", "100-continue");
         loop {
             decoder.decode(&mut self.input, &mut body)?;
             if body.len() > limits.body_bytes {
@@ -164,10 +163,10 @@
             if decoder.is_whole() {
                 return Ok(body);
             }
-            if !asked {
-                asked = true;
-                let go_on = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
-                go_on.await.map_err(|_| WireError::Cut)?;
+            if !continue_done {
+                continue_done = true;
+                let interim = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
+                interim.await.map_err(|_| WireError::Cut)?;
             }
             match timeout(BODY_TIMEOUT, self.input.fill(&self.stream)).await {
                 Ok(Ok(count)) if count > 0 => {}
@@ -177,9 +176,9 @@
         }
     }
 
-    /// Waits until the caller has closed its side, or for ever. What it sends ahead
-    /// is kept for the next request.
-    pub(crate) async fn gone(&mut self) {
+    /// Waits until the caller closes its side; never returns otherwise. Data that arrives
+    /// meanwhile is buffered for the next request.
+    pub(crate) async fn disconnected(&mut self) {
         while self.input.len() < MAX_PIPELINED_BYTES {
             match self.input.fill(&self.stream).await {
                 Ok(count) if count > 0 => {}
@@ -189,12 +188,12 @@
         pending().await
     }
 
-    /// Ends the connection so that the last answer still arrives.
+    /// Closes the connection gracefully, so that the last response is still delivered.
     pub(crate) async fn close(mut self) {
         if self.stream.shutdown(Shutdown::Write).is_err() {
             return;
         }
-        let drained = async {
+        let drain = async {
             for _ in 0..MAX_LINGER_READS {
                 self.input.consume(self.input.len());
                 match self.input.fill(&self.stream).await {
@@ -203,6 +202,6 @@
                 }
             }
         };
-        timeout(LINGER_TIMEOUT, drained).await.ok();
+        timeout(LINGER_TIMEOUT, drain).await.ok();
     }
 }
--- a/src/edge/caller_session.rs
+++ b/src/edge/caller_session.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of one caller's connection, in turn.
+//! Serves the requests of one caller connection in sequence.
 
 use std::sync::Arc;
 
@@ -27,24 +27,24 @@
 use crate::logs::DecisionLine;
 use crate::wire::RequestMessage;
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed.
 pub(crate) async fn serve_caller(state: Arc<EdgeState>, stream: TcpStream) {
     let mut caller = CallerConnection::new(stream);
     loop {
         let limits = state.view.catalog().map(|catalog| catalog.limits());
         let next = caller.next_request(limits.unwrap_or_default()).await;
         let _running = state.track_request();
-        // From the signal to leave on each answer is its connection's last.
+        // During shutdown the connection is closed after the current response.
         caller.reusable &= !state.is_leaving();
-        let goes_on = match next {
+        let is_usable = match next {
             Ok(Some(request)) => serve_request(&state, &mut caller, request).await,
             Ok(None) => return,
-            Err(bad) => {
-                refuse_bad(&state, &mut caller, bad).await;
+            Err(request) => {
+                refuse_bad(&state, &mut caller, request).await;
                 true
             }
         };
-        if !goes_on {
+        if !is_usable {
             return;
         }
         if !caller.reusable {
@@ -53,7 +53,8 @@
     }
 }
 
-/// Serves one request; returns whether the connection may go on or end in peace.
+/// Serves one request. Returns whether the connection is still in a defined state: it may
+/// be reused or closed gracefully.
 async fn serve_request(
     state: &Arc<EdgeState>,
     caller: &mut CallerConnection,
@@ -62,18 +63,18 @@
     let arrived = request.arrived;
     let routed = match admit_request(state, request) {
         Ok(routed) => routed,
-        Err(entry) => {
-            let told = RefusalReport {
-                message: Some(&entry.message),
-                refusal: entry.refusal,
+        Err(refused) => {
+            let report = RefusalReport {
+                message: Some(&refused.message),
+                refusal: refused.refusal,
                 sends: 0,
                 arrived,
                 pool: None,
-                account: entry.account.as_ref(),
+                account: refused.account.as_ref(),
                 tier: None,
-                cost: entry.cost,
+                cost: refused.cost,
             };
-            return refuse(state, caller, told).await;
+            return refuse(state, caller, report).await;
         }
     };
     state.note_request(&routed.pool);
@@ -89,7 +90,7 @@
             true
         }
         ExecutionOutcome::Refused(refusal) => {
-            let told = RefusalReport {
+            let report = RefusalReport {
                 message: Some(&routed.request.message),
                 refusal,
                 sends,
@@ -99,7 +100,7 @@
                 tier: Some(routed.priority.account),
                 cost: None,
             };
-            refuse(state, caller, told).await
+            refuse(state, caller, report).await
         }
         ExecutionOutcome::Closed => {
             count(&state.metrics.callers_left);
@@ -113,7 +114,7 @@
     }
 }
 
-/// A request that is not admitted.
+/// A request that was refused before it was dispatched.
 struct AdmissionRefusal {
     message: RequestMessage,
     refusal: EdgeRefusal,
@@ -121,7 +122,7 @@
     cost: Option<f64>,
 }
 
-/// Lets a request in, or says why not.
+/// Admits a request, or returns why it is refused.
 fn admit_request(
     state: &Arc<EdgeState>,
     request: CallerRequest,
@@ -157,7 +158,7 @@
     }
 }
 
-/// A request that the host answers itself.
+/// A request that the host answers itself, as it is logged and counted.
 struct RefusalReport<'r> {
     message: Option<&'r RequestMessage>,
     refusal: EdgeRefusal,
@@ -169,24 +170,30 @@
     cost: Option<f64>,
 }
 
-async fn refuse(state: &EdgeState, caller: &mut CallerConnection, told: RefusalReport<'_>) -> bool {
+async fn refuse(
+    state: &EdgeState,
+    caller: &mut CallerConnection,
+    report: RefusalReport<'_>,
+) -> bool {
     let name = &state.header_names.request_id;
-    let id = told.message.and_then(|message| message.headers.text(name));
-    let refusal = told.refusal;
+    let id = report
+        .message
+        .and_then(|message| message.headers.text(name));
+    let refusal = report.refusal;
     let bytes = refusal_bytes(refusal, id.map(|id| (name.as_str(), id)), !caller.reusable);
-    state.request_metrics.count_error(refusal.kind, told.tier);
-    let waiting = told
+    state.request_metrics.count_error(refusal.kind, report.tier);
+    let waiting = report
         .pool
         .map_or(0, |pool| state.queue.lock_table().waiting(pool));
     state.log.write(&DecisionLine::RequestRefused {
         request: id.unwrap_or_default().to_owned(),
-        account: told.account.cloned(),
-        cost: told.cost,
+        account: report.account.cloned(),
+        cost: report.cost,
         kind: refusal.kind,
         status: refusal.status(),
         retry_after_ms: refusal.retry_after.map(|after| after.as_millis() as u64),
-        attempts: told.sends,
-        total_ms: boot_now().saturating_sub(told.arrived).as_millis() as u64,
+        attempts: report.sends,
+        total_ms: boot_now().saturating_sub(report.arrived).as_millis() as u64,
         catalog: state.view.held_versions().1,
         evidence_age_ms: state.evidence_age().map(|age| age.as_millis() as u64),
         waiting,
@@ -194,12 +201,12 @@
     write_bytes(&caller.stream, &bytes).await.is_ok()
 }
 
-async fn refuse_bad(state: &EdgeState, caller: &mut CallerConnection, bad: BadRequest) {
-    // What follows can't be told from the rest of this request.
+async fn refuse_bad(state: &EdgeState, caller: &mut CallerConnection, request: BadRequest) {
+    // The end of a malformed request is unknown, so no further request can be parsed.
     caller.reusable = false;
-    let told = RefusalReport {
-        message: bad.message.as_ref(),
-        refusal: bad.kind.into(),
+    let report = RefusalReport {
+        message: request.message.as_ref(),
+        refusal: request.kind.into(),
         sends: 0,
         arrived: boot_now(),
         pool: None,
@@ -207,5 +214,5 @@
         tier: None,
         cost: None,
     };
-    refuse(state, caller, told).await;
+    refuse(state, caller, report).await;
 }
--- a/src/edge/connection_pool.rs
+++ b/src/edge/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to targets that are kept between requests.
+//! Pool of idle keep-alive connections to targets.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -17,58 +17,57 @@
 use crate::wire::SilenceBounds;
 use crate::wire::bound_silence;
 
-/// How long connecting may take. Within a region it takes some ms; a target whose
-/// queue of new connections is full drops the request to connect, and the system's
-/// own repeat comes after a second.
+/// Connect timeout. Connecting takes a few milliseconds within a region. A target with a
+/// full accept queue drops the SYN, and the kernel retransmits it only after 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long before its announced end a kept connection is given up. The target's
-/// clock began with the answer, and what is sent as it closes is lost.
+/// Margin before the target's announced keep-alive timeout at which an idle connection is
+/// no longer used. The target's timer starts when it sends the response, and a request
+/// that arrives while the target closes the connection is lost.
 const IDLE_MARGIN: Duration = Duration::from_millis(400);
-/// How long a connection is kept whose target doesn't say for how long.
+/// Idle time of connections whose target announces no keep-alive timeout.
 const DEFAULT_IDLE: Duration = Duration::from_millis(700);
-/// How many idle connections to one target are kept.
+/// Limit on idle connections per target.
 const MAX_IDLE: usize = 16;
-/// After what silence a target's connection counts as dead.
-const SILENCE: SilenceBounds = SilenceBounds {
+/// TCP settings that detect a dead target.
+const KEEPALIVE: SilenceBounds = SilenceBounds {
     probe_after: Duration::from_secs(1),
     probes: 2,
     unacknowledged: Duration::from_millis(2500),
 };
 
-/// A connection to a target.
 #[derive(Debug)]
 pub(crate) struct TargetConnection {
     pub(crate) stream: TcpStream,
     pub(crate) input: InputBuffer,
-    /// Whether it carried another request before. A late answer to that one may
-    /// still come, and the target may be closing it.
+    /// Whether the connection carried a request before. A late response to that request
+    /// may still arrive, and the target may be closing the connection.
     pub(crate) reused: bool,
 }
 
 #[derive(Debug)]
 struct IdleConnection {
-    link: TargetConnection,
-    until: Duration,
+    connection: TargetConnection,
+    expires_at: Duration,
 }
 
-/// Connections to targets that are kept between requests, by the target's name: its
-/// address may be another one's by the next request.
+/// Idle connections, keyed by the target's name: another target may have taken over the
+/// address by the next request.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionPool {
     idle: Mutex<SortedMap<TargetName, Vec<IdleConnection>>>,
 }
 
 impl TargetConnection {
-    /// Connects.
+    /// Opens a connection to a target.
     ///
     /// # Errors
     ///
-    /// No connection came about in time; nothing was sent.
+    /// The connection was refused or timed out; nothing was sent.
     pub(crate) async fn open(address: SocketAddr) -> std::io::Result<Self> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
             .map_err(|_| std::io::ErrorKind::TimedOut)??;
-        bound_silence(&stream, SILENCE);
+        bound_silence(&stream, KEEPALIVE);
         Ok(Self {
             stream,
             input: InputBuffer::default(),
@@ -78,80 +77,90 @@
 }
 
 impl ConnectionPool {
-    /// Returns the kept connection that was used last, as it is the least likely to
-    /// be closed at the other end.
+    /// Returns the most recently used idle connection, which is the least likely to have
+    /// been closed by the target.
     pub(crate) async fn take(&self, target: &TargetName) -> Option<TargetConnection> {
         loop {
-            let mut link = self.pop(target)?;
-            // Bytes that come unasked belong to no request; an end is an end.
-            let quiet = poll_once(link.input.fill(&link.stream)).await.is_none();
-            if quiet && link.input.is_empty() {
-                link.reused = true;
-                return Some(link);
+            let mut connection = self.pop(target)?;
+            // Unsolicited bytes belong to no request, and a closed connection is readable
+            // too. Both disqualify the connection.
+            let is_idle = poll_once(connection.input.fill(&connection.stream))
+                .await
+                .is_none();
+            if is_idle && connection.input.is_empty() {
+                connection.reused = true;
+                return Some(connection);
             }
         }
     }
 
-    /// Keeps a connection behind a whole answer.
-    pub(crate) fn put(&self, target: &TargetName, link: TargetConnection, answer: &AnswerMessage) {
-        if !link.input.is_empty() {
+    /// Returns a connection to the pool after a complete response.
+    pub(crate) fn put(
+        &self,
+        target: &TargetName,
+        connection: TargetConnection,
+        response: &AnswerMessage,
+    ) {
+        if !connection.input.is_empty() {
             return;
         }
-        let kept = keep_alive(answer).unwrap_or(DEFAULT_IDLE);
-        let Some(kept) = kept.checked_sub(IDLE_MARGIN).filter(|kept| !kept.is_zero()) else {
+        let idle_time = keep_alive(response).unwrap_or(DEFAULT_IDLE);
+        let Some(idle_time) = idle_time
+            .checked_sub(IDLE_MARGIN)
+            .filter(|idle_time| !idle_time.is_zero())
+        else {
             return;
         };
-        let idle = IdleConnection {
-            link,
-            until: boot_now() + kept,
+        let entry = IdleConnection {
+            connection,
+            expires_at: boot_now() + idle_time,
         };
-        let mut links = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let held = links.get_or_insert_with(target.clone(), Vec::new);
-        if held.len() < MAX_IDLE {
-            held.push(idle);
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let connections = idle.get_or_insert_with(target.clone(), Vec::new);
+        if connections.len() < MAX_IDLE {
+            connections.push(entry);
         }
     }
 
-    /// Keeps a connection on which nothing was sent yet.
-    pub(crate) fn put_unused(&self, target: &TargetName, link: TargetConnection) {
-        let idle = IdleConnection {
-            link,
-            until: boot_now() + DEFAULT_IDLE,
+    /// Returns a connection to the pool on which no request was sent.
+    pub(crate) fn put_unused(&self, target: &TargetName, connection: TargetConnection) {
+        let entry = IdleConnection {
+            connection,
+            expires_at: boot_now() + DEFAULT_IDLE,
         };
-        let mut links = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        links
-            .get_or_insert_with(target.clone(), Vec::new)
-            .push(idle);
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.get_or_insert_with(target.clone(), Vec::new)
+            .push(entry);
     }
 
-    /// Returns how many connections are kept.
-    pub(crate) fn kept(&self) -> usize {
-        let links = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        links.iter().map(|(_, held)| held.len()).sum()
+    /// Returns the number of idle connections.
+    pub(crate) fn idle_count(&self) -> usize {
+        let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.iter().map(|(_, connections)| connections.len()).sum()
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections whose idle time has expired.
     pub(crate) fn close_idle(&self) {
         let now = boot_now();
-        let mut links = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        links.retain(|_, held| {
-            held.retain(|idle| idle.until > now);
-            !held.is_empty()
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.retain(|_, connections| {
+            connections.retain(|entry| entry.expires_at > now);
+            !connections.is_empty()
         });
     }
 
     fn pop(&self, target: &TargetName) -> Option<TargetConnection> {
         let now = boot_now();
-        let mut links = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let held = links.get_mut(target)?;
-        held.retain(|idle| idle.until > now);
-        Some(held.pop()?.link)
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let connections = idle.get_mut(target)?;
+        connections.retain(|entry| entry.expires_at > now);
+        Some(connections.pop()?.connection)
     }
 }
 
-/// Returns for how long the target keeps the connection.
-fn keep_alive(answer: &AnswerMessage) -> Option<Duration> {
-    let text = answer.headers.text("keep-alive")?;
+/// Returns the keep-alive timeout that the target announced.
+fn keep_alive(response: &AnswerMessage) -> Option<Duration> {
+    let text = response.headers.text("keep-alive")?;
     let timeout = text
         .split(',')
         .find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/src/edge/crash_check.rs
+++ b/src/edge/crash_check.rs
@@ -1,4 +1,4 @@
-//! Tells a target that crashed from one that only cut a connection.
+//! Distinguishes a crashed target from one that only closed a connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use crate::logs::DecisionLine;
 use crate::poison::RequestFingerprint;
 
-/// How long after the cut the target is looked at. A process that crashed takes
-/// no connections at once, and is back only after seconds.
+/// Delay between the loss of a connection and the probe of its target. A crashed process
+/// refuses connections immediately and takes seconds to restart.
 const PROBE_DELAY: Duration = Duration::from_millis(30);
 
-/// Looks whether a target that cut a request still takes connections, and suspects
-/// the request if it doesn't.
+/// Probes a target that closed the connection while it ran a request, and records the
+/// request as suspect if the target no longer accepts connections.
 ///
-/// Guards against a request that crashes each target that runs it: its caller sends
-/// it again and again under new ids, and each time one more target is lost with all
-/// that runs there. A single cut connection proves nothing, since targets cut some
-/// for other reasons.
+/// Without this, a request that crashes every target that runs it takes down one target
+/// after another, with all of their work, as its caller repeats it under new ids. A
+/// single closed connection is no proof of a crash, because targets close connections for
+/// other reasons too.
 pub(crate) async fn check_crash(
     state: Arc<EdgeState>,
     target: PlacedTarget,
--- a/src/edge/operator_endpoints.rs
+++ b/src/edge/operator_endpoints.rs
@@ -63,7 +63,10 @@
         ("view_age_ms", state.view_age_ms().unwrap_or(0)),
         ("members_live", state.live_host_count() as u64),
         ("requests_running", state.active_requests() as u64),
-        ("target_connections_kept", state.connections.kept() as u64),
+        (
+            "target_connections_kept",
+            state.connections.idle_count() as u64,
+        ),
         ("log_lines_left_out_total", left_out),
         ("log_lines_dropped_total", dropped),
     ]);
--- a/src/edge/request_execution.rs
+++ b/src/edge/request_execution.rs
@@ -146,7 +146,7 @@
         let caller = &mut *self.caller;
         let wait = async { Some(queue.wait_for_target(placement, patience).await) };
         let gone = async {
-            caller.gone().await;
+            caller.disconnected().await;
             None
         };
         match or(wait, gone).await {
--- a/src/edge/response_relay.rs
+++ b/src/edge/response_relay.rs
@@ -125,7 +125,7 @@
             let turn = {
                 let target = async { RelayEvent::Target(call.read_body(&mut received).await) };
                 let gone = async {
-                    caller.gone().await;
+                    caller.disconnected().await;
                     RelayEvent::CallerGone
                 };
                 let over = async {
--- a/src/edge/target_send.rs
+++ b/src/edge/target_send.rs
@@ -265,7 +265,7 @@
         return work.await;
     }
     let gone = async {
-        caller.gone().await;
+        caller.disconnected().await;
         Err(SendOutcome::CallerGone)
     };
     or(work, gone).await
