--- a/src/edge/deadline_history.rs
+++ b/src/edge/deadline_history.rs
@@ -1,27 +1,29 @@
-//! How long callers have waited already, by the time that they have left.
+//! Estimates how long callers have already waited from the deadlines that they send.
 
 use std::time::Duration;
 
 use crate::sorted::SortedMap;
 
-/// How many deadlines are remembered for a route.
+/// Limit on distinct deadlines remembered per route.
 const MAX_DEADLINES: usize = 8;
-/// How often a deadline must have come to be one that callers start with.
-const MIN_COUNT: u32 = 5;
-/// The highest count, so that deadlines that are no longer used are forgotten.
+/// Minimum number of occurrences for a deadline to count as an initial one.
+const MIN_OCCURRENCES: u32 = 5;
+/// Count at which all counts are halved, so that deadlines no longer in use are
+/// forgotten.
 const MAX_COUNT: u32 = 1000;
 
-/// Where callers start with deadlines of their own, these differ by less than this part. One
-/// that was told to come back has less left than that.
+/// Lowest ratio of an individual initial deadline to the longest one of its route.
+/// Retries have less time left than that.
 const MIN_FIRST_RATIO: f64 = 0.8;
-/// How long a deadline counts among those that callers start with.
-const DEADLINE_MEMORY: Duration = Duration::from_secs(30);
+/// Period over which the longest deadline of a route is tracked.
+const LONGEST_PERIOD: Duration = Duration::from_secs(30);
 
-/// The deadlines that came for each route.
+/// Recent deadlines of each route.
 ///
-/// Callers start with one of a few deadlines, or with one of their own near the longest, while
-/// one that comes back after a rejection has an odd rest of it left. The objective counts from
-/// its first attempt, so it may have passed already.
+/// Callers start either with one of a few common deadlines or with an individual one
+/// close to the longest. A caller that retries after a refusal sends what is left of its
+/// first deadline, which is an uncommon value. The latency objective counts from the
+/// first attempt, so it may already have been missed.
 #[derive(Debug, Default)]
 pub(crate) struct DeadlineHistory {
     routes: SortedMap<String, RouteDeadlines>,
@@ -30,10 +32,10 @@
 #[derive(Debug, Default)]
 struct RouteDeadlines {
     seen: Vec<SeenDeadline>,
-    /// The longest of the present period, and of the one before.
+    /// The longest deadline of the current period and of the previous one.
     longest: Duration,
-    longest_before: Duration,
-    since: Duration,
+    previous_longest: Duration,
+    period_start: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -43,20 +45,24 @@
 }
 
 impl DeadlineHistory {
-    /// Notes what a caller of a route has left; returns how long it has waited already.
-    pub(crate) fn note(&mut self, route: &str, left: Duration, now: Duration) -> Duration {
+    /// Records a deadline and returns the estimated time that the caller has already
+    /// waited.
+    pub(crate) fn record(&mut self, route: &str, left: Duration, now: Duration) -> Duration {
         let route = self
             .routes
             .get_or_insert_with(route.to_owned(), RouteDeadlines::default);
-        count(&mut route.seen, left);
+        count_deadline(&mut route.seen, left);
         let longest = route.longest_with(left, now);
-        let usual = route.seen.iter().filter(|held| held.count >= MIN_COUNT);
-        let started = usual
-            .map(|held| held.deadline)
+        let frequent = route
+            .seen
+            .iter()
+            .filter(|entry| entry.count >= MIN_OCCURRENCES);
+        let initial = frequent
+            .map(|entry| entry.deadline)
             .filter(|deadline| *deadline >= left)
             .min();
-        match started {
-            Some(started) => started - left,
+        match initial {
+            Some(initial) => initial - left,
             None if left < longest.mul_f64(MIN_FIRST_RATIO) => longest - left,
             None => Duration::ZERO,
         }
@@ -64,22 +70,22 @@
 }
 
 impl RouteDeadlines {
-    /// Notes a deadline; returns the longest that came lately.
+    /// Records a deadline and returns the longest one of the last two periods.
     fn longest_with(&mut self, left: Duration, now: Duration) -> Duration {
-        if now.saturating_sub(self.since) >= DEADLINE_MEMORY {
-            self.longest_before = std::mem::take(&mut self.longest);
-            self.since = now;
+        if now.saturating_sub(self.period_start) >= LONGEST_PERIOD {
+            self.previous_longest = std::mem::take(&mut self.longest);
+            self.period_start = now;
         }
         self.longest = self.longest.max(left);
-        self.longest.max(self.longest_before)
+        self.longest.max(self.previous_longest)
     }
 }
 
-fn count(seen: &mut Vec<SeenDeadline>, deadline: Duration) {
-    if let Some(held) = seen.iter_mut().find(|held| held.deadline == deadline) {
-        held.count += 1;
-        if held.count >= MAX_COUNT {
-            seen.iter_mut().for_each(|held| held.count /= 2);
+fn count_deadline(seen: &mut Vec<SeenDeadline>, deadline: Duration) {
+    if let Some(entry) = seen.iter_mut().find(|entry| entry.deadline == deadline) {
+        entry.count += 1;
+        if entry.count >= MAX_COUNT {
+            seen.iter_mut().for_each(|entry| entry.count /= 2);
         }
         return;
     }
--- a/src/edge/edge_host.rs
+++ b/src/edge/edge_host.rs
@@ -1,4 +1,4 @@
-//! Puts one host together and runs it until it is told to leave.
+//! Assembles one host and runs it until it is told to stop.
 
 use std::future::Future;
 use std::io;
@@ -40,54 +40,52 @@
 use crate::peers::PeerMesh;
 use crate::view::FleetSource;
 
-/// The key that hosts prove to each other. The platform hands out no secret, and
-/// only hosts reach the peers' address, so it keeps out mistakes and no attacker.
+/// Shared key of the peer handshake. The platform distributes no secrets and only hosts
+/// can reach the peer address, so the key guards against misconfiguration and not against
+/// attackers.
 const PEER_KEY: &[u8] = b"cardamomgw edge hosts";
-/// The share of the descriptors that callers' connections may take; the rest is for
-/// targets, peers and files.
+/// Share of the file descriptors available to caller connections. The rest is reserved
+/// for targets, peers and files.
 const CALLER_DESCRIPTOR_RATIO: f64 = 0.6;
-/// How long to wait when no connection can be accepted: descriptors are gone, and
-/// asking again at once would only burn the processor.
+/// Pause after a failed accept. Accepting fails when no file descriptors are left, and
+/// retrying at once would only use processor time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What an adapter gives.
+/// What a platform adapter provides to a host.
 pub(crate) struct EdgeDependencies {
-    /// The settings.
     pub(crate) settings: EdgeSettings,
-    /// The names of headers.
     pub(crate) header_names: HeaderNames,
-    /// The store.
+    /// The store of configuration and targets.
     pub(crate) source: Arc<dyn FleetSource>,
-    /// Reads the settings again.
     pub(crate) loader: Arc<dyn SettingsLoader>,
 }
 
-/// Where a host listens, by the ports that it got where its settings name none.
+/// The addresses on which a host listens, with the ports that the system assigned where
+/// the settings name port 0.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EdgeAddresses {
-    /// For callers.
     pub(crate) caller: SocketAddr,
-    /// For the balancer's question.
+    /// For the load balancer's readiness probes.
     pub(crate) ready: SocketAddr,
-    /// For metrics.
     pub(crate) metrics: Option<SocketAddr>,
 }
 
-/// The signals that a host obeys.
+/// The signals that a host handles.
 pub(crate) struct EdgeSignals(Signals);
 
 impl EdgeSignals {
-    /// Takes the signals; those that come before [`EdgeHost::run`] wait for it.
+    /// Registers the signal handlers. Signals that arrive before [`EdgeHost::run`] are
+    /// delivered to it.
     ///
     /// # Errors
     ///
-    /// The signals can't be taken.
+    /// The handlers can't be registered.
     pub(crate) fn register() -> io::Result<Self> {
         Ok(Self(Signals::new([SIGHUP, SIGINT, SIGTERM])?))
     }
 }
 
-/// One running host.
+/// A running host.
 pub(crate) struct EdgeHost {
     state: Arc<EdgeState>,
     reload: Sender<()>,
@@ -97,28 +95,28 @@
 }
 
 impl EdgeHost {
-    /// Binds all addresses and starts to serve.
+    /// Binds all addresses and starts serving.
     ///
     /// # Errors
     ///
     /// An address can't be bound, or the log can't be opened.
-    pub(crate) async fn start(parts: EdgeDependencies) -> io::Result<Self> {
+    pub(crate) async fn start(dependencies: EdgeDependencies) -> io::Result<Self> {
         let log = DecisionLog::open().map_err(io::Error::other)?;
-        Self::start_with_log(parts, log).await
+        Self::start_with_log(dependencies, log).await
     }
 
-    /// As [`EdgeHost::start`], with a log of the caller's.
+    /// Like [`EdgeHost::start`], with a given log.
     ///
     /// # Errors
     ///
     /// An address can't be bound.
     pub(crate) async fn start_with_log(
-        parts: EdgeDependencies,
+        dependencies: EdgeDependencies,
         log: DecisionLog,
     ) -> io::Result<Self> {
-        let settings = parts.settings;
+        let settings = dependencies.settings;
         let requests = RequestMetrics::open().map_err(io::Error::other)?;
-        let state = EdgeState::new(settings.clone(), parts.header_names, log, requests);
+        let state = EdgeState::new(settings.clone(), dependencies.header_names, log, requests);
         let identity = PeerIdentity {
             host: settings.host.clone(),
             key: PEER_KEY.to_vec(),
@@ -128,23 +126,27 @@
         let seeds = settings.seeds.iter().copied();
         let seeds = seeds.filter(|seed| *seed != settings.peer_address);
         let mesh = PeerMesh::spawn(identity, seeds.collect());
-        let most = (settings.max_descriptors as f64 * CALLER_DESCRIPTOR_RATIO) as usize;
+        let max_callers = (settings.max_descriptors as f64 * CALLER_DESCRIPTOR_RATIO) as usize;
         let addresses = EdgeAddresses {
-            caller: listen(&state, settings.caller_address, most, serve_caller).await?,
-            ready: listen(&state, settings.ready_address, most, serve_readiness).await?,
+            caller: listen(&state, settings.caller_address, max_callers, serve_caller).await?,
+            ready: listen(&state, settings.ready_address, max_callers, serve_readiness).await?,
             metrics: match settings.metrics_address {
-                Some(address) => Some(listen(&state, address, most, serve_metrics).await?),
+                Some(address) => Some(listen(&state, address, max_callers, serve_metrics).await?),
                 None => None,
             },
         };
-        let (reload, asked) = async_channel::bounded(1);
+        let (reload, reload_requests) = async_channel::bounded(1);
         task::spawn(refresh_evidence(
             Arc::clone(&state),
-            Arc::clone(&parts.source),
+            Arc::clone(&dependencies.source),
         ));
-        task::spawn(follow_store(Arc::clone(&state), parts.source));
+        task::spawn(follow_store(Arc::clone(&state), dependencies.source));
         task::spawn(run_gossip(Arc::clone(&state), Arc::clone(&mesh)));
-        task::spawn(follow_settings(Arc::clone(&state), parts.loader, asked));
+        task::spawn(follow_settings(
+            Arc::clone(&state),
+            dependencies.loader,
+            reload_requests,
+        ));
         task::spawn(expire_stale(Arc::clone(&state)));
         Ok(Self {
             state,
@@ -155,8 +157,8 @@
         })
     }
 
-    /// Serves until SIGTERM or SIGINT and the leaving that follows; SIGHUP reads
-    /// the settings again.
+    /// Runs until SIGTERM or SIGINT and the graceful shutdown that follows. SIGHUP
+    /// reloads the settings.
     pub(crate) async fn run(self, mut signals: EdgeSignals) {
         self.state.log.write(&DecisionLine::Started {
             host: self.state.settings.load().host.clone(),
@@ -169,18 +171,19 @@
             if signal != SIGHUP {
                 break;
             }
-            // A look that is already asked for serves this signal as well.
+            // A reload that is already queued covers this signal as well.
             self.reload.try_send(()).ok();
         }
         leave(&self.state).await;
     }
 }
 
-/// Serves each connection at `address` in a task of its own, up to `most` at once.
+/// Serves each connection accepted at `address` in its own task, up to `max_open` at a
+/// time.
 async fn listen<F, S>(
     state: &Arc<EdgeState>,
     address: SocketAddr,
-    most: usize,
+    max_open: usize,
     serve: F,
 ) -> io::Result<SocketAddr>
 where
@@ -197,8 +200,8 @@
                 task::sleep(ACCEPT_PAUSE).await;
                 continue;
             };
-            // Closed before anything was read: the caller knows that nothing ran.
-            if open.load(Ordering::Relaxed) >= most {
+            // Closed before anything was read, so the caller knows that no request ran.
+            if open.load(Ordering::Relaxed) >= max_open {
                 continue;
             }
             open.fetch_add(1, Ordering::Relaxed);
--- a/src/edge/edge_metrics.rs
+++ b/src/edge/edge_metrics.rs
@@ -1,33 +1,31 @@
-//! Counters of the host, as text.
+//! Counters of the host in the text exposition format.
 
 use std::fmt::Write;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Counters of the host; one a process.
+/// Process-wide counters of the host.
 #[derive(Debug, Default)]
 pub(crate) struct EdgeMetrics {
     /// Requests that a target answered.
     pub(crate) answered: AtomicU64,
-    /// Requests whose caller left.
+    /// Requests whose caller disconnected.
     pub(crate) callers_left: AtomicU64,
-    /// Sends to targets.
+    /// Requests sent to targets, including repeats.
     pub(crate) sends: AtomicU64,
-    /// Sends beyond a request's first.
+    /// Requests sent to a target again after the first time.
     pub(crate) repeats: AtomicU64,
-    /// New connections to targets.
+    /// Connections opened to targets.
     pub(crate) connects: AtomicU64,
-    /// Calls to the store.
     pub(crate) store_calls: AtomicU64,
 }
 
-/// Adds one.
 pub(crate) fn count(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
 impl EdgeMetrics {
-    /// Returns all counters as text; `gauges` are added.
+    /// Renders all counters and the given gauges.
     pub(crate) fn render(&self, gauges: &[(&str, u64)]) -> String {
         let mut text = String::new();
         let counters = [
--- a/src/edge/edge_refusal.rs
+++ b/src/edge/edge_refusal.rs
@@ -1,4 +1,4 @@
-//! An answer of the host's own.
+//! Responses that the host generates itself.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 /// Why the host answers a request itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct EdgeRefusal {
-    /// The kind, which decides the status.
+    /// The error, which determines the status.
     pub(crate) kind: ErrorKind,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub(crate) retry_after: Option<Duration>,
 }
 
 impl EdgeRefusal {
-    /// Makes a refusal that says when to come back.
+    /// Creates a refusal with a retry delay.
     pub(crate) const fn after(kind: ErrorKind, retry_after: Duration) -> Self {
         Self {
             kind,
@@ -23,7 +23,6 @@
         }
     }
 
-    /// Returns the status.
     pub(crate) fn status(&self) -> u16 {
         self.kind.answer().status
     }
--- a/src/edge/edge_settings.rs
+++ b/src/edge/edge_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one host, as an adapter gives them.
+//! Settings of one host, independent of the platform's file format.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,51 +10,48 @@
 use crate::quota::QuotaTolerance;
 use crate::quota::RetryBounds;
 
-/// The settings of one host.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EdgeSettings {
     /// The host's name, unique among its peers.
     pub(crate) host: HostName,
-    /// Its availability zone.
     pub(crate) availability_zone: ZoneName,
     /// Where callers connect.
     pub(crate) caller_address: SocketAddr,
-    /// Where the balancer asks whether the host is ready.
+    /// Where the load balancer sends readiness probes.
     pub(crate) ready_address: SocketAddr,
     /// Where peers connect.
     pub(crate) peer_address: SocketAddr,
-    /// Where metrics are read.
+    /// Where metrics are scraped.
     pub(crate) metrics_address: Option<SocketAddr>,
-    /// Where to find some peers; may be stale.
+    /// Addresses of some peers; may be out of date.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// The processor time that the host has, in thousandths of a core.
+    /// Available processor time, in thousandths of a core.
     pub(crate) capacity: u32,
-    /// How many file descriptors the process may have.
+    /// Limit on open file descriptors of the process.
     pub(crate) max_descriptors: usize,
-    /// What must hold, in figures.
     pub(crate) bounds: EdgeBounds,
 }
 
-/// What must hold, in figures.
+/// Service levels that the host must keep.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct EdgeBounds {
-    /// How long the process has from the signal to leave to its end.
+    /// Time between the stop signal and the exit of the process.
     pub(crate) shutdown_grace: Duration,
-    /// How old the view of keys may be for a request with a key to run; `None`
-    /// where a key that was taken away need not bind hosts that are cut off.
+    /// Maximum age of the key data on which a request with a key may be admitted. `None`
+    /// where key revocation need not reach hosts that are cut off from the store.
     pub(crate) max_key_age: Option<Duration>,
-    /// Within which a new configuration must be in force.
+    /// Time within which a new configuration must take effect.
     pub(crate) max_configuration_delay: Duration,
-    /// Within which a target that leaves, or whose availability zone is evacuated, must get
-    /// no new work.
+    /// Time within which a target that is leaving, or whose availability zone is
+    /// evacuated, must stop receiving new work.
     pub(crate) max_target_delay: Duration,
-    /// Repeats by requests, over all hosts.
+    /// Allowed repeats per request, across all hosts.
     pub(crate) retry_ratio: f64,
-    /// Repeats beyond that in a window, over all hosts.
+    /// Allowed repeats per window in addition to the ratio, across all hosts.
     pub(crate) retry_slack: f64,
-    /// The window of repeats.
+    /// The window over which repeats are counted.
     pub(crate) retry_window: Duration,
-    /// How far all hosts together may go beyond an account's allowance.
+    /// How far all hosts together may exceed an account's allowance.
     pub(crate) quota_tolerance: QuotaTolerance,
 }
 
@@ -78,7 +75,7 @@
 }
 
 impl EdgeBounds {
-    /// Returns the bound on repeats.
+    /// Returns the limits on repeats.
     pub(crate) const fn retry_bounds(&self) -> RetryBounds {
         RetryBounds {
             ratio: self.retry_ratio,
@@ -88,15 +85,15 @@
     }
 }
 
-/// Reads the settings again while the process runs.
+/// Reloads the settings while the process runs.
 pub(crate) trait SettingsLoader: Send + Sync + 'static {
-    /// Reads the settings as they stand now.
+    /// Reads the current settings.
     ///
     /// # Errors
     ///
-    /// Every fault; the settings before stay in force.
+    /// All faults that were found. The previous settings stay in effect.
     fn load(&self) -> Result<EdgeSettings, Vec<DocumentFault>>;
 
-    /// Returns the file, whose changes are noticed without a signal.
+    /// Returns the path of the settings file, which is also watched for changes.
     fn path(&self) -> &Path;
 }
--- a/src/edge/edge_state.rs
+++ b/src/edge/edge_state.rs
@@ -1,4 +1,4 @@
-//! What all requests and controllers of one host share.
+//! State shared by all requests and controllers of a host.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -38,16 +38,18 @@
 use crate::view::SharedView;
 use crate::view::ViewChange;
 
-/// How much younger than its bound the view of keys must be: the request may have
-/// been on its way, and the clocks of two hosts are read at different moments.
+/// Safety margin on the maximum age of key data. It covers the time a request was in
+/// transit and the difference between the clock readings of two hosts.
 const EVIDENCE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What all requests and controllers of one host share.
+/// State shared by all requests and controllers of a host.
+///
+/// A guard returned by an accessor must not be held across an await.
 pub(crate) struct EdgeState {
     pub(crate) settings: ArcSwap<EdgeSettings>,
     pub(crate) header_names: HeaderNames,
     pub(crate) incarnation: IncarnationId,
-    /// When the process started, on the boot clock.
+    /// Start of the process, on the boot clock.
     pub(crate) started: Duration,
     pub(crate) view: SharedView,
     pub(crate) queue: Arc<DispatchQueue>,
@@ -55,36 +57,37 @@
     pub(crate) poison: PoisonGuard,
     pub(crate) log: DecisionLog,
     pub(crate) metrics: EdgeMetrics,
-    /// Histograms and answers by tier, class and account.
+    /// Latency histograms and response counts by tier, class and account.
     pub(crate) request_metrics: Arc<RequestMetrics>,
     members: Mutex<MemberTable>,
     gossip_schedule: Mutex<GossipSchedule>,
     role: ArcSwap<FleetRole>,
     peer_fleet_size: Mutex<PeerFleetSize>,
-    /// The hosts that report to this one, and when each did last.
+    /// Hosts that report to this one, with the time of their last report.
     reporting_hosts: Mutex<SortedMap<HostName, Duration>>,
-    /// How many hosts each peer knows.
+    /// Number of hosts that each peer knows.
     peer_host_count: Mutex<SortedMap<HostName, usize>>,
-    /// Candidates that did not answer as leaders, and until when they are passed over.
+    /// Leader candidates that did not respond as leaders, and until when they are
+    /// skipped.
     skipped_leaders: Mutex<SortedMap<HostName, Duration>>,
     gossip_cursors: Mutex<GossipCursors>,
     deadlines: Mutex<DeadlineHistory>,
-    /// The slots that hosts which report to this one may use.
+    /// Slots granted to the hosts that report to this one.
     slot_grants: Mutex<SlotGrants>,
     quota_ledger: Mutex<QuotaLimiter>,
     retry_budget: Mutex<RetryBudget>,
-    /// Boot time in milliseconds of the signal to leave; 0 before it.
+    /// Time of the stop signal in milliseconds on the boot clock; 0 before it.
     leaving_since: AtomicU64,
-    /// Whether requests are refused because the host is about to end.
+    /// Whether new requests are refused because the host is about to exit.
     is_rejecting: AtomicBool,
     active_requests: AtomicUsize,
 }
 
-/// Counts a request for as long as it is served.
+/// Counts a request as active until it is dropped.
 pub(crate) struct RequestGuard(Arc<EdgeState>);
 
 impl EdgeState {
-    /// Puts a host's state together.
+    /// Creates the state of a host that knows no peers or targets yet.
     pub(crate) fn new(
         settings: EdgeSettings,
         header_names: HeaderNames,
@@ -93,7 +96,8 @@
     ) -> Arc<Self> {
         let tolerance = settings.bounds.quota_tolerance;
         let started = boot_now();
-        // Until the others are found, there are at least those that the settings name.
+        // Until peers are discovered, the configured seeds are the minimum number of
+        // hosts.
         let seeds = settings.seeds.iter();
         let others = seeds.filter(|seed| **seed != settings.peer_address);
         let hosts = others.count() + 1;
@@ -127,119 +131,113 @@
         })
     }
 
-    /// Gives access to the members; never held over a wait.
     pub(crate) fn members(&self) -> MutexGuard<'_, MemberTable> {
         lock(&self.members)
     }
 
-    /// Gives access to the schedule of gossip; never held over a wait.
     pub(crate) fn gossip_schedule(&self) -> MutexGuard<'_, GossipSchedule> {
         lock(&self.gossip_schedule)
     }
 
-    /// Gives access to the hosts that report to this one; never held over a wait.
     pub(crate) fn reporting_hosts(&self) -> MutexGuard<'_, SortedMap<HostName, Duration>> {
         lock(&self.reporting_hosts)
     }
 
-    /// Gives access to the granted slots; never held over a wait.
     pub(crate) fn slot_grants(&self) -> MutexGuard<'_, SlotGrants> {
         lock(&self.slot_grants)
     }
 
-    /// Returns this host's role.
     pub(crate) fn role(&self) -> Arc<FleetRole> {
         self.role.load_full()
     }
 
-    /// Puts a role in force.
     pub(crate) fn set_role(&self, role: Arc<FleetRole>) {
         self.role.store(role);
     }
 
-    /// Returns the largest fleet that a peer knew lately.
+    /// Returns the largest fleet size that peers reported recently.
     pub(crate) fn peer_fleet_size(&self) -> PeerFleetSize {
         *lock(&self.peer_fleet_size)
     }
 
-    /// Notes how many hosts a peer knows.
+    /// Records the fleet size that a peer reported.
     pub(crate) fn record_fleet_size(&self, hosts: usize, grouped: bool, now: Duration) {
-        lock(&self.peer_fleet_size).note(hosts, grouped, now);
+        lock(&self.peer_fleet_size).record(hosts, grouped, now);
     }
 
-    /// Returns how many hosts a peer knows, as it says itself.
+    /// Returns the number of hosts that a peer knows, by its last report.
     pub(crate) fn peer_host_count(&self, host: &str) -> usize {
         lock(&self.peer_host_count).get(host).copied().unwrap_or(0)
     }
 
-    /// Notes how many hosts a peer knows.
+    /// Records the number of hosts that a peer knows.
     pub(crate) fn record_host_count(&self, host: &HostName, hosts: usize) {
         lock(&self.peer_host_count).insert(host.clone(), hosts);
     }
 
-    /// Passes a candidate over until it may answer as a leader.
+    /// Skips a leader candidate until the given time.
     pub(crate) fn skip_leader(&self, host: &HostName, until: Duration) {
         lock(&self.skipped_leaders).insert(host.clone(), until);
     }
 
-    /// Tells whether a candidate is passed over.
     pub(crate) fn is_skipped_leader(&self, host: &HostName, now: Duration) -> bool {
-        let mut passed = lock(&self.skipped_leaders);
-        passed.retain(|_, until| *until > now);
-        passed.contains_key(host)
+        let mut skipped = lock(&self.skipped_leaders);
+        skipped.retain(|_, until| *until > now);
+        skipped.contains_key(host)
     }
 
-    /// Gives access to what was told last; never held over a wait.
+    /// Returns what was sent last and what is sent next.
     pub(crate) fn gossip_cursors(&self) -> MutexGuard<'_, GossipCursors> {
         lock(&self.gossip_cursors)
     }
 
-    /// Gives access to the quotas; never held over a wait.
     pub(crate) fn quota_ledger(&self) -> MutexGuard<'_, QuotaLimiter> {
         lock(&self.quota_ledger)
     }
 
-    /// Counts a repeat if all hosts together may still make one.
+    /// Reserves a repeat from the retry budget of all hosts; returns whether one was
+    /// left.
     pub(crate) fn try_retry(&self, pool: &str) -> bool {
         let bounds = self.settings.load().bounds.retry_bounds();
         let hosts = self.members().size();
         lock(&self.retry_budget).try_retry(pool, bounds, hosts, boot_now())
     }
 
-    /// Tells whether all hosts together may make one more repeat.
+    /// Returns whether the retry budget of all hosts permits another repeat.
     pub(crate) fn can_retry(&self, pool: &str) -> bool {
         let bounds = self.settings.load().bounds.retry_bounds();
         let hosts = self.members().size();
         lock(&self.retry_budget).can_retry(pool, bounds, hosts, boot_now())
     }
 
-    /// Counts a request for a pool.
+    /// Counts a request towards the retry budget of its pool.
     pub(crate) fn note_request(&self, pool: &str) {
         let bounds = self.settings.load().bounds.retry_bounds();
         lock(&self.retry_budget).record_request(pool, bounds, boot_now());
     }
 
-    /// Notes what a caller of a route has left; returns how long it has waited already.
+    /// Records the remaining time of a caller and returns how long it has already waited.
     pub(crate) fn record_deadline(&self, route: &str, left: Duration) -> Duration {
-        lock(&self.deadlines).note(route, left, boot_now())
+        lock(&self.deadlines).record(route, left, boot_now())
     }
 
-    /// Returns how old the view of the store is.
+    /// Returns the age of the last confirmation that the configuration, and so the keys,
+    /// are current.
     pub(crate) fn evidence_age(&self) -> Option<Duration> {
         self.view.evidence_age(boot_now())
     }
 
-    /// Returns how old the view of the targets is, in milliseconds.
+    /// Returns the age of the view of the targets, in milliseconds.
     pub(crate) fn view_age_ms(&self) -> Option<u64> {
         let age = self.view.view_age(boot_now())?;
         Some(age.as_millis() as u64)
     }
 
-    /// Tells whether the view of keys is young enough to run a request with one.
+    /// Returns whether the key data is recent enough to admit a request with a key.
     ///
-    /// Guards against a host that is cut off, or was suspended: it would admitted a
-    /// key that was taken away since. The age is taken on the boot clock, which
-    /// counts a suspension.
+    /// A host that was cut off from the store or suspended would otherwise admit keys
+    /// that have been revoked since. The age is measured on the boot clock, which also
+    /// advances during a suspension.
     pub(crate) fn has_fresh_keys(&self) -> bool {
         let bound = self.settings.load().bounds.max_key_age;
         match (bound, self.evidence_age()) {
@@ -249,18 +247,18 @@
         }
     }
 
-    /// Tells whether the view is young enough to say that a route or key is not there.
+    /// Returns whether the view is recent enough to report a route or key as unknown.
     pub(crate) fn can_confirm_absence(&self) -> bool {
         let bound = self.settings.load().bounds.max_configuration_delay;
         self.evidence_age().is_some_and(|age| age < bound * 2)
     }
 
-    /// Tells whether the host should get new connections.
+    /// Returns whether the load balancer should send new connections to this host.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_leaving() && self.view.catalog().is_some() && self.has_fresh_keys()
     }
 
-    /// Begins to leave.
+    /// Starts the graceful shutdown.
     pub(crate) fn begin_leaving(&self) {
         let now = boot_now().as_millis() as u64;
         self.leaving_since
@@ -268,12 +266,12 @@
             .ok();
     }
 
-    /// Tells whether the host leaves.
+    /// Returns whether the host is shutting down.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving_for().is_some()
     }
 
-    /// Returns for how long the host has been leaving.
+    /// Returns the time since the shutdown started.
     pub(crate) fn leaving_for(&self) -> Option<Duration> {
         match self.leaving_since.load(Ordering::Acquire) {
             0 => None,
@@ -281,41 +279,39 @@
         }
     }
 
-    /// Returns how many hosts serve now, this one included.
+    /// Returns the number of live hosts, including this one.
     pub(crate) fn live_host_count(&self) -> usize {
         self.members().live_count(boot_now()) + 1
     }
 
-    /// Returns how many of the hosts that serve now stand before this one in the
-    /// order of their names.
+    /// Returns the number of live hosts whose names sort before this one's.
     pub(crate) fn own_rank(&self) -> usize {
         let settings = self.settings.load();
         let names = self.members().live_names(boot_now());
         names.partition_point(|name| *name < settings.host)
     }
 
-    /// Refuses requests from now on.
+    /// Refuses all requests from now on.
     pub(crate) fn stop_accepting(&self) {
         self.is_rejecting.store(true, Ordering::Release);
     }
 
-    /// Tells whether requests are admitted.
+    /// Returns whether new requests are admitted.
     pub(crate) fn accepts_requests(&self) -> bool {
         !self.is_rejecting.load(Ordering::Acquire)
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as active until the guard is dropped.
     pub(crate) fn track_request(self: &Arc<Self>) -> RequestGuard {
         self.active_requests.fetch_add(1, Ordering::AcqRel);
         RequestGuard(Arc::clone(self))
     }
 
-    /// Returns how many requests are served now.
     pub(crate) fn active_requests(&self) -> usize {
         self.active_requests.load(Ordering::Acquire)
     }
 
-    /// Brings the table up to a change of the view, and writes it down.
+    /// Applies a change of the view to the dispatch table and logs it.
     pub(crate) fn apply_change(&self, change: ViewChange, peer: Option<&HostName>) {
         if change.is_empty() {
             return;
--- a/src/edge/event_splitter.rs
+++ b/src/edge/event_splitter.rs
@@ -1,9 +1,9 @@
-//! Splits a stream into whole events.
+//! Splits an event stream into complete events.
 
-/// Splits a stream into whole events (`text/event-stream`).
+/// Splits a stream (`text/event-stream`) into complete events.
 ///
-/// A target may stop in the middle of an event. A caller that got half of one
-/// could not be given the rest by another target, so only whole events go on.
+/// A target may fail in the middle of an event. Another target can't continue a partial
+/// event, so only complete events are forwarded.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     pending: Vec<u8>,
@@ -11,7 +11,7 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes in and returns all whole events that are there.
+    /// Consumes bytes and returns all events that are complete.
     pub(crate) fn take_events(&mut self, bytes: &mut Vec<u8>) -> Vec<u8> {
         self.pending.append(bytes);
         let Some(end) = last_event_end(&self.pending) else {
@@ -25,18 +25,19 @@
         events
     }
 
-    /// Returns what is left behind the last whole event, at the stream's proven end.
+    /// Returns the bytes after the last complete event. They are forwarded only when the
+    /// stream has ended properly.
     pub(crate) fn take_rest(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub(crate) fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 }
 
-/// Returns the place behind the last empty line.
+/// Returns the offset after the last empty line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let ends =
         |end: &usize| bytes[..*end].ends_with(b"\n\n") || bytes[..*end].ends_with(b"\r\n\r\n");
--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -77,7 +77,7 @@
 
 impl PeerFleetSize {
     /// Notes the size that a peer knows, and whether it has its place in a group.
-    pub(crate) fn note(&mut self, hosts: usize, grouped: bool, now: Duration) {
+    pub(crate) fn record(&mut self, hosts: usize, grouped: bool, now: Duration) {
         let is_old = now.saturating_sub(self.at) >= FLEET_SIZE_TTL;
         if hosts >= self.hosts || is_old {
             *self = Self {
--- a/src/edge/tests/deadlines.rs
+++ b/src/edge/tests/deadlines.rs
@@ -15,15 +15,15 @@
 fn a_caller_that_comes_back_is_told_from_a_new_one() {
     let mut history = DeadlineHistory::default();
     for _ in 0..10 {
-        history.note("r", millis(12_000), NOW);
-        history.note("r", millis(3_000), NOW);
+        history.record("r", millis(12_000), NOW);
+        history.record("r", millis(3_000), NOW);
     }
 
-    assert_eq!(history.note("r", millis(12_000), NOW), Duration::ZERO);
-    assert_eq!(history.note("r", millis(9_731), NOW), millis(2_269));
-    assert_eq!(history.note("r", millis(3_000), NOW), Duration::ZERO);
-    assert_eq!(history.note("r", millis(1_213), NOW), millis(1_787));
-    assert_eq!(history.note("other", millis(9_731), NOW), Duration::ZERO);
+    assert_eq!(history.record("r", millis(12_000), NOW), Duration::ZERO);
+    assert_eq!(history.record("r", millis(9_731), NOW), millis(2_269));
+    assert_eq!(history.record("r", millis(3_000), NOW), Duration::ZERO);
+    assert_eq!(history.record("r", millis(1_213), NOW), millis(1_787));
+    assert_eq!(history.record("other", millis(9_731), NOW), Duration::ZERO);
 }
 
 /// Guards against deadlines of callers that come back which push out the usual ones.
@@ -31,12 +31,12 @@
 fn odd_deadlines_push_no_usual_one_out() {
     let mut history = DeadlineHistory::default();
     for odd in 0..1000 {
-        history.note("r", millis(10_000), NOW);
-        history.note("r", millis(5_000 + odd), NOW);
+        history.record("r", millis(10_000), NOW);
+        history.record("r", millis(5_000 + odd), NOW);
     }
 
-    assert_eq!(history.note("r", millis(10_000), NOW), Duration::ZERO);
-    assert_eq!(history.note("r", millis(4_000), NOW), millis(6_000));
+    assert_eq!(history.record("r", millis(10_000), NOW), Duration::ZERO);
+    assert_eq!(history.record("r", millis(4_000), NOW), millis(6_000));
 }
 
 /// Guards against callers with deadlines of their own, none of which comes twice: those that
@@ -45,13 +45,13 @@
 fn a_caller_that_comes_back_has_less_left_than_any_new_one() {
     let mut history = DeadlineHistory::default();
     for odd in 0..600 {
-        history.note("r", millis(10_200 + 3 * odd), NOW);
-        history.note("r", millis(6_500 + 4 * odd), NOW);
+        history.record("r", millis(10_200 + 3 * odd), NOW);
+        history.record("r", millis(6_500 + 4 * odd), NOW);
     }
 
-    assert_eq!(history.note("r", millis(10_201), NOW), Duration::ZERO);
-    assert!(history.note("r", millis(8_850), NOW) >= millis(1_300));
-    assert!(history.note("r", millis(6_501), NOW) >= millis(3_600));
+    assert_eq!(history.record("r", millis(10_201), NOW), Duration::ZERO);
+    assert!(history.record("r", millis(8_850), NOW) >= millis(1_300));
+    assert!(history.record("r", millis(6_501), NOW) >= millis(3_600));
 }
 
 /// Guards against new callers that are taken for ones that came back, since their deadlines
@@ -59,11 +59,11 @@
 #[test]
 fn a_longest_deadline_is_forgotten() {
     let mut history = DeadlineHistory::default();
-    history.note("r", millis(12_000), NOW);
+    history.record("r", millis(12_000), NOW);
     let later = NOW + Duration::from_secs(30);
-    history.note("r", millis(3_000), later);
+    history.record("r", millis(3_000), later);
 
-    let waited = history.note("r", millis(3_100), later + Duration::from_secs(30));
+    let waited = history.record("r", millis(3_100), later + Duration::from_secs(30));
 
     assert_eq!(waited, Duration::ZERO);
 }
--- a/src/edge/tests/edge_fixture.rs
+++ b/src/edge/tests/edge_fixture.rs
@@ -153,14 +153,14 @@
 
     fn open_on(store: ManualStore, bounds: EdgeBounds) -> Self {
         let settings = settings_with(bounds);
-        let parts = EdgeDependencies {
+        let dependencies = EdgeDependencies {
             header_names: header_names(),
             source: Arc::new(store.clone()),
             loader: Arc::new(FixedLoader(settings.clone())),
             settings,
         };
         let log = DecisionLog::open_on(LineQueue::spawn(std::io::sink())).unwrap();
-        let host = task::block_on(EdgeHost::start_with_log(parts, log)).unwrap();
+        let host = task::block_on(EdgeHost::start_with_log(dependencies, log)).unwrap();
         let addresses = host.addresses;
         Self {
             store,
