--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -1,9 +1,10 @@
-//! Gossips with the other hosts, several times a second.
+//! Exchanges gossip with other hosts several times a second.
 //!
-//! In a small fleet each host does so with all others. In a large one the members of a
-//! group report to its leader, which answers with the sums of all other hosts; leaders
-//! exchange the sums of their groups. Nothing depends on who leads: a host that is reported
-//! to acts as a leader, and one whose leader does not answer reports to the next one.
+//! In a small fleet every host gossips with every other. In a large one the members of a
+//! group report to its leader, which answers with the totals of all other hosts; the
+//! leaders exchange the totals of their groups. Correctness does not depend on agreement
+//! about the leader: a host that receives reports acts as a leader, and a host whose
+//! leader does not answer reports to the next candidate.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -33,51 +34,51 @@
 use crate::peers::PeerReply;
 use crate::quota::UsageScope;
 
-/// How often due peers are looked for in a small fleet, and loads that changed are sent.
+/// Period at which a small fleet checks for due peers and sends changed loads.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(100);
-/// The same until a peer, or the store, has given this host a view.
+/// Period until this host has received a view from a peer or the store.
 const BOOTSTRAP_PERIOD: Duration = Duration::from_millis(25);
-/// The same in a large fleet.
+/// Period in a large fleet.
 const GROUP_PERIOD: Duration = Duration::from_millis(200);
-/// After how many periods peers gossip though no load changed: a heartbeat.
+/// Number of periods after which peers gossip without a change of load, as a heartbeat.
 const HEARTBEAT_PERIODS: u32 = 4;
-/// How often a member reports to its leader while requests wait: its part of the slots is
-/// worked out by what all members want.
+/// Period of a member's reports to its leader while requests are waiting. Its part of the
+/// slots depends on the demand of all members.
 const BUSY_REPORT_PERIOD: Duration = Duration::from_millis(100);
-/// How often a member whose loads don't change reports to its leader.
+/// Period of a member's reports to its leader while its loads don't change.
 const QUIET_REPORT_PERIOD: Duration = Duration::from_millis(400);
-/// How often leaders exchange the sums of their groups.
+/// Period at which leaders exchange the totals of their groups.
 const LEADER_PERIOD: Duration = Duration::from_millis(500);
-/// How long a peer may take to answer.
+/// Time limit for a peer's reply.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// How many of a group's candidates a member keeps connections to.
+/// Number of leader candidates per group to which a member stays connected.
 const CONNECTED_CANDIDATES: usize = 2;
-/// How many dead hosts a host tries to reach at a time, and for how long: a cut that heals
-/// must be noticed.
+/// Number of dead hosts that are probed at a time, and the duration of each probe.
+/// Without probes, hosts would not notice that a network partition has healed.
 const DEAD_HOST_PROBES: usize = 4;
 const DEAD_PROBE_PERIOD: Duration = Duration::from_secs(2);
-/// How long a candidate that did not answer as a leader is passed over.
+/// Time for which a candidate that did not respond as a leader is skipped.
 const LEADER_SKIP_TIME: Duration = Duration::from_secs(2);
 
-/// What the exchanges of one host share.
+/// State shared by the exchanges of one host.
 struct GossipSender {
     state: Arc<EdgeState>,
     mesh: Arc<PeerMesh>,
     /// Peers whose last exchange failed, sorted.
-    failing: Mutex<Vec<HostName>>,
+    failing_peers: Mutex<Vec<HostName>>,
     fetcher: ViewFetcher,
 }
 
-/// Gossips until the process ends.
+/// Exchanges gossip until the process ends.
 pub(crate) async fn run_gossip(state: Arc<EdgeState>, mesh: Arc<PeerMesh>) {
     let sender = Arc::new(GossipSender {
         fetcher: ViewFetcher::new(Arc::clone(&state), Arc::clone(&mesh)),
         state,
         mesh,
-        failing: Mutex::default(),
+        failing_peers: Mutex::default(),
     });
     let mut logger = ViewLogger::default();
-    let mut linked: Vec<HostName> = Vec::new();
+    let mut connected_to: Vec<HostName> = Vec::new();
     loop {
         let role = sender.state.role();
         task::sleep(match role.layout.is_grouped() {
@@ -89,9 +90,9 @@
         .await;
         let role = sender.state.refresh_role();
         let connected = sender.mesh.connected_peers();
-        logger.look(&sender.state, &connected);
+        logger.log_changes(&sender.state, &connected);
         let peers = sender.choose_peers(&role, &connected);
-        sender.refresh_connections(&role, &peers, &mut linked);
+        sender.refresh_connections(&role, &peers, &mut connected_to);
         sender.call_due_peers(&role, &peers, &connected);
     }
 }
@@ -103,7 +104,7 @@
             return mesh_peers(connected);
         }
         if role.is_joining {
-            // Seeds name all others.
+            // The seeds list all other hosts.
             return connected.iter().cloned().map(joining_peer).collect();
         }
         let is_usable = |host: &&HostName| {
@@ -148,12 +149,12 @@
         peers.collect()
     }
 
-    /// Keeps connections to those that this host calls, or may have to.
+    /// Maintains connections to the peers that this host calls or may have to call.
     fn refresh_connections(
         &self,
         role: &FleetRole,
         peers: &[GossipPeer],
-        linked: &mut Vec<HostName>,
+        connected_to: &mut Vec<HostName>,
     ) {
         let now = boot_now();
         let settings = self.state.settings.load();
@@ -173,7 +174,7 @@
             .gossip_schedule()
             .retain(|host| wanted.iter().any(|name| name == host) || !role.layout.is_grouped());
         let needs_seeds = !role.layout.is_grouped() || role.is_joining || peers.is_empty();
-        if wanted == *linked && self.mesh.keeps_seeds() == needs_seeds {
+        if wanted == *connected_to && self.mesh.keeps_seeds() == needs_seeds {
             return;
         }
         let address_of = |host: &HostName| Some((host.clone(), members.address_of(host)?));
@@ -181,10 +182,10 @@
         drop(members);
         self.mesh.keep_seeds(needs_seeds);
         self.mesh.set_peers(&addresses);
-        *linked = wanted;
+        *connected_to = wanted;
     }
 
-    /// Returns the hosts of a small fleet to which connections are kept up.
+    /// Returns the hosts of a small fleet to which connections are maintained.
     fn mesh_connections(&self, now: Duration) -> Vec<HostName> {
         let live = self.state.members().live_names(now);
         let mut schedule = self.state.gossip_schedule();
@@ -205,7 +206,7 @@
         wanted
     }
 
-    /// Calls the peers that are due.
+    /// Starts an exchange with each peer that is due.
     fn call_due_peers(
         self: &Arc<Self>,
         role: &FleetRole,
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Divides the slots of the shard for this host itself, as for those that report to it.
+    /// Grants this host its part of the shard's slots, like the hosts that report to it.
     fn grant_own_slots(&self, now: Duration) {
         let host = self.state.settings.load().host.clone();
         let demands = self.state.queue.lock_table().slot_demands();
@@ -240,24 +241,24 @@
         self.state.queue.lock_table().set_grants(grants, now);
     }
 
-    /// Makes one exchange.
+    /// Performs one exchange.
     async fn call(self: Arc<Self>, peer: DuePeer, scope: UsageScope) {
-        let begun = boot_now();
+        let started_at = boot_now();
         let since = self.state.gossip_schedule().last_exchange(&peer.host);
         let (message, version) = self.state.build_message(MessageOptions {
             receiver: &peer.host,
             scope: Some(scope),
-            near: peer.sends_loads,
-            new: peer.is_first_exchange,
+            with_loads: peer.sends_loads,
+            is_new: peer.is_first_exchange,
             peer_hosts: self.state.peer_host_count(&peer.host),
             since,
         });
         let call = PeerCall::Gossip(Box::new(message));
         let reply = self.mesh.call(&peer.host, call, CALL_TIMEOUT).await;
-        // A peer that doesn't answer shows in the list of those that can be called.
+        // A peer that does not answer is also removed from the list of connected peers.
         let mut received = match reply {
             Ok(PeerReply::Gossip(received)) => received,
-            Ok(_) => return self.fail_exchange(&peer.host, "another reply"),
+            Ok(_) => return self.fail_exchange(&peer.host, "unexpected reply"),
             Err(error) => return self.fail_exchange(&peer.host, &error.to_string()),
         };
         self.record_success(&peer.host);
@@ -265,14 +266,16 @@
             .gossip_schedule()
             .record_call_end(&peer.host, Some(version));
         if self.state.role().is_grouped_member() && received.scope.is_none() {
-            // It is no leader: it joins or leaves, or knows other hosts.
+            // The peer is not a leader: it is joining or leaving, or has another view of
+            // the members.
             self.state
                 .skip_leader(&peer.host, boot_now() + LEADER_SKIP_TIME);
         }
         let update = received.update.take();
-        let mark = PeerViewState::of(&received);
+        let peer_view = PeerViewState::of(&received);
         let is_usable = match (scope, received.scope) {
-            // A leader's word for all others counts for those that report to it.
+            // A leader's totals of all other hosts are valid only for hosts that report
+            // to it.
             (UsageScope::Host, Some(UsageScope::Fleet)) => self.state.role().is_grouped_member(),
             (sent, answered) => answered == Some(sent),
         };
@@ -280,25 +283,27 @@
             true => merge_message(&self.state, *received),
             false => merge_members(&self.state, &received),
         }
-        // The age comes before the view: what the view lacks may have lapsed only
-        // because the store was away, and the age says whether it was.
-        self.record_view_state(mark, begun);
+        // The age is applied before the view. Entries that are missing from the view may
+        // only have expired because the store was unavailable, and the age tells whether
+        // it was.
+        self.record_view_state(peer_view, started_at);
         if let Some(update) = update {
             self.fetcher.take_update(*update, &peer.host);
         }
-        self.fetcher.catch_up(&peer.host, mark).await;
-        // It counts only for what is held, which may be more now.
-        self.record_view_state(mark, begun);
+        self.fetcher.catch_up(&peer.host, peer_view).await;
+        // The age is valid only for the versions that this host holds, which may be newer
+        // now.
+        self.record_view_state(peer_view, started_at);
     }
 
-    /// Ends an exchange that failed, and passes the peer over for a while.
+    /// Ends a failed exchange and skips the peer as a leader for a while.
     fn fail_exchange(&self, peer: &HostName, reason: &str) {
         let state = &self.state;
         state.gossip_schedule().record_call_end(peer, None);
         state.skip_leader(peer, boot_now() + LEADER_SKIP_TIME);
-        let mut failing = self.failing();
-        if let Err(index) = failing.binary_search(peer) {
-            failing.insert(index, peer.clone());
+        let mut failing_peers = self.failing_peers();
+        if let Err(index) = failing_peers.binary_search(peer) {
+            failing_peers.insert(index, peer.clone());
             state.log.write(&DecisionLine::GossipFailed {
                 peer: peer.clone(),
                 reason: reason.to_owned(),
@@ -307,32 +312,34 @@
         }
     }
 
-    /// Notes that an exchange succeeded.
+    /// Records a successful exchange.
     fn record_success(&self, peer: &HostName) {
-        let mut failing = self.failing();
-        if let Ok(index) = failing.binary_search(peer) {
-            let peer = failing.remove(index);
+        let mut failing_peers = self.failing_peers();
+        if let Ok(index) = failing_peers.binary_search(peer) {
+            let peer = failing_peers.remove(index);
             self.state.log.write(&DecisionLine::GossipBack { peer });
         }
     }
 
-    fn failing(&self) -> MutexGuard<'_, Vec<HostName>> {
-        self.failing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn failing_peers(&self) -> MutexGuard<'_, Vec<HostName>> {
+        self.failing_peers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes how young a peer's view is, as it says itself.
+    /// Records how recent a peer's view is, by its own report.
     ///
-    /// It was given after the call began, so the peer's view was the store's at this
-    /// moment or later.
-    fn record_view_state(&self, mark: PeerViewState, begun: Duration) {
+    /// The peer measured the age after the call started, so its view matched the store at
+    /// the resulting time or later.
+    fn record_view_state(&self, peer_view: PeerViewState, started_at: Duration) {
         let view = &self.state.view;
-        let shown = |age_ms: u64| begun.saturating_sub(Duration::from_millis(age_ms));
-        if let Some(age) = mark.evidence_age_ms {
-            view.confirm_catalog(mark.catalog, shown(age), boot_now());
+        let confirmed_at = |age_ms: u64| started_at.saturating_sub(Duration::from_millis(age_ms));
+        if let Some(age) = peer_view.evidence_age_ms {
+            view.confirm_catalog(peer_view.catalog, confirmed_at(age), boot_now());
         }
-        view.record_catalog_revision(mark.catalog, mark.catalog_revision);
-        if let Some(age) = mark.view_age_ms {
-            view.confirm_view(mark.revision, shown(age));
+        view.record_catalog_revision(peer_view.catalog, peer_view.catalog_revision);
+        if let Some(age) = peer_view.view_age_ms {
+            view.confirm_view(peer_view.revision, confirmed_at(age));
         }
     }
 }
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -1,4 +1,4 @@
-//! Takes the messages of peers in, and answers them.
+//! Merges the gossip messages of peers and builds the replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,29 +13,29 @@
 use crate::quota::UsageReport;
 use crate::quota::UsageScope;
 
-/// Takes a peer's message in, and returns this host's.
+/// Merges a peer's message and returns the reply.
 pub(crate) fn handle_gossip(state: &Arc<EdgeState>, message: GossipMessage) -> GossipMessage {
     let peer = message.own.host.clone();
     let now = boot_now();
     let role = state.role();
-    let near = message.loads.is_some();
+    let with_loads = message.loads.is_some();
     let peer_hosts = usize::from(message.hosts);
-    let new = is_starting_up(Duration::from_millis(message.uptime_ms))
+    let is_new = is_starting_up(Duration::from_millis(message.uptime_ms))
         || state.gossip_schedule().is_new(&peer);
     let since = state.gossip_schedule().last_exchange(&peer);
     let update = state.update_for(&message);
     let (revision, catalog) = state.view.held_versions();
-    let is_ahead = message.revision > revision || message.catalog > catalog;
-    let placed = role.is_grouped_member() && message.grouped;
-    if placed && message.scope == Some(UsageScope::Host) && !message.own.leaving {
+    let is_newer = message.revision > revision || message.catalog > catalog;
+    let both_grouped = role.is_grouped_member() && message.grouped;
+    if both_grouped && message.scope == Some(UsageScope::Host) && !message.own.leaving {
         state.record_report(&peer, now);
     }
-    let leads = placed && !state.is_leaving() && state.acts_as_leader(&role);
+    let is_leader = both_grouped && !state.is_leaving() && state.acts_as_leader(&role);
     let is_mesh = !role.layout.is_grouped() && !message.grouped;
     let scope = match message.scope {
         Some(UsageScope::Host) if is_mesh => Some(UsageScope::Host),
-        Some(UsageScope::Host) if leads => Some(UsageScope::Fleet),
-        Some(UsageScope::Group) if leads => Some(UsageScope::Group),
+        Some(UsageScope::Host) if is_leader => Some(UsageScope::Fleet),
+        Some(UsageScope::Group) if is_leader => Some(UsageScope::Group),
         _ => None,
     };
     match scope {
@@ -46,20 +46,20 @@
         peer_hosts,
         receiver: &peer,
         scope,
-        near,
-        new,
+        with_loads,
+        is_new,
         since,
     });
     own.update = update;
     let mut schedule = state.gossip_schedule();
     schedule.record_answered_call(&peer, version, now);
-    if is_ahead && scope == Some(UsageScope::Group) {
+    if is_newer && scope == Some(UsageScope::Group) {
         schedule.expedite(&peer);
     }
     own
 }
 
-/// Takes a peer's message in.
+/// Merges a peer's message, including usage and loads.
 pub(super) fn merge_message(state: &Arc<EdgeState>, message: GossipMessage) {
     merge_members(state, &message);
     let Some(scope) = message.scope else {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Takes in what a peer knows of hosts, targets' limits and poison requests.
+/// Merges what a peer knows about hosts, target limits and poison requests.
 pub(super) fn merge_members(state: &EdgeState, message: &GossipMessage) {
     let now = boot_now();
     let mut members = state.members();
@@ -124,7 +124,7 @@
     state.record_fleet_size(usize::from(message.hosts), message.grouped, now);
 }
 
-/// Takes in the limits of targets that a peer knows of.
+/// Merges the target limits that a peer knows.
 fn merge_limits(state: &EdgeState, message: &GossipMessage) {
     if message.limits.is_empty() {
         return;
--- a/src/edge/gossip_service.rs
+++ b/src/edge/gossip_service.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of peers.
+//! Handles calls from peers.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,18 +20,20 @@
 use crate::peers::ReplySender;
 use crate::peers::pack_value;
 
-/// The size of a piece of a package, in bytes: small, so that gossip passes between pieces.
+/// Size of the pieces of a package, in bytes. Small pieces let gossip messages pass in
+/// between.
 const PIECE_BYTES: usize = 16 << 10;
 
-/// Answers the calls of peers.
+/// Handles calls from peers.
 pub(crate) struct GossipService {
     state: Arc<EdgeState>,
-    /// The packed view and its revision: many hosts that start at once ask for it.
+    /// The packed view and its revision, cached because many hosts may start and request
+    /// it at once.
     packed_view: Mutex<(StoreRevision, Bytes)>,
 }
 
 impl GossipService {
-    /// Puts the host's state behind the calls.
+    /// Creates a service that serves the given host state.
     pub(crate) fn new(state: Arc<EdgeState>) -> Self {
         Self {
             state,
@@ -44,7 +46,7 @@
             PeerCall::Gossip(message) => {
                 PeerReply::Gossip(Box::new(handle_gossip(&self.state, *message)))
             }
-            // Hosts that serve routes keep neither seats nor documents.
+            // Hosts that serve routes hold neither seats nor documents.
             _ => PeerReply::Refused {
                 kind: ErrorKind::NotReady,
                 retry_after_ms: None,
@@ -52,22 +54,22 @@
         }
     }
 
-    /// Returns the catalog packed; empty where there is no newer one than `known`.
+    /// Returns the packed catalog; empty if it is not newer than `known`.
     fn catalog_package(&self, known: CatalogVersion) -> Bytes {
         let catalog = self.state.view.catalog();
         let newer = catalog.filter(|catalog| catalog.version() > known);
         newer.map_or_else(Bytes::new, |catalog| catalog.encoded_parts().clone())
     }
 
-    /// Returns all targets and evacuations packed.
+    /// Returns all targets and evacuations, packed.
     fn view_package(&self) -> Bytes {
-        let packed = &self.packed_view;
-        let mut packed = packed.lock().unwrap_or_else(PoisonError::into_inner);
-        if packed.0 != self.state.view.revision() || packed.1.is_empty() {
+        let cached = &self.packed_view;
+        let mut cached = cached.lock().unwrap_or_else(PoisonError::into_inner);
+        if cached.0 != self.state.view.revision() || cached.1.is_empty() {
             let update = self.state.view.full_update();
-            *packed = (update.revision, pack_value(&update));
+            *cached = (update.revision, pack_value(&update));
         }
-        packed.1.clone()
+        cached.1.clone()
     }
 }
 
@@ -94,7 +96,7 @@
         }
         let reply = self.answer(call);
         Box::pin(async move {
-            // A peer that is gone needs no answer.
+            // The peer may have disconnected; the error is of no use then.
             replies.finish(reply).await.ok();
         })
     }
--- a/src/edge/header_names.rs
+++ b/src/edge/header_names.rs
@@ -1,28 +1,29 @@
-//! The names of headers, which an adapter gives.
+//! Header names, which are defined by the platform adapter.
 
-/// The names of the headers that the host reads and sets.
+/// Names of the headers that the host reads and sets.
 #[derive(Clone, Debug)]
 pub(crate) struct HeaderNames {
-    /// The id of one attempt of a caller; targets echo it.
+    /// Id of one attempt of a caller; targets echo it.
     pub(crate) request_id: String,
-    /// How many milliseconds the caller, and so a target, has left.
+    /// Remaining time of the caller or target, in milliseconds.
     pub(crate) deadline_ms: String,
-    /// The account's name, for the target.
+    /// The account's name, sent to the target.
     pub(crate) account: String,
-    /// The one target that may run the request.
+    /// The only target that may run the request.
     pub(crate) target: String,
-    /// Stands in the answer of a target that did not run the request.
+    /// Present in the response of a target that did not run the request.
     pub(crate) not_run: String,
-    /// How many requests per second a target takes from all hosts; absent where it has no limit.
+    /// Requests per second that a target accepts from all hosts; absent where it has no
+    /// limit.
     pub(crate) request_limit: String,
-    /// Prompt tokens and the most output tokens, with a comma between.
+    /// Prompt tokens and maximum output tokens, separated by a comma.
     pub(crate) token_usage: String,
-    /// How many output tokens the caller expects; often far off.
+    /// Output tokens that the caller expects; often inaccurate.
     pub(crate) length_hint: String,
-    /// The id of the last event that was passed on, when a stream goes on.
+    /// Id of the last forwarded event, when a stream is resumed.
     pub(crate) resume_after: String,
-    /// What stands before the key in `Authorization`.
+    /// The scheme that precedes the key in `Authorization`.
     pub(crate) key_scheme: String,
-    /// Headers that callers may not set; they are dropped.
+    /// Headers that callers may not set; they are removed.
     pub(crate) reserved: Vec<String>,
 }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -1,11 +1,12 @@
-//! A host that serves routes: callers on one side, pools of targets on the other.
+//! A reverse proxy host that routes callers' requests to pools of targets.
 //!
-//! A request goes through a chain, one file a step: [`caller_connection`] reads it,
-//! [`route_filter`] finds its route and account, [`quota_filter`] counts it,
-//! [`request_execution`] waits for a target, sends and resends, [`response_relay`] passes
-//! the answer on. Controllers keep the state: [`watch_controller`] follows the
-//! store, [`gossip_controller`] the other hosts, [`settings_controller`] the settings,
-//! [`shutdown_controller`] the end of the process.
+//! Each step of a request has its own file: [`caller_connection`] reads it,
+//! [`route_filter`] finds its route and account, [`quota_filter`] charges it to the
+//! account, [`request_execution`] waits for a target, sends the request and repeats it,
+//! and [`response_relay`] forwards the response. Controllers maintain the state:
+//! [`watch_controller`] follows the store, [`gossip_controller`] the other hosts,
+//! [`settings_controller`] the settings file, and [`shutdown_controller`] performs the
+//! graceful shutdown.
 
 mod caller_connection;
 mod caller_session;
--- a/src/edge/tests/gossip.rs
+++ b/src/edge/tests/gossip.rs
@@ -77,8 +77,8 @@
     let (message, _) = member.build_message(MessageOptions {
         receiver: "leader",
         scope: None,
-        near: false,
-        new: false,
+        with_loads: false,
+        is_new: false,
         peer_hosts: 1,
         since: None,
     });
@@ -122,8 +122,8 @@
     let (message, _) = young.build_message(MessageOptions {
         receiver: "leader",
         scope: None,
-        near: false,
-        new: true,
+        with_loads: false,
+        is_new: true,
         peer_hosts: 1,
         since: None,
     });
--- a/src/edge/view_fetcher.rs
+++ b/src/edge/view_fetcher.rs
@@ -1,4 +1,4 @@
-//! Reads from a peer what is too large for gossip: the catalog, and a large view.
+//! Fetches from peers what is too large for gossip messages: the catalog and large views.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,10 +24,10 @@
 use crate::peers::unpack_value;
 use crate::view::ViewUpdate;
 
-/// How long each piece of a package may take.
+/// Time limit for each piece of a package.
 const PIECE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How far a peer's view of the fleet reaches, as it says itself.
+/// Versions and ages of a peer's view, by its own report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerViewState {
     pub(super) revision: StoreRevision,
@@ -49,11 +49,11 @@
     }
 }
 
-/// Reads views from peers, one at a time.
+/// Fetches views from peers, one at a time.
 pub(super) struct ViewFetcher {
     state: Arc<EdgeState>,
     mesh: Arc<PeerMesh>,
-    /// Whether a package is on its way.
+    /// Whether a fetch is in progress.
     is_fetching: AtomicBool,
 }
 
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Reads what a peer has and this host lacks, unless a package is on its way already. The
-    /// catalog goes first: without it nothing is served.
+    /// Fetches what this host lacks from a peer, unless a fetch is already in progress.
+    /// The catalog is fetched first, because no request can be served without it.
     pub(super) async fn catch_up(&self, peer: &HostName, mark: PeerViewState) {
         let (revision, catalog) = self.state.view.held_versions();
         let is_behind = mark.catalog > catalog || mark.revision > revision;
@@ -112,7 +112,7 @@
         Ok(())
     }
 
-    /// Takes an update of a peer in, and has it passed on.
+    /// Applies an update from a peer and passes it on to others.
     pub(super) fn take_update(&self, update: ViewUpdate, peer: &HostName) {
         let change = self.state.view.apply_peer_view(update, boot_now());
         if !change.is_empty() {
@@ -121,7 +121,7 @@
         self.state.apply_change(change, Some(peer));
     }
 
-    /// Makes a call that is answered with a package; `None` where that is empty.
+    /// Makes a call whose reply is a package; returns `None` if the package is empty.
     async fn fetch<T: DeserializeOwned>(
         &self,
         peer: &HostName,
--- a/src/edge/view_logger.rs
+++ b/src/edge/view_logger.rs
@@ -1,4 +1,4 @@
-//! Writes down what the host believes of its peers and targets, as it changes.
+//! Logs changes in this host's view of peers and targets.
 
 use super::edge_state::EdgeState;
 use crate::clock::boot_now;
@@ -7,7 +7,7 @@
 use crate::logs::DecisionLine;
 use crate::members::MemberState;
 
-/// What the host believed when it was last looked at.
+/// The view that was logged last.
 #[derive(Debug, Default)]
 pub(super) struct ViewLogger {
     connected: Vec<HostName>,
@@ -16,28 +16,28 @@
 }
 
 impl ViewLogger {
-    /// Writes a line for each belief that differs from the last look.
-    pub(super) fn look(&mut self, state: &EdgeState, connected: &[HostName]) {
+    /// Logs each part of the view that differs from the last call.
+    pub(super) fn log_changes(&mut self, state: &EdgeState, connected: &[HostName]) {
         if connected != self.connected {
             self.connected = connected.to_vec();
             state.log.write(&DecisionLine::PeersChanged {
                 connected: connected.to_vec(),
             });
         }
-        self.look_at_members(state);
-        self.look_at_targets(state);
+        self.log_members(state);
+        self.log_targets(state);
     }
 
-    fn look_at_members(&mut self, state: &EdgeState) {
+    fn log_members(&mut self, state: &EdgeState) {
         let members = state.members().states(boot_now());
         if members == self.members {
             return;
         }
-        let new_in = |wanted| changed_to(wanted, &self.members, &members);
+        let newly_in = |wanted| changed_to(wanted, &self.members, &members);
         state.log.write(&DecisionLine::MembersChanged {
-            live: new_in(MemberState::Live),
-            leaving: new_in(MemberState::Leaving),
-            dead: new_in(MemberState::Dead),
+            live: newly_in(MemberState::Live),
+            leaving: newly_in(MemberState::Leaving),
+            dead: newly_in(MemberState::Dead),
             hosts: members
                 .iter()
                 .filter(|(_, state)| *state == MemberState::Live)
@@ -47,7 +47,7 @@
         self.members = members;
     }
 
-    fn look_at_targets(&mut self, state: &EdgeState) {
+    fn log_targets(&mut self, state: &EdgeState) {
         let suspected = state.queue.lock_table().suspected(boot_now());
         if suspected == self.suspected {
             return;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Returns the members that stand so now and did not before.
+/// Returns the members that are in the wanted state now and were not before.
 fn changed_to(
     wanted: MemberState,
     before: &[(HostName, MemberState)],
@@ -72,7 +72,7 @@
     changed.map(|(host, _)| host.clone()).collect()
 }
 
-/// Returns the `names` that are not `known`, which is sorted.
+/// Returns the `names` that are not in `known`, which is sorted.
 fn missing_from(known: &[TargetName], names: &[TargetName]) -> Vec<TargetName> {
     let missing = names
         .iter()
--- a/src/edge/watch_controller.rs
+++ b/src/edge/watch_controller.rs
@@ -14,56 +14,55 @@
 use crate::view::FleetSource;
 use crate::view::SourceError;
 
-/// How long one watch waits for each host in the fleet, so that all hosts together
-/// make a few calls a second at any size. Changes wake a watch at once.
+/// Watch wait per host in the fleet. It keeps the total at a few calls per second for any
+/// number of hosts. A change ends a watch immediately.
 const WAIT_PER_HOST: Duration = Duration::from_millis(200);
-/// The shortest and the longest wait. A connection that went silent, or a cut that
-/// healed, is noticed only behind it. In a small fleet that must be within three
-/// seconds, also where all peers' connections went silent with it; in a large one
-/// what changed meanwhile is learned from peers.
+/// Bounds on the watch wait. A dead connection or the end of a network partition is
+/// noticed only after it. In a small fleet that must happen within three seconds, even if
+/// the connections to all peers died at the same time; in a large fleet changes are
+/// learned from peers meanwhile.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(1600);
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(12);
-/// The longest wait where hosts watch for others, as a part of the bound on changes of
-/// targets: the views of the others are older by the gossip's time, and must stay below the
-/// age at which they poll.
+/// Longest watch wait where hosts watch on behalf of a zone, as a ratio of the maximum
+/// delay of target changes. The views of the other hosts are older by the gossip delay
+/// and must stay below the age at which they poll.
 const ZONE_WAIT_RATIO: f64 = 0.3;
-/// By how much waits differ, as a share: watches that a change woke together would
-/// otherwise end together for ever.
+/// Random variation of watch waits, as a ratio. Otherwise watches that were ended by the
+/// same change would keep ending together.
 const WAIT_JITTER: f64 = 0.2;
-/// How long a host pauses behind changes for each host in the fleet, at least and at
-/// most. Changes come in series (targets that start together register within
-/// seconds), and each would wake every host's watch for a call of its own: 80 calls
-/// a host where 7 do. The pause stays well below the two seconds within which a
-/// change must be in force.
+/// Pause after changes per host in the fleet, and its bounds. Changes come in bursts
+/// (targets that start together register within seconds), and each one would end the
+/// watch of every host and cause another call: 80 calls per host instead of 7. The pause
+/// is well below the two seconds within which a change must take effect.
 const PAUSE_PER_HOST: Duration = Duration::from_millis(6);
 const MIN_PAUSE: Duration = Duration::from_millis(40);
 const MAX_PAUSE: Duration = Duration::from_millis(350);
-/// How old the view of keys may be before it is read anew. It must stay well below
-/// the five seconds after which a key that was taken away must not work: what is
-/// left of them when the store goes away is the time in which keys still work.
+/// Age of the key data at which the catalog is read again. It must be well below the five
+/// seconds after which a revoked key must be rejected. The difference is the time for
+/// which keys remain valid when the store becomes unavailable.
 const MAX_EVIDENCE_AGE: Duration = Duration::from_millis(900);
-/// By how much longer each further host waits, in the order of their turns: what the one
-/// that read tells the others reaches them within this time, so one read serves the fleet;
-/// where the first hosts are gone the next ones read.
+/// Additional age for each rank. What the first host reads reaches the others by gossip
+/// within this time, so one read serves the fleet; if the first hosts are down, the next
+/// ones read.
 const RANK_DELAY: Duration = Duration::from_millis(150);
-/// The same bound where groups gossip: what was read takes longer to reach all hosts, and
-/// one reads for more of them.
+/// The same age where groups gossip. A read takes longer to reach all hosts, and one read
+/// serves more of them.
 const GROUP_MAX_EVIDENCE_AGE: Duration = Duration::from_millis(450);
-/// By how much longer each further leader of a group waits, and how many turns there are.
+/// Additional age for each group's rank, and the highest rank that is counted.
 const GROUP_RANK_DELAY: Duration = Duration::from_millis(400);
 const GROUP_MAX_RANK: usize = 4;
-/// How long a host that has started waits for a peer's view before it reads the store:
-/// where many start at once, or one at a time, a peer knows it already.
+/// Time that a starting host waits for a peer's view before it reads the store. When
+/// hosts start one after another, or many together, a peer already has the view.
 const PEER_VIEW_TIMEOUT: Duration = Duration::from_millis(80);
-/// How often a host that doesn't watch the store looks whether it has to.
+/// Period at which a host that does not watch the store checks whether it should.
 const ROLE_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// How often the age is looked at.
+/// Period at which the age is checked.
 const EVIDENCE_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// The first and the longest wait after a failed call. A store that is down comes
-/// back at some moment, and hosts want the news within a fraction of a second.
+/// Bounds on the delay after a failed call. When the store is available again, hosts
+/// should have its changes within a fraction of a second.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(60);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How often lapsed targets and idle connections are looked at.
+/// Period at which expired targets and idle connections are removed.
 const EXPIRY_PERIOD: Duration = Duration::from_millis(200);
 
 /// Follows the store until the process ends.
@@ -80,7 +79,7 @@
         let begun = boot_now();
         let after = match access {
             StoreAccess::Watch => state.view.complete_revision(),
-            // The catalog comes from peers, which send it compressed.
+            // The catalog is fetched from peers, which send it compressed.
             _ => state.view.revision(),
         };
         count(&state.metrics.store_calls);
@@ -120,7 +119,7 @@
     }
 }
 
-/// Returns how long this host waits for changes.
+/// Returns how long this host's next watch waits.
 fn store_wait(state: &EdgeState, access: StoreAccess) -> Duration {
     if access == StoreAccess::Poll {
         return Duration::ZERO;
@@ -133,14 +132,14 @@
     wait.min(delay.mul_f64(ZONE_WAIT_RATIO))
 }
 
-/// Returns how long a watch waits in a fleet of `hosts`; `spread` is 0 to 1, evenly.
+/// Returns the watch wait in a fleet of `hosts`; `spread` is uniform in 0 to 1.
 pub(super) fn watch_wait(hosts: usize, spread: f64) -> Duration {
     let wait = (WAIT_PER_HOST * hosts as u32).clamp(MIN_WATCH_WAIT, MAX_WATCH_WAIT);
     wait.mul_f64(1.0 + WAIT_JITTER * spread)
 }
 
-/// Keeps the view of keys young, until the process ends: reads the catalog when no
-/// host has done so for a while.
+/// Keeps the key data recent until the process ends: reads the catalog if no host has
+/// done so for a while.
 pub(crate) async fn refresh_evidence(state: Arc<EdgeState>, source: Arc<dyn FleetSource>) {
     let mut backoff = RetryBackoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     loop {
@@ -160,29 +159,32 @@
                 let change = state.view.apply_store_response(update, begun, boot_now());
                 state.apply_change(change, None);
             }
-            // The watch writes down that the store is lost.
+            // The loss of the store is logged by the watch.
             Err(_) => task::sleep(backoff.next_wait(rand::random())).await,
         }
     }
 }
 
-/// Tells whether a host without a view may read the store: no peer has given it one.
+/// Returns whether this host may read the store. A starting host waits for a peer's view
+/// first.
 fn may_read_store(state: &EdgeState) -> bool {
     let age = boot_now().saturating_sub(state.started);
     let has_seeds = !state.settings.load().seeds.is_empty();
     !has_seeds || age >= PEER_VIEW_TIMEOUT || state.view.catalog().is_some()
 }
 
-/// Returns how old the view of keys may be before this host reads it.
+/// Returns the age of the key data at which this host reads the catalog again.
 fn max_evidence_age(state: &EdgeState) -> Duration {
     let role = state.role();
     match role.layout.is_grouped() {
-        true => GROUP_MAX_EVIDENCE_AGE + GROUP_RANK_DELAY * role.turn.min(GROUP_MAX_RANK) as u32,
-        false => MAX_EVIDENCE_AGE + RANK_DELAY * role.turn as u32,
+        true => {
+            GROUP_MAX_EVIDENCE_AGE + GROUP_RANK_DELAY * role.read_rank.min(GROUP_MAX_RANK) as u32
+        }
+        false => MAX_EVIDENCE_AGE + RANK_DELAY * role.read_rank as u32,
     }
 }
 
-/// Lets go of what is too old, until the process ends.
+/// Removes expired entries until the process ends.
 pub(crate) async fn expire_stale(state: Arc<EdgeState>) {
     loop {
         task::sleep(EXPIRY_PERIOD).await;
