--- a/src/edge/edge_host.rs
+++ b/src/edge/edge_host.rs
@@ -28,7 +28,7 @@
 use super::operator_endpoints::serve_metrics;
 use super::operator_endpoints::serve_readiness;
 use super::settings_controller::follow_settings;
-use super::shutdown_controller::leave;
+use super::shutdown_controller::shut_down;
 use super::watch_controller::expire_stale;
 use super::watch_controller::follow_store;
 use super::watch_controller::refresh_evidence;
@@ -174,7 +174,7 @@
             // A reload that is already queued covers this signal as well.
             self.reload.try_send(()).ok();
         }
-        leave(&self.state).await;
+        shut_down(&self.state).await;
     }
 }
 
--- a/src/edge/settings_controller.rs
+++ b/src/edge/settings_controller.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again, on a signal or when the file changed.
+//! Reloads the settings on a signal or when the file has changed.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -12,36 +12,36 @@
 use super::edge_state::EdgeState;
 use crate::logs::DecisionLine;
 
-/// How often the file is looked at. Its changes must be in force within two
-/// seconds, also without a signal.
+/// Period at which the file is checked. Changes must take effect within two seconds even
+/// without a signal.
 const CHECK_PERIOD: Duration = Duration::from_millis(800);
 
-/// Follows the settings until the process ends; each message on `asked` asks for a
-/// look at once.
+/// Reloads the settings until the process ends. Each message on `reload_requests`
+/// triggers a reload.
 pub(crate) async fn follow_settings(
     state: Arc<EdgeState>,
     loader: Arc<dyn SettingsLoader>,
-    asked: Receiver<()>,
+    reload_requests: Receiver<()>,
 ) {
-    let mut seen = file_version(loader.path());
+    let mut last_version = file_version(loader.path());
     loop {
-        let signalled = match timeout(CHECK_PERIOD, asked.recv()).await {
+        let is_requested = match timeout(CHECK_PERIOD, reload_requests.recv()).await {
             Ok(Ok(())) => true,
-            // The host is gone.
+            // The host was dropped.
             Ok(Err(_)) => return,
             Err(_) => false,
         };
-        let mark = file_version(loader.path());
-        if !signalled && mark == seen {
+        let version = file_version(loader.path());
+        if !is_requested && version == last_version {
             continue;
         }
-        seen = mark;
+        last_version = version;
         reload(&state, loader.as_ref());
     }
 }
 
-/// Puts the settings in force. Addresses are bound for the process's life; a new
-/// one counts from its next start.
+/// Reloads and applies the settings. Addresses are bound once at the start of the
+/// process, so changed addresses take effect at the next start.
 fn reload(state: &EdgeState, loader: &dyn SettingsLoader) {
     match loader.load() {
         Ok(settings) => {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns what shows a change of the file; `None` while it can't be seen.
+/// Returns the modification time and length of the file; `None` if it can't be read.
 fn file_version(path: &Path) -> Option<(SystemTime, u64)> {
     let metadata = std::fs::metadata(path).ok()?;
     Some((metadata.modified().ok()?, metadata.len()))
--- a/src/edge/shutdown_controller.rs
+++ b/src/edge/shutdown_controller.rs
@@ -1,4 +1,4 @@
-//! The end of the process: nothing that was read is dropped.
+//! Graceful shutdown: every request that was read is answered before the process exits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,72 +8,73 @@
 use super::edge_state::EdgeState;
 use crate::logs::DecisionLine;
 
-/// How long the host goes on at least, so that the balancer has seen that it isn't
-/// ready: it asks each second, and takes a host out after two misses.
+/// Minimum time that the host keeps serving, so that the load balancer notices that it
+/// isn't ready. The balancer probes once per second and removes a host after two
+/// failures.
 const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2600);
-/// For how long requests on kept connections are still served. A stream takes some
-/// seconds, so one that is taken later may be cut by the end of the grace; its
-/// caller is sent to another host in place of that.
+/// Time for which requests on kept connections are still served. A stream takes several
+/// seconds, so one that started later might be cut off at the end of the grace period;
+/// its caller is sent to another host instead.
 const MAX_SERVE_TIME: Duration = Duration::from_millis(2700);
-/// How long requests are still answered with a refusal once nothing runs any more:
-/// what was sent as the host decided to end arrives within it.
+/// Time for which an idle host keeps refusing requests before it exits. Requests that
+/// were sent before the caller could notice arrive within it.
 const REFUSAL_TIME: Duration = Duration::from_millis(300);
-/// How long before the end of the grace the process stops by itself.
+/// Margin before the end of the grace period at which the process exits by itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
-/// How often the running requests are looked at.
+/// Period at which the number of active requests is checked.
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// When a caller may come back that is sent to another host.
+/// Retry delay for a caller that is sent to another host.
 pub(crate) const LEAVING_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How far a host that leaves has come.
+/// Progress of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ShutdownPhase {
-    /// It still serves requests on kept connections.
+    /// Serves requests on kept connections.
     Serving,
-    /// It refuses new requests and finishes those that run.
-    Finishing,
-    /// Nothing runs; it refuses new requests since this time of its leaving.
+    /// Refuses new requests and completes active ones.
+    Draining,
+    /// No request has been active since this time of the shutdown; new ones are refused.
     Idle(Duration),
-    /// It ends.
-    Ended,
+    /// The process exits.
+    Exited,
 }
 
 impl ShutdownPhase {
-    /// Returns the next step, `time` after the signal, with `running` requests under
-    /// way and `longest` as the end of the grace.
+    /// Returns the phase at `elapsed` after the signal, with `active` requests running and
+    /// `limit` as the end of the grace period.
     ///
-    /// A request that is read after the host found itself idle must not begin: the
-    /// process would end in the middle of it. So the host refuses first, and ends
-    /// once nothing ran while it did.
-    pub(crate) fn next(self, time: Duration, running: usize, longest: Duration) -> Self {
-        if time >= longest {
-            return Self::Ended;
+    /// A request that is read after the host was found idle must not start, since the
+    /// process would exit before it is answered. The host therefore refuses requests
+    /// first and exits only when none was active while it did so.
+    pub(crate) fn next(self, elapsed: Duration, active: usize, limit: Duration) -> Self {
+        if elapsed >= limit {
+            return Self::Exited;
         }
         match self {
-            Self::Serving if time >= MAX_SERVE_TIME => Self::Finishing,
-            Self::Serving if time >= BALANCER_NOTICE_TIME && running == 0 => Self::Finishing,
-            Self::Finishing if running == 0 => Self::Idle(time),
-            Self::Idle(_) if running > 0 => Self::Finishing,
-            Self::Idle(since) if time >= since + REFUSAL_TIME => Self::Ended,
-            step => step,
+            Self::Serving if elapsed >= MAX_SERVE_TIME => Self::Draining,
+            Self::Serving if elapsed >= BALANCER_NOTICE_TIME && active == 0 => Self::Draining,
+            Self::Draining if active == 0 => Self::Idle(elapsed),
+            Self::Idle(_) if active > 0 => Self::Draining,
+            Self::Idle(since) if elapsed >= since + REFUSAL_TIME => Self::Exited,
+            phase => phase,
         }
     }
 }
 
-/// Begins to leave, and returns when nothing runs any more or the grace is over.
-pub(crate) async fn leave(state: &Arc<EdgeState>) {
+/// Starts the shutdown; returns when no request is active or the grace period is over.
+pub(crate) async fn shut_down(state: &Arc<EdgeState>) {
     let grace = state.settings.load().bounds.shutdown_grace;
-    let longest = grace.saturating_sub(EXIT_MARGIN);
+    let limit = grace.saturating_sub(EXIT_MARGIN);
     state.begin_leaving();
     state.log.write(&DecisionLine::Leaving {
         running: state.active_requests(),
     });
-    let mut step = ShutdownPhase::Serving;
-    while step != ShutdownPhase::Ended {
+    let mut phase = ShutdownPhase::Serving;
+    while phase != ShutdownPhase::Exited {
         task::sleep(CHECK_PERIOD).await;
-        let time = state.leaving_for().unwrap_or_default();
-        step = step.next(time, state.active_requests(), longest);
-        if step != ShutdownPhase::Serving {
+        let elapsed = state.leaving_for().unwrap_or_default();
+        phase = phase.next(elapsed, state.active_requests(), limit);
+        if phase != ShutdownPhase::Serving {
             state.stop_accepting();
         }
     }
--- a/src/edge/tests/shutdown.rs
+++ b/src/edge/tests/shutdown.rs
@@ -5,26 +5,26 @@
 use super::super::event_splitter::EventSplitter;
 use super::super::shutdown_controller::ShutdownPhase;
 
-const LONGEST: Duration = Duration::from_millis(7600);
+const GRACE_LIMIT: Duration = Duration::from_millis(7600);
 
 /// Lets a host leave; `running` tells how many requests run at a time of it.
 /// Returns each step with the time at which it began.
 fn simulate_shutdown(running: impl Fn(u64) -> usize) -> Vec<(u64, ShutdownPhase)> {
-    let mut step = ShutdownPhase::Serving;
-    let mut steps = vec![(0, step)];
+    let mut phase = ShutdownPhase::Serving;
+    let mut phases = vec![(0, phase)];
     for time in (0..10_000).step_by(50) {
-        let next = step.next(Duration::from_millis(time), running(time), LONGEST);
-        if next != step {
-            steps.push((time, next));
+        let next = phase.next(Duration::from_millis(time), running(time), GRACE_LIMIT);
+        if next != phase {
+            phases.push((time, next));
         }
-        step = next;
+        phase = next;
     }
-    steps
+    phases
 }
 
-fn is_refusing(steps: &[(u64, ShutdownPhase)], time: u64) -> bool {
-    let before = steps.iter().rfind(|(since, _)| *since <= time);
-    before.is_some_and(|(_, step)| *step != ShutdownPhase::Serving)
+fn is_refusing(phases: &[(u64, ShutdownPhase)], time: u64) -> bool {
+    let before = phases.iter().rfind(|(since, _)| *since <= time);
+    before.is_some_and(|(_, phase)| *phase != ShutdownPhase::Serving)
 }
 
 /// A caller sent a long briefing on a kept connection three seconds after the host
@@ -32,11 +32,11 @@
 /// the caller saw a cut stream. The cause: it let requests in for too long.
 #[test]
 fn a_host_that_leaves_takes_nothing_that_it_cant_finish() {
-    let steps = simulate_shutdown(|_| 1);
+    let phases = simulate_shutdown(|_| 1);
 
-    assert!(!is_refusing(&steps, 2000));
-    assert!(is_refusing(&steps, 2900));
-    assert_eq!(steps.last(), Some(&(7600, ShutdownPhase::Ended)));
+    assert!(!is_refusing(&phases, 2000));
+    assert!(is_refusing(&phases, 2900));
+    assert_eq!(phases.last(), Some(&(7600, ShutdownPhase::Exited)));
 }
 
 /// A host that had nothing to do was about to end. In that moment a request came on
@@ -47,7 +47,7 @@
     let idle = simulate_shutdown(|_| 0);
     let refusing = simulate_shutdown(|time| usize::from((2700..2800).contains(&time)));
 
-    let end = |steps: &[(u64, ShutdownPhase)]| steps.last().map(|(time, _)| *time);
+    let end = |phases: &[(u64, ShutdownPhase)]| phases.last().map(|(time, _)| *time);
     assert!(is_refusing(&idle, 2600));
     assert!(end(&idle).is_some_and(|end| end >= 2900));
     assert!(end(&refusing).is_some_and(|end| end >= 3050));
