--- a/src/edge/operator_endpoints.rs
+++ b/src/edge/operator_endpoints.rs
@@ -1,4 +1,4 @@
-//! Small pages: readiness for the balancer, metrics for operators.
+//! HTTP endpoints for readiness probes and metrics.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::catalog::CallerLimits;
 use crate::metrics::MetricsError;
 
-/// Answers any request with 200 while the host is ready, and with 503 otherwise.
+/// Answers any request with 200 while the host is ready and with 503 otherwise.
 pub(crate) async fn serve_readiness(state: Arc<EdgeState>, stream: TcpStream) {
     serve_page(stream, || match state.is_ready() {
         true => (200, "ready\n".to_owned()),
--- a/src/edge/quota_filter.rs
+++ b/src/edge/quota_filter.rs
@@ -1,4 +1,4 @@
-//! Counts a request against its account's allowance.
+//! Charges requests to the allowances of their accounts.
 
 use super::edge_refusal::EdgeRefusal;
 use super::edge_state::EdgeState;
@@ -9,17 +9,17 @@
 use crate::quota::QuotaDecision;
 use crate::quota::QuotaRequest;
 
-/// When a caller may come back that asked beyond its account's allowance, in objectives
-/// of its route: soon enough that its second try can still be in time, and spread, so
-/// that those refused together don't come back together.
+/// Retry delay after an account has exceeded its allowance, as ratios of the route's
+/// latency objective: short enough for a retry to meet the objective, and with jitter so
+/// that requests refused together are not retried together.
 const MIN_RETRY_RATIO: f64 = 0.2;
 const RETRY_JITTER: f64 = 0.3;
 
-/// Counts a request against its account's allowance.
+/// Charges a request to its account's allowance.
 ///
 /// # Errors
 ///
-/// The refusal and what the request would have counted.
+/// The refusal and the cost of the request.
 pub(crate) fn consume_quota(
     state: &EdgeState,
     routed: &RoutedRequest,
--- a/src/edge/request_execution.rs
+++ b/src/edge/request_execution.rs
@@ -1,5 +1,5 @@
-//! Serves one routed request: waits for a target, sends, and sends once more where
-//! that is allowed.
+//! Executes one routed request: waits for a target, sends the request, and repeats it
+//! where that is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,42 +26,46 @@
 use crate::ids::TargetName;
 use crate::wire::AnswerMessage;
 
-/// How many targets that can't be reached are passed over for one request.
+/// Number of unreachable targets after which a request fails.
 const MAX_UNREACHABLE: usize = 4;
-/// What is left at least of a request's time when it is given to a target: less
-/// than the shortest answer takes, and it would only be thrown away there.
+/// Minimum remaining time of a request that is sent to a target. No response takes less,
+/// so the work would be wasted.
 pub(super) const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
-/// The share of a caller's patience that its request may wait for a target; the rest
-/// is for the first event.
+/// Share of the time until the caller gives up that a request may wait in the queue. The
+/// rest is left for the first event.
 const QUEUE_WAIT_RATIO: f64 = 0.75;
-/// The part of the time left that a request may wait that can't be in time any more. It starts
-/// only where there is room that nobody else needs, and its caller has waited long already.
+/// Share of the remaining time that a request may wait in the queue when it can no longer
+/// meet its objective. Such requests run only on capacity that no other request needs,
+/// and their callers have already waited long.
 const LATE_QUEUE_WAIT_RATIO: f64 = 0.25;
-/// How long the rest of a stream may wait for a target at least: callers leave a stream
-/// that pauses for two seconds.
+/// Minimum time that the rest of a stream may wait for a target. Callers give up on a
+/// stream that pauses for two seconds.
 const RESUME_WAIT: Duration = Duration::from_millis(1500);
-/// When a caller may come back whose stream found no room, as a part of the time that it has
-/// left. Its answer will be late in any case, so it comes when the burst is over rather than
-/// into it; behind a third of their time callers come back whatever they are told.
+/// Retry delay for a stream that found no capacity, as a share of its remaining time. Its
+/// response will be late anyway, so the retry should come after the load peak and not
+/// during it. After a third of their time callers retry regardless of the delay they were
+/// given.
 const STREAM_RETRY_RATIO: f64 = 0.33;
-/// The same for a call, which can still be in time.
+/// The same for other calls, which may still meet their objective.
 const CALL_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// By how much delays differ, as a share, so that callers don't come back together.
+/// Random variation of the retry delays, as a share of them, so that callers don't retry
+/// together.
 const STREAM_RETRY_JITTER: f64 = 0.25;
 const CALL_RETRY_JITTER: f64 = 0.6;
 
-/// How one request ended, for the connection that it came on.
+/// Result of a request, as far as the caller's connection is concerned.
 #[derive(Debug)]
 pub(crate) enum ExecutionOutcome {
-    /// An answer went out whole; the connection may go on.
+    /// A complete response was written; the connection may be reused.
     Answered,
-    /// The caller is to get an answer of the host's own.
+    /// The host must answer the request itself.
     Refused(EdgeRefusal),
-    /// The connection must be closed: the caller left, or its answer was cut.
+    /// The connection must be closed: the caller disconnected, or the response is
+    /// incomplete.
     Closed,
 }
 
-/// One request on its way.
+/// A request in progress.
 pub(crate) struct RequestExecution<'a> {
     pub(super) state: &'a Arc<EdgeState>,
     pub(super) caller: &'a mut CallerConnection,
@@ -69,14 +73,14 @@
     pub(super) progress: StreamProgress,
     pub(super) sends: u32,
     tried: Vec<TargetName>,
-    /// Whether a target may have run it.
+    /// Whether a target may have run the request.
     may_have_run: bool,
-    /// The last failure of a target, to be passed on when nothing better comes.
+    /// The last error response of a target, forwarded if no other target does better.
     failure: Option<(AnswerMessage, Vec<u8>)>,
 }
 
 impl<'a> RequestExecution<'a> {
-    /// Makes a run of a request that was not sent yet.
+    /// Creates the execution of a request that was not sent yet.
     pub(crate) fn new(
         state: &'a Arc<EdgeState>,
         caller: &'a mut CallerConnection,
@@ -94,12 +98,12 @@
         }
     }
 
-    /// Returns how often it was sent.
+    /// Returns how often the request was sent.
     pub(crate) const fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// Returns what is known of a request that got no answer of a target.
+    /// Returns what is known about a request that got no response from a target.
     pub(crate) const fn outcome(&self) -> RequestOutcome {
         match self.may_have_run {
             true => RequestOutcome::Unknown,
@@ -107,69 +111,69 @@
         }
     }
 
-    /// Serves the request.
+    /// Executes the request.
     pub(crate) async fn serve(&mut self) -> ExecutionOutcome {
         let mut unreachable = 0;
         loop {
             let slot = match self.wait_for_slot().await {
                 Ok(slot) => slot,
-                Err(end) => return end,
+                Err(outcome) => return outcome,
             };
-            let Some(link) = self.open_link(&slot).await else {
+            let Some(connection) = self.connect(&slot).await else {
                 let target = slot.target().name.clone();
                 self.report_failure(&target, "unreachable", true);
                 self.tried.push(target);
                 slot.finish(AttemptOutcome::Unreachable);
                 unreachable += 1;
                 if unreachable >= MAX_UNREACHABLE {
-                    return self.give_up(ErrorKind::TargetUnreachable).await;
+                    return self.fail(ErrorKind::TargetUnreachable).await;
                 }
                 continue;
             };
-            if let Some(end) = self.send_once(slot, link).await {
-                return end;
+            if let Some(outcome) = self.send_once(slot, connection).await {
+                return outcome;
             }
         }
     }
 
-    /// Waits until a target has room, or says how the request ends.
+    /// Waits for a free slot at a target, or returns how the request ends.
     async fn wait_for_slot(&mut self) -> Result<SlotGuard, ExecutionOutcome> {
         let routed = self.routed;
         let now = boot_now();
         let left = routed.deadline.saturating_sub(now);
         if left <= MIN_TIME_LEFT {
-            return Err(self.give_up(ErrorKind::DeadlinePassed).await);
+            return Err(self.fail(ErrorKind::DeadlinePassed).await);
         }
         let placement = self.placement();
-        let patience = self.max_queue_wait(left);
+        let max_wait = self.max_queue_wait(left);
         let queue = &self.state.queue;
         let caller = &mut *self.caller;
-        let wait = async { Some(queue.wait_for_target(placement, patience).await) };
-        let gone = async {
+        let placed = async { Some(queue.wait_for_target(placement, max_wait).await) };
+        let disconnected = async {
             caller.disconnected().await;
             None
         };
-        match or(wait, gone).await {
+        match or(placed, disconnected).await {
             None => Err(ExecutionOutcome::Closed),
             Some(WaitOutcome::Placed(slot)) => Ok(slot),
-            Some(WaitOutcome::Overloaded) => Err(self.give_up(ErrorKind::Overloaded).await),
-            Some(WaitOutcome::NoTarget) => Err(self.give_up(ErrorKind::NoTarget).await),
-            Some(WaitOutcome::TimedOut) => Err(self.give_up(ErrorKind::Overloaded).await),
+            Some(WaitOutcome::Overloaded) => Err(self.fail(ErrorKind::Overloaded).await),
+            Some(WaitOutcome::NoTarget) => Err(self.fail(ErrorKind::NoTarget).await),
+            Some(WaitOutcome::TimedOut) => Err(self.fail(ErrorKind::Overloaded).await),
         }
     }
 
-    /// Returns what the request asks of the targets.
+    /// Returns the placement criteria of the request.
     pub(super) fn placement(&self) -> PlacementRequest {
         let routed = self.routed;
         PlacementRequest {
             pool: routed.pool.clone(),
             priority: routed.priority,
-            objective_at: match self.progress.began {
+            objective_at: match self.progress.has_started {
                 true => boot_now() + RESUME_WAIT,
                 false => (routed.request.arrived + routed.objective).saturating_sub(routed.waited),
             },
-            // Nobody comes back for the rest of a stream.
-            is_retry: !routed.waited.is_zero() || self.progress.began,
+            // The rest of a stream is not retried by the caller.
+            is_retry: !routed.waited.is_zero() || self.progress.has_started,
             prompt_tokens: routed.usage.map_or(0, |usage| usage.prompt),
             output_tokens: routed.usage.and_then(|usage| usage.expected_output),
             event_gap_objective: routed.event_gap_objective,
@@ -178,77 +182,77 @@
         }
     }
 
-    /// Returns how long the request may wait for a target.
+    /// Returns how long the request may wait in the queue.
     ///
-    /// A caller that is told in time comes back when there may be room; one that is
-    /// kept until its patience ends leaves without any answer.
+    /// A caller that is refused early can retry when capacity may be free again. One that
+    /// is kept waiting until it gives up leaves without any response.
     fn max_queue_wait(&self, left: Duration) -> Duration {
         let routed = self.routed;
-        let patience = routed
+        let wait = routed
             .first_event_deadline
             .saturating_sub(routed.request.arrived);
-        let end = routed.request.arrived + patience.mul_f64(QUEUE_WAIT_RATIO);
-        let patience = end.saturating_sub(boot_now());
-        let patience = match (self.progress.began, routed.waited.is_zero()) {
-            (true, _) => patience.max(RESUME_WAIT),
-            (false, true) => patience,
-            (false, false) => patience.min(left.mul_f64(LATE_QUEUE_WAIT_RATIO)),
+        let wait_end = routed.request.arrived + wait.mul_f64(QUEUE_WAIT_RATIO);
+        let wait = wait_end.saturating_sub(boot_now());
+        let wait = match (self.progress.has_started, routed.waited.is_zero()) {
+            (true, _) => wait.max(RESUME_WAIT),
+            (false, true) => wait,
+            (false, false) => wait.min(left.mul_f64(LATE_QUEUE_WAIT_RATIO)),
         };
-        patience.min(left - MIN_TIME_LEFT)
+        wait.min(left - MIN_TIME_LEFT)
     }
 
-    async fn open_link(&self, slot: &SlotGuard) -> Option<TargetConnection> {
+    async fn connect(&self, slot: &SlotGuard) -> Option<TargetConnection> {
         let target = slot.target();
-        if let Some(link) = self.state.connections.take(&target.name).await {
-            return Some(link);
+        if let Some(connection) = self.state.connections.take(&target.name).await {
+            return Some(connection);
         }
         count(&self.state.metrics.connects);
         TargetConnection::open(target.address).await.ok()
     }
 
-    /// Sends the request once; `None` where it is to be sent to another target.
+    /// Sends the request once. Returns `None` if it should be sent to another target.
     async fn send_once(
         &mut self,
         slot: SlotGuard,
-        link: TargetConnection,
+        connection: TargetConnection,
     ) -> Option<ExecutionOutcome> {
         let target = slot.target().name.clone();
         self.sends += 1;
         self.report_sent(&target);
-        let end = self.send(slot, link).await;
+        let outcome = self.send(slot, connection).await;
         self.tried.push(target.clone());
-        self.may_have_run |= !matches!(end, SendOutcome::NotRun(_));
-        let (cause, repeatable, kind) = match end {
-            SendOutcome::Done { status } => {
+        self.may_have_run |= !matches!(outcome, SendOutcome::NotRun(_));
+        let (cause, is_repeatable, kind) = match outcome {
+            SendOutcome::Delivered { status } => {
                 self.report_served(&target, status);
                 return Some(ExecutionOutcome::Answered);
             }
-            SendOutcome::CallerGone => return Some(ExecutionOutcome::Closed),
-            SendOutcome::TimeOver => return Some(self.give_up(ErrorKind::TargetSilent).await),
+            SendOutcome::CallerDisconnected => return Some(ExecutionOutcome::Closed),
+            SendOutcome::DeadlineExceeded => return Some(self.fail(ErrorKind::TargetSilent).await),
             SendOutcome::NotRun(cause) => (cause, true, ErrorKind::Overloaded),
             SendOutcome::Lost(cause) => {
-                let repeatable = self.routed.kind.is_retryable();
-                (cause.to_string(), repeatable, ErrorKind::TargetLost)
+                let is_repeatable = self.routed.kind.is_retryable();
+                (cause.to_string(), is_repeatable, ErrorKind::TargetLost)
             }
-            SendOutcome::Failure { head, body } => {
+            SendOutcome::TargetFailure { head, body } => {
                 let cause = format!("status {}", head.status);
                 self.failure = Some((head, body));
-                let repeatable = self.routed.kind == CallKind::Idempotent;
-                (cause, repeatable, ErrorKind::TargetFault)
+                let is_repeatable = self.routed.kind == CallKind::Idempotent;
+                (cause, is_repeatable, ErrorKind::TargetFault)
             }
         };
-        let again = repeatable && self.reserve_repeat();
-        self.report_failure(&target, &cause, again);
-        match again {
+        let repeat = is_repeatable && self.reserve_repeat();
+        self.report_failure(&target, &cause, repeat);
+        match repeat {
             true => None,
-            false => Some(self.give_up(kind).await),
+            false => Some(self.fail(kind).await),
         }
     }
 
-    /// Tells whether the request may be sent once more, and counts it.
+    /// Returns whether the request may be repeated, and charges the retry budget if so.
     fn reserve_repeat(&self) -> bool {
-        let resumable = !self.progress.began || self.progress.last_id().is_some();
-        resumable
+        let is_resumable = !self.progress.has_started || self.progress.last_id().is_some();
+        is_resumable
             && self.sends < self.routed.max_attempts
             && boot_now() + MIN_TIME_LEFT < self.routed.deadline
             && self.state.try_retry(&self.routed.pool)
@@ -259,26 +263,27 @@
         head: &AnswerMessage,
         body: &[u8],
     ) -> SendOutcome {
-        // What is ready goes out, also when its time is over.
+        // A complete response is still delivered after the deadline.
         let left = self.routed.deadline.saturating_sub(boot_now());
         let limit = left.max(Duration::from_secs(1));
         match write_collected(self.caller, head, body, limit).await {
-            true => SendOutcome::Done {
+            true => SendOutcome::Delivered {
                 status: head.status,
             },
-            false => SendOutcome::CallerGone,
+            false => SendOutcome::CallerDisconnected,
         }
     }
 
-    /// Ends the request without a whole answer that is no failure.
-    async fn give_up(&mut self, kind: ErrorKind) -> ExecutionOutcome {
-        if self.progress.began {
-            // Bytes went out: only a cut connection still says that it isn't whole.
+    /// Ends the request with an error, or with the last error response of a target.
+    async fn fail(&mut self, kind: ErrorKind) -> ExecutionOutcome {
+        if self.progress.has_started {
+            // Part of the response was written; only closing the connection shows that it
+            // is incomplete.
             return ExecutionOutcome::Closed;
         }
         if let Some((head, body)) = self.failure.take() {
             return match self.write_response(&head, &body).await {
-                SendOutcome::Done { status } => {
+                SendOutcome::Delivered { status } => {
                     let target = self.tried.last().cloned().unwrap_or_default();
                     self.report_answered(&target, status, RequestOutcome::Unknown);
                     ExecutionOutcome::Answered
@@ -286,9 +291,9 @@
                 _ => ExecutionOutcome::Closed,
             };
         }
-        let promises = kind.answer().status == 503;
-        match (promises, self.may_have_run) {
-            // 503 promises that nothing ran; an earlier send may have.
+        let claims_not_run = kind.answer().status == 503;
+        match (claims_not_run, self.may_have_run) {
+            // Status 503 promises that nothing ran, but an earlier attempt may have.
             (true, true) => ExecutionOutcome::Refused(ErrorKind::TargetLost.into()),
             (true, false) => {
                 ExecutionOutcome::Refused(EdgeRefusal::after(kind, self.retry_delay()))
--- a/src/edge/request_reporting.rs
+++ b/src/edge/request_reporting.rs
@@ -1,4 +1,4 @@
-//! What is counted and written down of a request on its way.
+//! Metrics and log lines of a request in progress.
 
 use super::edge_metrics::count;
 use super::request_execution::RequestExecution;
@@ -7,7 +7,7 @@
 use crate::logs::DecisionLine;
 
 impl RequestExecution<'_> {
-    /// Counts and writes down a send.
+    /// Counts and logs an attempt.
     pub(super) fn report_sent(&self, target: &TargetName) {
         let state = self.state;
         let waited = self.routed.age();
@@ -39,7 +39,7 @@
         });
     }
 
-    /// Writes down a send that brought no whole answer.
+    /// Logs an attempt that got no complete response.
     pub(super) fn report_failure(&self, target: &TargetName, cause: &str, again: bool) {
         self.state.log.write(&DecisionLine::SendFailed {
             request: self.routed.id.clone(),
@@ -50,18 +50,18 @@
         });
     }
 
-    /// Counts and writes down a target's whole answer.
+    /// Counts and logs a complete response from a target.
     pub(super) fn report_served(&self, target: &TargetName, status: u16) {
         count(&self.state.metrics.answered);
-        if !self.progress.began {
-            // A plain answer begins as it ends.
+        if !self.progress.has_started {
+            // A response that is not streamed arrives as a whole.
             self.routed.series.record_first_token(self.routed.age());
         }
         self.state.poison.record_success(self.routed.fingerprint);
         self.report_answered(target, status, RequestOutcome::Done);
     }
 
-    /// Counts and writes down what a target answered, be it a failure.
+    /// Counts and logs the response of a target, which may be an error.
     pub(super) fn report_answered(
         &self,
         target: &TargetName,
--- a/src/edge/response_relay.rs
+++ b/src/edge/response_relay.rs
@@ -1,4 +1,4 @@
-//! Passes a target's answer on to the caller.
+//! Forwards a target's response to the caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use super::caller_connection::CallerConnection;
 use super::event_splitter::EventSplitter;
 use super::response_writer::ResponseFraming;
-use super::response_writer::frame_chunk;
-use super::response_writer::frame_end;
-use super::response_writer::response_head_from;
+use super::response_writer::forwarded_head;
 use super::response_writer::stream_framing;
 use super::response_writer::write_bytes;
+use super::response_writer::write_chunk;
+use super::response_writer::write_end;
 use super::send_outcome::LossCause;
 use super::target_call::CallError;
 use super::target_call::TargetCall;
@@ -24,37 +24,37 @@
 use crate::wire::AnswerMessage;
 use crate::wire::RequestMessage;
 
-/// The largest answer that is collected before it goes out, in bytes. A larger one
-/// would take the memory of all the others.
+/// Limit on the body size of a response that is buffered before it is forwarded, in
+/// bytes. A larger one would take the memory of all other requests.
 const MAX_COLLECTED_BYTES: usize = 16 << 20;
 
-/// How a stream's relay ended.
+/// Result of relaying a stream.
 #[derive(Debug)]
 pub(crate) enum RelayOutcome {
-    /// The answer is whole at the caller.
-    Whole,
-    /// The caller left.
-    CallerGone,
-    /// The request's time is over.
-    TimeOver,
-    /// The target stopped, or said nothing for too long.
+    /// The complete response was written to the caller.
+    Complete,
+    /// The caller disconnected.
+    CallerDisconnected,
+    /// The deadline of the request passed.
+    DeadlineExceeded,
+    /// The connection to the target was lost, or the target was silent for too long.
     TargetLost(LossCause),
 }
 
-/// What one turn of the relay brought.
+/// The event that ended one wait of the relay.
 enum RelayEvent {
-    Target(Result<bool, CallError>),
-    CallerGone,
-    TimeOver,
-    Silent,
+    TargetData(Result<bool, CallError>),
+    CallerDisconnected,
+    DeadlineExceeded,
+    TargetSilent,
 }
 
-/// What the caller has got of a streamed answer, over all sends.
+/// State of a streamed response towards the caller, across all attempts.
 #[derive(Debug)]
 pub(crate) struct StreamProgress {
     splitter: EventSplitter,
     /// Whether anything was written to the caller.
-    pub(crate) began: bool,
+    pub(crate) has_started: bool,
     first_at: Option<Duration>,
     last_at: Duration,
     longest_pause: Duration,
@@ -63,22 +63,22 @@
     framing: Option<ResponseFraming>,
 }
 
-/// When the relay of a stream gives up.
+/// Limits at which relaying a stream is abandoned.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RelayLimits {
-    /// When the request's time is over, on the boot clock.
+    /// Deadline of the request, on the boot clock.
     pub(crate) deadline: Duration,
-    /// How long the target may say nothing before another one is asked to go on; `None`
-    /// where nobody could.
-    pub(crate) silence: Option<Duration>,
+    /// Longest silence of the target before the stream is resumed at another one; `None`
+    /// if the stream can't be resumed.
+    pub(crate) max_silence: Option<Duration>,
 }
 
 impl StreamProgress {
-    /// Begins the answer of a request that arrived at `arrived`, on the boot clock.
+    /// Starts the response of a request that arrived at `arrived` on the boot clock.
     pub(crate) fn new(arrived: Duration, series: Arc<RequestSeries>) -> Self {
         Self {
             splitter: EventSplitter::default(),
-            began: false,
+            has_started: false,
             first_at: None,
             last_at: arrived,
             longest_pause: Duration::ZERO,
@@ -88,24 +88,25 @@
         }
     }
 
-    /// Returns the id of the last event that the caller got.
+    /// Returns the id of the last event that was written.
     pub(crate) fn last_id(&self) -> Option<&str> {
         self.splitter.last_id()
     }
 
-    /// Returns when the first bytes went out, on the boot clock.
+    /// Returns when the first bytes were written, on the boot clock.
     pub(crate) const fn first_at(&self) -> Option<Duration> {
         self.first_at
     }
 
-    /// Returns the longest pause between two events that went out.
+    /// Returns the longest pause between two writes of events.
     pub(crate) const fn longest_pause(&self) -> Duration {
         self.longest_pause
     }
 
-    /// Passes events on as they come. A silent target is left only where `can_resume` says that
-    /// another one has room for the rest. The head goes out with the first one: until
-    /// then another target can still answer.
+    /// Forwards events as they arrive. A silent target is abandoned only if `can_resume`
+    /// confirms that another one has capacity for the rest. The response head is written
+    /// together with the first events, so that another target can still take over before
+    /// that.
     pub(crate) async fn relay(
         &mut self,
         caller: &mut CallerConnection,
@@ -117,69 +118,72 @@
     ) -> RelayOutcome {
         let mut received = Vec::new();
         let left = bounds.deadline.saturating_sub(boot_now());
-        let mut time_over = Box::pin(task::sleep(left));
-        // What was held back of a cut event comes again from the next target.
+        let mut deadline_timer = Box::pin(task::sleep(left));
+        // The next target sends the buffered partial event again from its start.
         self.splitter.take_rest();
         loop {
             received.clear();
-            let turn = {
-                let target = async { RelayEvent::Target(call.read_body(&mut received).await) };
-                let gone = async {
+            let event = {
+                let target = async { RelayEvent::TargetData(call.read_body(&mut received).await) };
+                let disconnected = async {
                     caller.disconnected().await;
-                    RelayEvent::CallerGone
+                    RelayEvent::CallerDisconnected
                 };
-                let over = async {
-                    (&mut time_over).await;
-                    RelayEvent::TimeOver
+                let expired = async {
+                    (&mut deadline_timer).await;
+                    RelayEvent::DeadlineExceeded
                 };
                 let silent = async {
-                    match bounds.silence {
-                        Some(silence) => task::sleep(silence).await,
+                    match bounds.max_silence {
+                        Some(max_silence) => task::sleep(max_silence).await,
                         None => std::future::pending().await,
                     }
-                    RelayEvent::Silent
+                    RelayEvent::TargetSilent
                 };
-                or(target, or(gone, or(over, silent))).await
+                or(target, or(disconnected, or(expired, silent))).await
             };
-            let whole = match turn {
-                RelayEvent::Target(Ok(whole)) => whole,
-                RelayEvent::Target(Err(error)) => return RelayOutcome::TargetLost(error.into()),
-                RelayEvent::CallerGone => return RelayOutcome::CallerGone,
-                RelayEvent::TimeOver => return RelayOutcome::TimeOver,
-                RelayEvent::Silent if can_resume() => {
+            let is_complete = match event {
+                RelayEvent::TargetData(Ok(is_complete)) => is_complete,
+                RelayEvent::TargetData(Err(error)) => {
+                    return RelayOutcome::TargetLost(error.into());
+                }
+                RelayEvent::CallerDisconnected => return RelayOutcome::CallerDisconnected,
+                RelayEvent::DeadlineExceeded => return RelayOutcome::DeadlineExceeded,
+                RelayEvent::TargetSilent if can_resume() => {
                     return RelayOutcome::TargetLost(LossCause::Silent);
                 }
-                // The target may be slow only, and a cut answer helps nobody.
-                RelayEvent::Silent => continue,
+                // The target may only be slow, and an incomplete response is of no use to
+                // the caller.
+                RelayEvent::TargetSilent => continue,
             };
             let mut events = self.splitter.take_events(&mut received);
-            if whole {
+            if is_complete {
                 events.append(&mut self.splitter.take_rest());
             }
-            if events.is_empty() && !whole {
+            if events.is_empty() && !is_complete {
                 continue;
             }
             slot.record_event();
-            let output = self.frame(request, &call.head, caller.reusable, &events, whole);
+            let output = self.frame(request, &call.head, caller.reusable, &events, is_complete);
             let written = timeout(
                 bounds.deadline.saturating_sub(boot_now()),
                 write_bytes(&caller.stream, &output),
             );
             match written.await {
                 Ok(Ok(())) => {
-                    self.began = true;
+                    self.has_started = true;
                     self.record_events();
                 }
-                Ok(Err(_)) => return RelayOutcome::CallerGone,
-                Err(_) => return RelayOutcome::TimeOver,
+                Ok(Err(_)) => return RelayOutcome::CallerDisconnected,
+                Err(_) => return RelayOutcome::DeadlineExceeded,
             }
-            if whole {
-                return RelayOutcome::Whole;
+            if is_complete {
+                return RelayOutcome::Complete;
             }
         }
     }
 
-    /// Records when events went out.
+    /// Records the time of a write of events.
     fn record_events(&mut self) {
         let now = boot_now();
         match self.first_at {
@@ -203,48 +207,48 @@
         head: &AnswerMessage,
         reusable: bool,
         events: &[u8],
-        whole: bool,
+        is_complete: bool,
     ) -> Vec<u8> {
         let mut output = Vec::with_capacity(events.len() + 512);
         let framing = match self.framing {
             Some(framing) => framing,
             None => {
                 let framing = stream_framing(request);
-                output = response_head_from(head, framing, !reusable);
+                output = forwarded_head(head, framing, !reusable);
                 self.framing = Some(framing);
                 framing
             }
         };
-        frame_chunk(framing, events, &mut output);
-        if whole {
-            frame_end(framing, &mut output);
+        write_chunk(framing, events, &mut output);
+        if is_complete {
+            write_end(framing, &mut output);
         }
         output
     }
 }
 
-/// Reads a whole body. An answer that is cut must not look complete, so nothing of
-/// it goes out before its end is proven.
+/// Reads a complete body. A truncated response must not look complete to the caller, so
+/// nothing of it is forwarded before its end was received.
 ///
 /// # Errors
 ///
-/// The body was cut, is broken or too large.
+/// The body is truncated, malformed or too large.
 pub(crate) async fn collect_body(call: &mut TargetCall) -> Result<Vec<u8>, CallError> {
     let mut body = Vec::new();
-    let mut piece = Vec::new();
+    let mut chunk = Vec::new();
     loop {
-        let whole = call.read_body(&mut piece).await?;
-        body.append(&mut piece);
-        if whole {
+        let is_complete = call.read_body(&mut chunk).await?;
+        body.append(&mut chunk);
+        if is_complete {
             return Ok(body);
         }
         if body.len() > MAX_COLLECTED_BYTES {
-            return Err(CallError::Broken);
+            return Err(CallError::InvalidResponse);
         }
     }
 }
 
-/// Writes a collected answer to the caller; returns whether it arrived there.
+/// Writes a buffered response to the caller; returns whether it was written completely.
 pub(crate) async fn write_collected(
     caller: &CallerConnection,
     head: &AnswerMessage,
@@ -252,7 +256,7 @@
     limit: Duration,
 ) -> bool {
     let framing = ResponseFraming::Length(body.len());
-    let mut output = response_head_from(head, framing, !caller.reusable);
+    let mut output = forwarded_head(head, framing, !caller.reusable);
     output.extend_from_slice(body);
     let written = timeout(limit, write_bytes(&caller.stream, &output));
     matches!(written.await, Ok(Ok(())))
--- a/src/edge/response_writer.rs
+++ b/src/edge/response_writer.rs
@@ -1,4 +1,4 @@
-//! Writes answers towards a caller.
+//! Writes responses to callers.
 
 use std::io;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use crate::wire::MessageHeaders;
 use crate::wire::RequestMessage;
 
-/// How the body towards the caller is framed.
+/// Framing of the response body sent to the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ResponseFraming {
-    /// By its length.
+    /// By `Content-Length`.
     Length(usize),
-    /// In chunks.
+    /// By chunked transfer coding.
     Chunked,
-    /// By the end of the connection, for HTTP/1.0.
+    /// By closing the connection, for HTTP/1.0.
     UntilClose,
 }
 
-/// Returns a target's head as the caller gets it.
-pub(crate) fn response_head_from(
+/// Returns the head of a target's response as it is forwarded to the caller.
+pub(crate) fn forwarded_head(
     head: &AnswerMessage,
     framing: ResponseFraming,
     close: bool,
@@ -33,7 +33,7 @@
     head_bytes(head.status, &headers, framing, close)
 }
 
-/// Returns an answer of the host's own.
+/// Returns a response that the host generates itself.
 pub(crate) fn refusal_bytes(
     refusal: EdgeRefusal,
     echo: Option<(&str, &str)>,
@@ -62,33 +62,33 @@
 ///
 /// # Errors
 ///
-/// The caller is gone.
+/// The caller disconnected.
 pub(crate) async fn write_bytes(mut stream: &TcpStream, bytes: &[u8]) -> io::Result<()> {
     stream.write_all(bytes).await
 }
 
-/// Wraps a piece of a body as the framing asks.
-pub(crate) fn frame_chunk(framing: ResponseFraming, piece: &[u8], output: &mut Vec<u8>) {
-    if piece.is_empty() {
+/// Appends a part of the body with the given framing.
+pub(crate) fn write_chunk(framing: ResponseFraming, chunk: &[u8], output: &mut Vec<u8>) {
+    if chunk.is_empty() {
         return;
     }
     if framing == ResponseFraming::Chunked {
-        output.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
+        output.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
     }
-    output.extend_from_slice(piece);
+    output.extend_from_slice(chunk);
     if framing == ResponseFraming::Chunked {
         output.extend_from_slice(b"\r\n");
     }
 }
 
-/// Adds the end of a whole body.
-pub(crate) fn frame_end(framing: ResponseFraming, output: &mut Vec<u8>) {
+/// Appends the end of a complete body.
+pub(crate) fn write_end(framing: ResponseFraming, output: &mut Vec<u8>) {
     if framing == ResponseFraming::Chunked {
         output.extend_from_slice(b"0\r\n\r\n");
     }
 }
 
-/// Returns the framing of a stream towards the caller of `request`.
+/// Returns the framing of a streamed response to `request`.
 pub(crate) const fn stream_framing(request: &RequestMessage) -> ResponseFraming {
     match request.old_version {
         true => ResponseFraming::UntilClose,
@@ -102,10 +102,10 @@
     framing: ResponseFraming,
     close: bool,
 ) -> Vec<u8> {
-    let mut bytes = format!("HTTP/1.1 {status} {}\r\n", reason(status)).into_bytes();
+    let mut bytes = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).into_bytes();
     headers.write_to(&mut bytes);
     match framing {
-        // These never have a body, and so no length.
+        // Responses with these statuses have no body and so no length.
         ResponseFraming::Length(0) if matches!(status, 204 | 304) => {}
         ResponseFraming::Length(length) => {
             bytes.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes());
@@ -120,7 +120,7 @@
     bytes
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     http::StatusCode::from_u16(status)
         .ok()
         .and_then(|status| status.canonical_reason())
--- a/src/edge/route_filter.rs
+++ b/src/edge/route_filter.rs
@@ -1,4 +1,4 @@
-//! Finds a request's route and account.
+//! Resolves the route and account of a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,89 +19,83 @@
 use crate::poison::RequestFingerprint;
 use crate::poison::fingerprint_request;
 
-/// When a caller may come back to another host after this one knew too little.
+/// Delay after which a caller may try another host, when this one's view is out of date.
 const OTHER_HOST_DELAY: Duration = Duration::from_millis(100);
-/// The longest time that a request is served whose caller and route name none.
+/// Time limit of a request for which neither the caller nor the route sets one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a request uses, as it says itself.
+/// Token counts that a request declares.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct TokenUsage {
-    /// Tokens of its prompt.
+    /// Tokens of the prompt.
     pub(crate) prompt: u64,
-    /// Tokens that it may get at most.
+    /// Maximum output tokens.
     pub(crate) output: u64,
-    /// Tokens that the caller expects, where it says so.
+    /// Output tokens that the caller expects, if declared.
     pub(crate) expected_output: Option<u64>,
 }
 
-/// A request with all that decides how it is served.
+/// A request with everything that determines how it is served.
 #[derive(Debug)]
 pub(crate) struct RoutedRequest {
-    /// The request; its headers are those that the target gets, but for those that
-    /// change with each send.
+    /// The request, with the headers that the target receives except those that differ
+    /// between attempts.
     pub(crate) request: CallerRequest,
     /// The id of this attempt.
     pub(crate) id: String,
-    /// The catalog that routed it.
+    /// The catalog version that was used to route it.
     pub(crate) catalog: Arc<RouteCatalog>,
     /// The route's name.
     pub(crate) route: String,
-    /// What may be repeated.
+    /// Determines whether the request may be repeated.
     pub(crate) kind: CallKind,
-    /// To how many targets it may be sent.
+    /// Number of targets to which it may be sent.
     pub(crate) max_attempts: u32,
-    /// Within which its first event, or its answer, is worth the most.
+    /// Latency objective for the first event of a stream, or for the whole response.
     pub(crate) objective: Duration,
-    /// The longest pause between two events of a stream that is still in time.
+    /// Objective for the longest pause between two events of a stream.
     pub(crate) event_gap_objective: Option<Duration>,
-    /// How long its caller has waited in earlier attempts.
+    /// Time that the caller has waited in earlier attempts.
     pub(crate) waited: Duration,
-    /// Until when its caller waits for the first event, on the boot clock.
+    /// When the caller stops waiting for the first event, on the boot clock.
     pub(crate) first_event_deadline: Duration,
-    /// The pool that runs it.
     pub(crate) pool: PoolName,
-    /// The account.
     pub(crate) account: Option<ClientAccount>,
-    /// How urgent it is.
     pub(crate) priority: RequestPriority,
-    /// When its time is over, on the boot clock.
+    /// The deadline, on the boot clock.
     pub(crate) deadline: Duration,
-    /// What it uses, where it says so.
+    /// The declared token counts.
     pub(crate) usage: Option<TokenUsage>,
-    /// Its metrics.
     pub(crate) series: Arc<RequestSeries>,
-    /// Alike for requests that a caller repeats under new ids.
+    /// Fingerprint that is the same for repeats of a request under new ids.
     pub(crate) fingerprint: RequestFingerprint,
 }
 
 impl RoutedRequest {
-    /// Returns how long ago it arrived.
+    /// Returns the time since the request arrived.
     pub(crate) fn age(&self) -> Duration {
         boot_now().saturating_sub(self.request.arrived)
     }
 
-    /// Records how it ended.
+    /// Records the outcome of the request.
     pub(crate) fn record_end(&self, outcome: RequestOutcome) {
         let in_time = boot_now() <= self.deadline;
         self.series.record_answer(outcome, self.age(), in_time);
     }
 }
 
-/// A request that was given back with the reason.
+/// A refused request with the reason.
 #[derive(Debug)]
 pub(crate) struct UnroutedRequest {
-    /// The request.
     pub(crate) request: CallerRequest,
-    /// Why it is refused.
     pub(crate) refusal: EdgeRefusal,
 }
 
-/// Finds a request's route and account.
+/// Resolves the route and account of a request.
 ///
 /// # Errors
 ///
-/// The request, and why it is refused.
+/// The request and why it is refused.
 pub(crate) fn route_request(
     state: &EdgeState,
     mut request: CallerRequest,
@@ -167,7 +161,7 @@
     let headers = &request.message.headers;
     let mut hosts = headers.all("host");
     let host = hosts.next().and_then(|host| std::str::from_utf8(host).ok());
-    // Two hosts could be read as two routes (RFC 9112 section 3.2).
+    // Two Host headers could be interpreted as two routes (RFC 9112 section 3.2).
     let (Some(host), None) = (host, hosts.next()) else {
         return Err(ErrorKind::MalformedMessage.into());
     };
@@ -177,7 +171,7 @@
     found.ok_or_else(|| absence_refusal(state, ErrorKind::UnknownClass))
 }
 
-/// Returns the account; `None` where the request needs none.
+/// Returns the account; `None` if the request needs none.
 fn find_account(
     state: &EdgeState,
     catalog: &RouteCatalog,
@@ -201,8 +195,9 @@
     }
 }
 
-/// Says that something is not there, or that this host can't know: what was added
-/// since may be in force elsewhere, and a caller that is told "unknown" gives up.
+/// Returns the error for an unknown route or key, or a retryable one if this host's view
+/// is out of date. A recent addition may be in effect elsewhere, and a caller that is
+/// told "unknown" does not retry.
 fn absence_refusal(state: &EdgeState, kind: ErrorKind) -> EdgeRefusal {
     match state.can_confirm_absence() {
         true => kind.into(),
@@ -210,7 +205,7 @@
     }
 }
 
-/// Returns the key; two keys in one request are none.
+/// Returns the key. A request with two keys counts as having none.
 fn read_key<'r>(state: &EdgeState, request: &'r CallerRequest) -> Option<&'r str> {
     let headers = &request.message.headers;
     if headers.all("authorization").count() != 1 {
@@ -227,8 +222,8 @@
         .ok_or_else(|| ErrorKind::BadRequestId.into())
 }
 
-/// Returns how long the request may take: what the caller waits, or the operator
-/// lets it wait, whichever is shorter.
+/// Returns the time limit of the request: the caller's or the route's, whichever is
+/// shorter.
 fn time_limit(state: &EdgeState, route: &ServiceRoute, request: &CallerRequest) -> Duration {
     let headers = &request.message.headers;
     let asked = headers.number(&state.header_names.deadline_ms);
@@ -251,7 +246,7 @@
     })
 }
 
-/// Leaves the headers that the target may see, and says whose request it is.
+/// Removes the headers that the target must not see and adds the account's name.
 fn prepare_headers(state: &EdgeState, request: &mut CallerRequest, account: &str) {
     let header_names = &state.header_names;
     let headers = &mut request.message.headers;
--- a/src/edge/send_outcome.rs
+++ b/src/edge/send_outcome.rs
@@ -1,4 +1,4 @@
-//! How one send to a target ended.
+//! Outcome of one attempt to send a request to a target.
 
 use derive_more::Display;
 
@@ -6,53 +6,55 @@
 use crate::dispatch::AttemptOutcome;
 use crate::wire::AnswerMessage;
 
-/// Why a send brought no whole answer although the target may have run it.
+/// Why an attempt got no complete response although the target may have run the request.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub(crate) enum LossCause {
-    /// The connection ended early.
-    #[display("the connection ended early")]
-    Cut,
-    /// What came is no answer, or another request's.
-    #[display("the answer can't be trusted")]
-    Broken,
-    /// The target said nothing for too long.
+    /// The connection was closed before the response was complete.
+    #[display("connection closed before the response was complete")]
+    ConnectionClosed,
+    /// The response is malformed or belongs to another request.
+    #[display("invalid response")]
+    InvalidResponse,
+    /// The target was silent for too long.
     #[display("silent")]
     Silent,
-    /// A status that promises that nothing ran, without the target's word for it.
-    #[display("status {_0} without proof")]
-    Unproven(u16),
-    /// An answer of another kind where a stream was to go on.
-    #[display("status {_0} in place of the rest")]
-    NotTheRest(u16),
+    /// A status that implies that nothing ran, without the header by which the target
+    /// confirms it.
+    #[display("status {_0} without confirmation that nothing ran")]
+    UnconfirmedStatus(u16),
+    /// A response that is not the continuation of a stream.
+    #[display("status {_0} instead of the rest of the stream")]
+    NotResumed(u16),
 }
 
-/// How one send ended.
+/// Outcome of one attempt.
 #[derive(Debug)]
 pub(crate) enum SendOutcome {
-    /// The caller has its answer.
-    Done { status: u16 },
-    /// The caller has left; what runs is given up, or goes on by itself.
-    CallerGone,
-    /// The request's time is over.
-    TimeOver,
-    /// The target refused it and did not run it.
+    /// The response was delivered to the caller.
+    Delivered { status: u16 },
+    /// The caller disconnected. The attempt is cancelled, or left to finish at the
+    /// target.
+    CallerDisconnected,
+    /// The deadline of the request passed.
+    DeadlineExceeded,
+    /// The target refused the request and did not run it.
     NotRun(String),
-    /// No whole answer came; the target may have run it.
+    /// No complete response was received; the target may have run the request.
     Lost(LossCause),
-    /// The target's own failure, whole; another target may do better.
-    Failure { head: AnswerMessage, body: Vec<u8> },
+    /// A complete error response of the target; another target may succeed.
+    TargetFailure { head: AnswerMessage, body: Vec<u8> },
 }
 
 impl SendOutcome {
-    /// Returns what the end tells of the target.
+    /// Returns what the outcome says about the target.
     pub(crate) fn attempt_outcome(&self) -> AttemptOutcome {
         match self {
-            Self::Done { status } if *status >= 500 => AttemptOutcome::Failed,
-            Self::Done { .. } => AttemptOutcome::Succeeded,
-            Self::CallerGone | Self::TimeOver => AttemptOutcome::Cancelled,
+            Self::Delivered { status } if *status >= 500 => AttemptOutcome::Failed,
+            Self::Delivered { .. } => AttemptOutcome::Succeeded,
+            Self::CallerDisconnected | Self::DeadlineExceeded => AttemptOutcome::Cancelled,
             Self::NotRun(_) => AttemptOutcome::Rejected,
             Self::Lost(LossCause::Silent) => AttemptOutcome::Unresponsive,
-            Self::Lost(_) | Self::Failure { .. } => AttemptOutcome::Failed,
+            Self::Lost(_) | Self::TargetFailure { .. } => AttemptOutcome::Failed,
         }
     }
 }
@@ -60,8 +62,8 @@
 impl From<CallError> for LossCause {
     fn from(error: CallError) -> Self {
         match error {
-            CallError::Cut => Self::Cut,
-            CallError::Broken => Self::Broken,
+            CallError::ConnectionClosed => Self::ConnectionClosed,
+            CallError::InvalidResponse => Self::InvalidResponse,
         }
     }
 }
--- a/src/edge/target_call.rs
+++ b/src/edge/target_call.rs
@@ -1,4 +1,4 @@
-//! One request on a connection to a target.
+//! One request and its response on a connection to a target.
 
 use std::future::pending;
 
@@ -15,79 +15,76 @@
 use crate::wire::WireError;
 use crate::wire::keeps_connection;
 
-/// What can go wrong once something was sent.
+/// Errors that may occur after a request was sent.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub(crate) enum CallError {
-    /// The connection ended or failed before the answer did.
-    #[display("the connection ended early")]
-    Cut,
-    /// What came is no answer, or another request's.
-    #[display("the answer can't be trusted")]
-    Broken,
+    /// The connection was closed or failed before the response was complete.
+    #[display("connection closed before the response was complete")]
+    ConnectionClosed,
+    /// The response is malformed or belongs to another request.
+    #[display("invalid response")]
+    InvalidResponse,
 }
 
-/// What identifies the call.
+/// Identifies the request and its response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallIdentity<'a> {
-    /// The name of the header that bears the request's id.
+    /// Name of the header that contains the request's id.
     pub(crate) header: &'a str,
-    /// The request's id.
     pub(crate) request: &'a str,
-    /// The request's method.
     pub(crate) method: &'a str,
 }
 
-/// An answer whose head was read.
+/// A response whose head was read.
 #[derive(Debug)]
 pub(crate) struct TargetCall {
-    link: TargetConnection,
-    /// The head.
+    connection: TargetConnection,
     pub(crate) head: AnswerMessage,
     decoder: BodyDecoder,
-    /// Whether the connection may carry another request once the answer is whole.
-    keeps: bool,
+    /// Whether the connection may be reused after the response is complete.
+    keep_alive: bool,
 }
 
 impl TargetCall {
-    /// Sends a request and reads the answer's head.
+    /// Sends a request and reads the head of the response.
     ///
-    /// The answer may come before the request is written to its end: a target that
-    /// refuses a long upload does so. The connection is not used again then, since
-    /// the target would take the next request for the rest of this one.
+    /// The response may arrive before the request is completely written, for example when
+    /// a target refuses a long upload. The connection is not reused in that case, because
+    /// the target would read the next request as the rest of this one.
     ///
     /// # Errors
     ///
-    /// The target may have run the request in each case.
+    /// In every case the target may have run the request.
     pub(crate) async fn send(
-        mut link: TargetConnection,
+        mut connection: TargetConnection,
         request: &[u8],
         identity: CallIdentity<'_>,
     ) -> Result<Self, CallError> {
         let mut written = false;
-        let mut stream = link.stream.clone();
+        let mut stream = connection.stream.clone();
         let write = async {
-            // A write that fails shows in the read as well.
+            // A failed write is also reported by the read.
             written = stream.write_all(request).await.is_ok();
             pending().await
         };
-        let head = or(write, read_matching_head(&mut link, identity)).await?;
+        let head = or(write, read_matching_head(&mut connection, identity)).await?;
         let framing = BodyFraming::of_answer(&head.headers, head.status, identity.method)
-            .map_err(|_| CallError::Broken)?;
-        let keeps = written && keeps_connection(&head, framing);
+            .map_err(|_| CallError::InvalidResponse)?;
+        let keep_alive = written && keeps_connection(&head, framing);
         Ok(Self {
-            link,
+            connection,
             decoder: BodyDecoder::new(framing),
-            keeps,
+            keep_alive,
             head,
         })
     }
 
-    /// Reads more of the body behind `output`; returns whether the body is whole.
-    /// A dropped future loses nothing.
+    /// Appends more of the body to `output`; returns whether the body is complete. This
+    /// function is cancel safe.
     ///
     /// # Errors
     ///
-    /// The body was cut or is broken.
+    /// The body is truncated or malformed.
     pub(crate) async fn read_body(&mut self, output: &mut Vec<u8>) -> Result<bool, CallError> {
         self.decode(output)?;
         if self.decoder.is_whole() {
@@ -96,85 +93,84 @@
         if !output.is_empty() {
             return Ok(false);
         }
-        match self.link.input.fill(&self.link.stream).await {
+        match self.connection.input.fill(&self.connection.stream).await {
             Ok(0) => {
                 let ended = self.decoder.end_of_connection();
-                ended.map_err(|_| CallError::Cut)?;
+                ended.map_err(|_| CallError::ConnectionClosed)?;
             }
             Ok(_) => self.decode(output)?,
-            Err(_) => return Err(CallError::Cut),
+            Err(_) => return Err(CallError::ConnectionClosed),
         }
         Ok(self.decoder.is_whole())
     }
 
-    /// Returns the connection if it may carry another request.
+    /// Returns the connection and the head if the connection may be reused.
     pub(crate) fn into_reusable(self) -> Option<(TargetConnection, AnswerMessage)> {
-        let kept = self.keeps && self.decoder.is_whole();
-        kept.then_some((self.link, self.head))
+        let is_reusable = self.keep_alive && self.decoder.is_whole();
+        is_reusable.then_some((self.connection, self.head))
     }
 
     fn decode(&mut self, output: &mut Vec<u8>) -> Result<(), CallError> {
-        let decoded = self.decoder.decode(&mut self.link.input, output);
-        decoded.map_err(|_| CallError::Broken)
+        let decoded = self.decoder.decode(&mut self.connection.input, output);
+        decoded.map_err(|_| CallError::InvalidResponse)
     }
 }
 
-/// Reads heads up to the one that answers this call.
+/// Reads response heads until the one that belongs to this request.
 ///
-/// A target may send an answer a second time, or late, where the next one is
-/// expected; the id tells. Such an answer is read to its end and dropped. An answer
-/// without an id on a connection that had another request before could be that
-/// one's, so it can't be trusted.
+/// A target may send a response twice, or so late that it arrives in place of the next
+/// one; its request id tells. Such a response is read and discarded. A response without
+/// an id on a reused connection may belong to the previous request, so it is rejected.
 async fn read_matching_head(
-    link: &mut TargetConnection,
+    connection: &mut TargetConnection,
     identity: CallIdentity<'_>,
 ) -> Result<AnswerMessage, CallError> {
     loop {
-        let head = read_head(link).await?;
+        let head = read_head(connection).await?;
         match head.headers.text(identity.header) {
             Some(id) if id == identity.request => return Ok(head),
-            None if !link.reused => return Ok(head),
-            None => return Err(CallError::Broken),
-            Some(_) => skip_body(link, &head, identity.method).await?,
+            None if !connection.reused => return Ok(head),
+            None => return Err(CallError::InvalidResponse),
+            Some(_) => skip_body(connection, &head, identity.method).await?,
         }
     }
 }
 
-async fn read_head(link: &mut TargetConnection) -> Result<AnswerMessage, CallError> {
+async fn read_head(connection: &mut TargetConnection) -> Result<AnswerMessage, CallError> {
     loop {
-        match AnswerMessage::take(&mut link.input) {
+        match AnswerMessage::take(&mut connection.input) {
             Ok(Some(head)) => return Ok(head),
             Ok(None) => {}
-            Err(_) => return Err(CallError::Broken),
+            Err(_) => return Err(CallError::InvalidResponse),
         }
-        match link.input.fill(&link.stream).await {
+        match connection.input.fill(&connection.stream).await {
             Ok(count) if count > 0 => {}
-            Ok(_) | Err(_) => return Err(CallError::Cut),
+            Ok(_) | Err(_) => return Err(CallError::ConnectionClosed),
         }
     }
 }
 
 async fn skip_body(
-    link: &mut TargetConnection,
+    connection: &mut TargetConnection,
     head: &AnswerMessage,
     method: &str,
 ) -> Result<(), CallError> {
     let framing = BodyFraming::of_answer(&head.headers, head.status, method)
-        .map_err(|_| CallError::Broken)?;
+        .map_err(|_| CallError::InvalidResponse)?;
     let mut decoder = BodyDecoder::new(framing);
-    let mut dropped = Vec::new();
+    let mut discarded = Vec::new();
     loop {
         decoder
-            .decode(&mut link.input, &mut dropped)
-            .map_err(|_: WireError| CallError::Broken)?;
-        dropped.clear();
+            .decode(&mut connection.input, &mut discarded)
+            .map_err(|_: WireError| CallError::InvalidResponse)?;
+        discarded.clear();
         if decoder.is_whole() {
             return Ok(());
         }
-        match link.input.fill(&link.stream).await {
+        match connection.input.fill(&connection.stream).await {
             Ok(count) if count > 0 => {}
-            // An answer without a length takes the connection with it.
-            Ok(_) | Err(_) => return Err(CallError::Cut),
+            // A response without a length ends with the connection.
+            Ok(_) | Err(_) => return Err(CallError::ConnectionClosed),
         }
     }
 }
--- a/src/edge/target_send.rs
+++ b/src/edge/target_send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to a target, and the way of its answer to the caller.
+//! One attempt to send a request to a target and forward its response to the caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,61 +26,64 @@
 use crate::logs::DecisionLine;
 use crate::wire::AnswerMessage;
 
-/// How long a stream that another target can go on with may be silent. Engines send
-/// an event each 25 to 100 ms; callers give a stream up after two seconds.
+/// Longest silence of a stream that another target can resume. Engines send an event
+/// every 25 to 100 ms; callers give up on a stream after two seconds.
 const MAX_RESUMABLE_SILENCE: Duration = Duration::from_millis(1300);
-/// How long an idempotent call is waited for before another target is asked, in
-/// objectives: nine in ten answers take a fifth of their objective.
+/// Time after which an idempotent request is repeated at another target, in latency
+/// objectives. Nine out of ten responses take a fifth of their objective.
 const REPEAT_AFTER_OBJECTIVES: u32 = 2;
-/// How long the rest of a target's refusal is waited for, to keep the connection.
+/// Time limit for reading the rest of a target's refusal in order to reuse the
+/// connection.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl RequestExecution<'_> {
     pub(super) async fn send(
         &mut self,
         mut slot: SlotGuard,
-        link: TargetConnection,
+        connection: TargetConnection,
     ) -> SendOutcome {
         let bytes = self.request_bytes(&slot);
-        let called = self.call(link, &bytes, &mut slot).await;
-        let mut call = match called {
+        let sent = self.call(connection, &bytes, &mut slot).await;
+        let mut call = match sent {
             Ok(call) => call,
-            Err(end) => {
-                slot.finish(end.attempt_outcome());
-                return end;
+            Err(outcome) => {
+                slot.finish(outcome.attempt_outcome());
+                return outcome;
             }
         };
         if self.is_not_run(&call.head) {
             let cause = format!("not run, status {}", call.head.status);
-            self.discard(call, &slot).await;
+            self.discard_body(call, &slot).await;
             slot.finish(AttemptOutcome::Rejected);
             return SendOutcome::NotRun(cause);
         }
         let status = call.head.status;
-        let end = match self.routed.kind.is_stream() && status == 200 {
+        let outcome = match self.routed.kind.is_stream() && status == 200 {
             true => self.relay_stream(&mut call, &mut slot).await,
             false => match self.collect(call, &mut slot).await {
-                Ok((whole, body)) => {
-                    call = whole;
+                Ok((complete, body)) => {
+                    call = complete;
                     self.deliver_collected(&call.head, body).await
                 }
-                Err(end) => {
-                    slot.finish(end.attempt_outcome());
-                    return end;
+                Err(outcome) => {
+                    slot.finish(outcome.attempt_outcome());
+                    return outcome;
                 }
             },
         };
-        if let Some((link, head)) = call.into_reusable() {
-            self.state.connections.put(&slot.target().name, link, &head);
+        if let Some((connection, head)) = call.into_reusable() {
+            self.state
+                .connections
+                .put(&slot.target().name, connection, &head);
         }
-        slot.finish(end.attempt_outcome());
-        end
+        slot.finish(outcome.attempt_outcome());
+        outcome
     }
 
-    /// Writes the request and reads the answer's head.
+    /// Writes the request and reads the head of the response.
     async fn call(
         &mut self,
-        link: TargetConnection,
+        connection: TargetConnection,
         bytes: &[u8],
         slot: &mut SlotGuard,
     ) -> Result<TargetCall, SendOutcome> {
@@ -90,19 +93,19 @@
             request: &routed.id,
             method: &routed.request.message.method,
         };
-        let limit = self.head_timeout_for();
-        let sent = async {
-            match timeout(limit, TargetCall::send(link, bytes, identity)).await {
+        let limit = self.head_timeout();
+        let exchange = async {
+            match timeout(limit, TargetCall::send(connection, bytes, identity)).await {
                 Ok(Ok(call)) => Ok(call),
                 Ok(Err(error)) => Err(SendOutcome::Lost(error.into())),
                 Err(_) if boot_now() + MIN_TIME_LEFT >= routed.deadline => {
-                    Err(SendOutcome::TimeOver)
+                    Err(SendOutcome::DeadlineExceeded)
                 }
                 Err(_) => Err(SendOutcome::Lost(LossCause::Silent)),
             }
         };
-        let called = cancel_on_disconnect(self.caller, routed.kind, sent).await;
-        if let Err(SendOutcome::Lost(cause)) = &called
+        let sent = cancel_on_disconnect(self.caller, routed.kind, exchange).await;
+        if let Err(SendOutcome::Lost(cause)) = &sent
             && *cause != LossCause::Silent
         {
             let state = Arc::clone(self.state);
@@ -113,23 +116,24 @@
                 routed.id.clone(),
             ));
         }
-        if let Ok(call) = &called {
+        if let Ok(call) = &sent {
             self.record_limit(&call.head, slot);
             if !routed.kind.is_stream() {
                 slot.record_event();
             }
         }
-        called
+        sent
     }
 
-    /// Notes the limit that an answer names. Only a success without one says that there is
-    /// none: a failure may come from something before the target's own code.
+    /// Records the request limit that a response declares. Only a successful response
+    /// without one shows that there is no limit: an error may come from an intermediary
+    /// in front of the target.
     fn record_limit(&self, head: &AnswerMessage, slot: &SlotGuard) {
-        let named = head.headers.text(&self.state.header_names.request_limit);
-        let per_second = named.and_then(|text| text.trim().parse().ok());
+        let header = head.headers.text(&self.state.header_names.request_limit);
+        let per_second = header.and_then(|text| text.trim().parse().ok());
         let per_second = per_second.filter(|limit: &f64| limit.is_finite() && *limit >= 0.0);
-        let says_none = named.is_none() && (200..300).contains(&head.status);
-        if (per_second.is_some() || says_none) && slot.record_limit(per_second) {
+        let is_unlimited = header.is_none() && (200..300).contains(&head.status);
+        if (per_second.is_some() || is_unlimited) && slot.record_limit(per_second) {
             self.state.log.write(&DecisionLine::TargetLimited {
                 target: slot.target().name.clone(),
                 per_second,
@@ -138,24 +142,26 @@
         }
     }
 
-    /// Returns how long the answer's head is waited for.
-    fn head_timeout_for(&self) -> Duration {
+    /// Returns the time limit for the head of the response.
+    fn head_timeout(&self) -> Duration {
         let routed = self.routed;
         let left = routed.deadline.saturating_sub(boot_now());
-        let again = self.sends < routed.max_attempts;
+        let can_repeat = self.sends < routed.max_attempts;
         match routed.kind {
-            CallKind::Idempotent if again => left.min(routed.objective * REPEAT_AFTER_OBJECTIVES),
-            CallKind::ResumableStream if again => left.min(MAX_RESUMABLE_SILENCE),
+            CallKind::Idempotent if can_repeat => {
+                left.min(routed.objective * REPEAT_AFTER_OBJECTIVES)
+            }
+            CallKind::ResumableStream if can_repeat => left.min(MAX_RESUMABLE_SILENCE),
             _ => left,
         }
     }
 
     async fn relay_stream(&mut self, call: &mut TargetCall, slot: &mut SlotGuard) -> SendOutcome {
-        let again = self.sends < self.routed.max_attempts;
+        let can_repeat = self.sends < self.routed.max_attempts;
         let bounds = RelayLimits {
             deadline: self.routed.deadline,
-            silence: match self.routed.kind {
-                CallKind::ResumableStream if again => Some(MAX_RESUMABLE_SILENCE),
+            max_silence: match self.routed.kind {
+                CallKind::ResumableStream if can_repeat => Some(MAX_RESUMABLE_SILENCE),
                 _ => None,
             },
         };
@@ -172,14 +178,14 @@
             .progress
             .relay(caller, request, call, slot, bounds, can_resume);
         match relayed.await {
-            RelayOutcome::Whole => SendOutcome::Done { status: 200 },
-            RelayOutcome::CallerGone => SendOutcome::CallerGone,
-            RelayOutcome::TimeOver => SendOutcome::TimeOver,
+            RelayOutcome::Complete => SendOutcome::Delivered { status: 200 },
+            RelayOutcome::CallerDisconnected => SendOutcome::CallerDisconnected,
+            RelayOutcome::DeadlineExceeded => SendOutcome::DeadlineExceeded,
             RelayOutcome::TargetLost(cause) => SendOutcome::Lost(cause),
         }
     }
 
-    /// Reads the whole body.
+    /// Reads the complete body.
     async fn collect(
         &mut self,
         mut call: TargetCall,
@@ -190,7 +196,7 @@
             match timeout(left, collect_body(&mut call)).await {
                 Ok(Ok(body)) => Ok(body),
                 Ok(Err(error)) => Err(SendOutcome::Lost(error.into())),
-                Err(_) => Err(SendOutcome::TimeOver),
+                Err(_) => Err(SendOutcome::DeadlineExceeded),
             }
         };
         let body = cancel_on_disconnect(self.caller, self.routed.kind, collected).await?;
@@ -198,19 +204,20 @@
         Ok((call, body))
     }
 
-    /// Passes a whole answer on, or keeps a failure that another target may mend.
+    /// Forwards a buffered response, or keeps an error response because another target
+    /// may succeed.
     async fn deliver_collected(&mut self, head: &AnswerMessage, body: Vec<u8>) -> SendOutcome {
-        // 429, 503, 408 and 421 tell the caller that nothing ran. A target that
-        // doesn't say so may have run it.
+        // Statuses 429, 503, 408 and 421 tell the caller that nothing ran. Without the
+        // target's confirmation it may have run the request.
         if matches!(head.status, 408 | 421 | 429 | 503) {
-            return SendOutcome::Lost(LossCause::Unproven(head.status));
+            return SendOutcome::Lost(LossCause::UnconfirmedStatus(head.status));
         }
-        if self.progress.began {
-            // The rest of a stream can't be a failure with a status.
-            return SendOutcome::Lost(LossCause::NotTheRest(head.status));
+        if self.progress.has_started {
+            // A stream can't be continued with an error response.
+            return SendOutcome::Lost(LossCause::NotResumed(head.status));
         }
         if head.status >= 500 {
-            return SendOutcome::Failure {
+            return SendOutcome::TargetFailure {
                 head: head.clone(),
                 body,
             };
@@ -218,22 +225,24 @@
         self.write_response(head, &body).await
     }
 
-    /// Tells whether the target says that it did not run the request.
+    /// Returns whether the target confirms that it did not run the request.
     fn is_not_run(&self, head: &AnswerMessage) -> bool {
         head.status == 421 || head.headers.contains(&self.state.header_names.not_run)
     }
 
-    /// Reads a refusal to its end, so that the connection can be kept.
-    async fn discard(&self, mut call: TargetCall, slot: &SlotGuard) {
+    /// Reads the rest of a refusal so that the connection can be reused.
+    async fn discard_body(&self, mut call: TargetCall, slot: &SlotGuard) {
         let collected = timeout(DISCARD_TIMEOUT, collect_body(&mut call)).await;
         if matches!(collected, Ok(Ok(_)))
-            && let Some((link, head)) = call.into_reusable()
+            && let Some((connection, head)) = call.into_reusable()
         {
-            self.state.connections.put(&slot.target().name, link, &head);
+            self.state
+                .connections
+                .put(&slot.target().name, connection, &head);
         }
     }
 
-    /// Returns the request as this target gets it.
+    /// Returns the request as it is sent to this target.
     fn request_bytes(&self, slot: &SlotGuard) -> Vec<u8> {
         let routed = self.routed;
         let header_names = &self.state.header_names;
@@ -254,19 +263,19 @@
     }
 }
 
-/// Goes on with `work` until the caller leaves. What may run once may run by now, and is
-/// left alone if its caller leaves.
+/// Runs `operation` until the caller disconnects. A non-idempotent request may already be
+/// running at the target, so it is left to finish.
 async fn cancel_on_disconnect<T>(
     caller: &mut CallerConnection,
     kind: CallKind,
-    work: impl Future<Output = Result<T, SendOutcome>>,
+    operation: impl Future<Output = Result<T, SendOutcome>>,
 ) -> Result<T, SendOutcome> {
     if kind == CallKind::NonIdempotent {
-        return work.await;
+        return operation.await;
     }
-    let gone = async {
+    let disconnected = async {
         caller.disconnected().await;
-        Err(SendOutcome::CallerGone)
+        Err(SendOutcome::CallerDisconnected)
     };
-    or(work, gone).await
+    or(operation, disconnected).await
 }
