--- a/src/edge/caller_session.rs
+++ b/src/edge/caller_session.rs
@@ -77,7 +77,7 @@
             return refuse(state, caller, report).await;
         }
     };
-    state.note_request(&routed.pool);
+    state.record_request(&routed.pool);
     let mut run = RequestExecution::new(state, caller, &routed);
     let end = run.serve().await;
     let sends = run.sends();
--- a/src/edge/edge_state.rs
+++ b/src/edge/edge_state.rs
@@ -74,7 +74,7 @@
     deadlines: Mutex<DeadlineHistory>,
     /// Slots granted to the hosts that report to this one.
     slot_grants: Mutex<SlotGrants>,
-    quota_ledger: Mutex<QuotaLimiter>,
+    quota_limiter: Mutex<QuotaLimiter>,
     retry_budget: Mutex<RetryBudget>,
     /// Time of the stop signal in milliseconds on the boot clock; 0 before it.
     leaving_since: AtomicU64,
@@ -123,7 +123,7 @@
             log,
             metrics: EdgeMetrics::default(),
             request_metrics,
-            quota_ledger: Mutex::new(QuotaLimiter::new(tolerance, hosts, started)),
+            quota_limiter: Mutex::new(QuotaLimiter::new(tolerance, hosts, started)),
             retry_budget: Mutex::default(),
             leaving_since: AtomicU64::new(0),
             is_rejecting: AtomicBool::new(false),
@@ -191,8 +191,8 @@
         lock(&self.gossip_cursors)
     }
 
-    pub(crate) fn quota_ledger(&self) -> MutexGuard<'_, QuotaLimiter> {
-        lock(&self.quota_ledger)
+    pub(crate) fn quota_limiter(&self) -> MutexGuard<'_, QuotaLimiter> {
+        lock(&self.quota_limiter)
     }
 
     /// Reserves a repeat from the retry budget of all hosts; returns whether one was
@@ -211,7 +211,7 @@
     }
 
     /// Counts a request towards the retry budget of its pool.
-    pub(crate) fn note_request(&self, pool: &str) {
+    pub(crate) fn record_request(&self, pool: &str) {
         let bounds = self.settings.load().bounds.retry_bounds();
         lock(&self.retry_budget).record_request(pool, bounds, boot_now());
     }
--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -113,20 +113,20 @@
         }
         let role = Arc::new(self.compute_role(&current, now));
         self.set_role(Arc::clone(&role));
-        let mut quotas = self.quota_ledger();
-        quotas.set_grouped(role.layout.is_grouped(), now);
-        quotas.set_host_count(role.layout.host_count(), now);
+        let mut limiter = self.quota_limiter();
+        limiter.set_grouped(role.layout.is_grouped(), now);
+        limiter.set_host_count(role.layout.host_count(), now);
         let members = self.members();
         let total = members.size().max(1);
         let unseen = total - 1 - members.recently_seen_count(now).min(total - 1);
         let unseen_ratio = unseen as f64 / (total - 1).max(1) as f64;
-        quotas.set_unseen_hosts(|host| members.time_since_seen(host, now), unseen_ratio, now);
-        let turn = (!role.is_joining).then(|| members.own_position());
+        limiter.set_unseen_hosts(|host| members.time_since_seen(host, now), unseen_ratio, now);
+        let position = (!role.is_joining).then(|| members.own_position());
         drop(members);
-        drop(quotas);
+        drop(limiter);
         let mut table = self.queue.lock_table();
         table.set_group_share(role.layout.own_share());
-        table.set_host_position(turn);
+        table.set_host_position(position);
         role
     }
 
@@ -139,15 +139,15 @@
         };
         let mut members = self.members();
         members.remove_expired(now);
-        let places = members.layout_hosts(now);
+        let others = members.layout_hosts(now);
         drop(members);
-        let known = places.len() + 1;
+        let known = others.len() + 1;
         let (size, peers_grouped) = self.peer_fleet_size().get(now);
         let grouped = is_grouped(
             size.max(known),
             current.layout.is_grouped() || peers_grouped,
         );
-        let layout = GroupLayout::new(&own, places, grouped);
+        let layout = GroupLayout::new(&own, others, grouped);
         let age = now.saturating_sub(self.started);
         let awaits_first_report =
             size == 0 && !settings.seeds.is_empty() && age < FIRST_GOSSIP_TIMEOUT;
--- a/src/edge/gossip_builder.rs
+++ b/src/edge/gossip_builder.rs
@@ -20,17 +20,17 @@
 
 /// Number of unchanged hosts that each message lists, in rotation. Membership rarely
 /// changes, and a full list would be most of a message in a large fleet.
-const NOTES_PER_MESSAGE: usize = 2;
+const RECORDS_PER_MESSAGE: usize = 2;
 /// Limit on target changes per message. A message must reach all hosts of a group in time
 /// over a narrow link.
 const MAX_CHANGES_PER_MESSAGE: usize = 128;
 /// Number of hosts listed in a message to a peer that knows few.
-const BOOTSTRAP_NOTES: usize = 512;
+const BOOTSTRAP_RECORDS: usize = 512;
 /// Ratio of the known hosts that a peer must know to be sent only changes and a rotating
 /// few.
 const MIN_KNOWN_RATIO: f64 = 0.8;
-/// Number of messages over which the sightings of the whole fleet are spread.
-const SIGHTING_ROUNDS: usize = 8;
+/// Number of messages over which the heartbeats of the whole fleet are spread.
+const HEARTBEAT_ROUNDS: usize = 8;
 /// Age up to which a host counts as recently started.
 const STARTUP_AGE: Duration = Duration::from_secs(5);
 /// Age of the changes that are sent to a peer without a previous exchange.
@@ -64,9 +64,9 @@
 pub(crate) struct GossipCursors {
     loads: Vec<TargetLoad>,
     version: LoadVersion,
-    note_offset: usize,
-    /// Where the next list of sightings starts, for each peer.
-    sighting_offsets: SortedMap<HostName, usize>,
+    record_offset: usize,
+    /// Where the next list of heartbeats starts, for each peer.
+    heartbeat_offsets: SortedMap<HostName, usize>,
 }
 
 impl GossipCursors {
@@ -79,15 +79,15 @@
         self.version
     }
 
-    fn next_note_offset(&mut self, count: usize) -> usize {
-        let offset = self.note_offset;
-        self.note_offset = offset.wrapping_add(count);
+    fn next_record_offset(&mut self, count: usize) -> usize {
+        let offset = self.record_offset;
+        self.record_offset = offset.wrapping_add(count);
         offset
     }
 
-    fn next_sighting_offset(&mut self, receiver: &str, count: usize) -> usize {
+    fn next_heartbeat_offset(&mut self, receiver: &str, count: usize) -> usize {
         let next = self
-            .sighting_offsets
+            .heartbeat_offsets
             .get_or_insert_with(receiver.to_owned(), || 0);
         let offset = *next;
         *next = offset.wrapping_add(count);
@@ -109,20 +109,20 @@
     ) -> (GossipMessage, LoadVersion) {
         let now = boot_now();
         let version = self.load_version();
-        let life = now.saturating_sub(self.started);
-        let is_new = options.is_new || is_starting_up(life);
+        let uptime = now.saturating_sub(self.started);
+        let is_new = options.is_new || is_starting_up(uptime);
         let since = options
             .since
             .unwrap_or(now.saturating_sub(DEFAULT_CHANGE_WINDOW));
         let (revision, catalog) = self.view.held_versions();
         let (usage, unresponsive) = self.usage_for(options, is_new, now);
         let message = GossipMessage {
-            own: self.own_note(),
-            uptime_ms: life.as_millis() as u64,
+            own: self.own_record(),
+            uptime_ms: uptime.as_millis() as u64,
             hosts: self.live_host_count() as u16,
             grouped: self.role().is_grouped_member(),
-            members: self.select_notes(options, since, now),
-            heartbeats: self.select_sightings(options, now),
+            members: self.select_records(options, since, now),
+            heartbeats: self.select_heartbeats(options, now),
             revision,
             complete_revision: self.view.revision(),
             catalog,
@@ -172,7 +172,7 @@
         grants.grant(host, pools, now)
     }
 
-    fn own_note(&self) -> MemberRecord {
+    fn own_record(&self) -> MemberRecord {
         let settings = self.settings.load();
         MemberRecord {
             host: settings.host.clone(),
@@ -191,12 +191,12 @@
         all: bool,
         now: Duration,
     ) -> (Vec<AccountUsage>, UnresponsiveHosts) {
-        let mut ledger = self.quota_ledger();
+        let mut limiter = self.quota_limiter();
         match options.scope {
             None => (Vec::new(), UnresponsiveHosts::default()),
-            Some(UsageScope::Host) => (ledger.own_usage(all, now), UnresponsiveHosts::default()),
-            Some(UsageScope::Group) => ledger.group_usage(all, now),
-            Some(UsageScope::Fleet) => ledger.fleet_usage(options.receiver, all, now),
+            Some(UsageScope::Host) => (limiter.own_usage(all, now), UnresponsiveHosts::default()),
+            Some(UsageScope::Group) => limiter.group_usage(all, now),
+            Some(UsageScope::Fleet) => limiter.fleet_usage(options.receiver, all, now),
         }
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// Returns the hosts that changed since the last exchange, and a rotating few others.
-    fn select_notes(
+    fn select_records(
         &self,
         options: MessageOptions<'_>,
         since: Duration,
@@ -219,32 +219,34 @@
         let members = self.members();
         let known = (members.live_count(now) + 1) as f64;
         if (options.peer_hosts as f64) < known * MIN_KNOWN_RATIO {
-            return members.records_from(0, BOOTSTRAP_NOTES, now);
+            return members.records_from(0, BOOTSTRAP_RECORDS, now);
         }
-        let offset = self.gossip_cursors().next_note_offset(NOTES_PER_MESSAGE);
-        let mut notes = members.records_from(offset, NOTES_PER_MESSAGE, now);
-        notes.extend(members.changed_records(since, now));
-        notes
+        let offset = self
+            .gossip_cursors()
+            .next_record_offset(RECORDS_PER_MESSAGE);
+        let mut records = members.records_from(offset, RECORDS_PER_MESSAGE, now);
+        records.extend(members.changed_records(since, now));
+        records
     }
 
-    /// Returns the sightings of the hosts that report to this one, or a rotating part of
-    /// all sightings.
-    fn select_sightings(&self, options: MessageOptions<'_>, now: Duration) -> Vec<HeartbeatAge> {
+    /// Returns the heartbeats of the hosts that report to this one, or a rotating part of
+    /// all heartbeats.
+    fn select_heartbeats(&self, options: MessageOptions<'_>, now: Duration) -> Vec<HeartbeatAge> {
         match options.scope {
             None | Some(UsageScope::Host) => Vec::new(),
-            Some(UsageScope::Group) => self.reporter_sightings(now),
+            Some(UsageScope::Group) => self.reporter_heartbeats(now),
             Some(UsageScope::Fleet) => {
                 let members = self.members();
-                let count = members.size().div_ceil(SIGHTING_ROUNDS);
+                let count = members.size().div_ceil(HEARTBEAT_ROUNDS);
                 let mut cursors = self.gossip_cursors();
-                let offset = cursors.next_sighting_offset(options.receiver, count);
+                let offset = cursors.next_heartbeat_offset(options.receiver, count);
                 members.heartbeats(offset, count, now)
             }
         }
     }
 
-    /// Returns sightings of this host and of those that report to it.
-    fn reporter_sightings(&self, now: Duration) -> Vec<HeartbeatAge> {
+    /// Returns heartbeats of this host and of those that report to it.
+    fn reporter_heartbeats(&self, now: Duration) -> Vec<HeartbeatAge> {
         let own = HeartbeatAge {
             host: hash_host(&self.settings.load().host),
             age_ms: 0,
--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -46,7 +46,7 @@
 /// slots depends on the demand of all members.
 const BUSY_REPORT_PERIOD: Duration = Duration::from_millis(100);
 /// Period of a member's reports to its leader while its loads don't change.
-const QUIET_REPORT_PERIOD: Duration = Duration::from_millis(400);
+const IDLE_REPORT_PERIOD: Duration = Duration::from_millis(400);
 /// Period at which leaders exchange the totals of their groups.
 const LEADER_PERIOD: Duration = Duration::from_millis(500);
 /// Time limit for a peer's reply.
@@ -115,11 +115,11 @@
             false => {
                 let candidates = role.layout.leader_candidates(role.layout.own_group());
                 let leader = candidates.into_iter().find(is_usable);
-                let busy = match self.state.has_waiting() {
+                let interval = match self.state.has_waiting() {
                     true => BUSY_REPORT_PERIOD,
                     false => GROUP_PERIOD,
                 };
-                let leader = leader.cloned().map(|host| leader_peer(host, busy));
+                let leader = leader.cloned().map(|host| leader_peer(host, interval));
                 leader.into_iter().collect()
             }
         }
@@ -164,8 +164,8 @@
             false => self.mesh_connections(now),
         };
         let members = self.state.members();
-        let turn = (now.as_millis() / DEAD_PROBE_PERIOD.as_millis()) as usize * DEAD_HOST_PROBES;
-        wanted.extend(members.dead_names(turn, DEAD_HOST_PROBES, now));
+        let offset = (now.as_millis() / DEAD_PROBE_PERIOD.as_millis()) as usize * DEAD_HOST_PROBES;
+        wanted.extend(members.dead_names(offset, DEAD_HOST_PROBES, now));
         wanted.extend(peers.iter().map(|peer| peer.host.clone()));
         wanted.retain(|host| *host != settings.host);
         wanted.sort();
@@ -288,7 +288,7 @@
         // it was.
         self.record_view_state(peer_view, started_at);
         if let Some(update) = update {
-            self.fetcher.take_update(*update, &peer.host);
+            self.fetcher.apply_update(*update, &peer.host);
         }
         self.fetcher.catch_up(&peer.host, peer_view).await;
         // The age is valid only for the versions that this host holds, which may be newer
@@ -359,8 +359,8 @@
 fn joining_peer(host: HostName) -> GossipPeer {
     GossipPeer {
         host,
-        active_interval: QUIET_REPORT_PERIOD,
-        idle_interval: QUIET_REPORT_PERIOD,
+        active_interval: IDLE_REPORT_PERIOD,
+        idle_interval: IDLE_REPORT_PERIOD,
         initiator: CallInitiator::Local,
         sends_loads: false,
     }
@@ -370,7 +370,7 @@
     GossipPeer {
         host,
         active_interval,
-        idle_interval: QUIET_REPORT_PERIOD,
+        idle_interval: IDLE_REPORT_PERIOD,
         initiator: CallInitiator::Local,
         sends_loads: true,
     }
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -91,12 +91,12 @@
         accounts: message.usage,
         unresponsive: message.unresponsive,
     };
-    let mut quotas = state.quota_ledger();
-    quotas.record_report(host.clone(), report, now);
+    let mut limiter = state.quota_limiter();
+    limiter.record_report(host.clone(), report, now);
     if message.own.leaving {
-        quotas.mark_departed(&host);
+        limiter.mark_departed(&host);
     }
-    drop(quotas);
+    drop(limiter);
     if let Some(loads) = message.loads {
         state
             .queue
@@ -111,11 +111,11 @@
     let now = boot_now();
     let mut members = state.members();
     members.apply_record(&message.own, now);
-    for note in &message.members {
-        members.apply_record(note, now);
+    for record in &message.members {
+        members.apply_record(record, now);
     }
-    for sighting in &message.heartbeats {
-        members.apply_heartbeat(*sighting, now);
+    for heartbeat in &message.heartbeats {
+        members.apply_heartbeat(*heartbeat, now);
     }
     drop(members);
     state.record_host_count(&message.own.host, usize::from(message.hosts));
@@ -141,5 +141,5 @@
 }
 
 fn host_hashes(heartbeats: &[HeartbeatAge]) -> Vec<u32> {
-    heartbeats.iter().map(|sighting| sighting.host).collect()
+    heartbeats.iter().map(|heartbeat| heartbeat.host).collect()
 }
--- a/src/edge/gossip_service.rs
+++ b/src/edge/gossip_service.rs
@@ -20,9 +20,9 @@
 use crate::peers::ReplySender;
 use crate::peers::pack_value;
 
-/// Size of the pieces of a package, in bytes. Small pieces let gossip messages pass in
+/// Size of the chunks of a package, in bytes. Small chunks let gossip messages pass in
 /// between.
-const PIECE_BYTES: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 /// Handles calls from peers.
 pub(crate) struct GossipService {
@@ -74,10 +74,10 @@
 }
 
 async fn send_package(package: Bytes, mut replies: ReplySender) -> Result<(), PeerError> {
-    for start in (0..package.len()).step_by(PIECE_BYTES) {
-        let end = package.len().min(start + PIECE_BYTES);
-        let piece = PeerReply::PackageChunk(package.slice(start..end));
-        replies.send(piece).await?;
+    for start in (0..package.len()).step_by(CHUNK_BYTES) {
+        let end = package.len().min(start + CHUNK_BYTES);
+        let chunk = PeerReply::PackageChunk(package.slice(start..end));
+        replies.send(chunk).await?;
     }
     replies.end()
 }
--- a/src/edge/quota_filter.rs
+++ b/src/edge/quota_filter.rs
@@ -41,7 +41,7 @@
         cost,
     };
     let verdict = state
-        .quota_ledger()
+        .quota_limiter()
         .try_consume(account, request, boot_now(), rand::random());
     match verdict {
         QuotaDecision::Admitted => Ok(()),
--- a/src/edge/route_filter.rs
+++ b/src/edge/route_filter.rs
@@ -136,9 +136,9 @@
         objective: route.objective,
         event_gap_objective: route.event_gap_objective,
         waited,
-        first_event_deadline: route.abandon_timeout.map_or(deadline, |patience| {
-            deadline.min(request.arrived + patience)
-        }),
+        first_event_deadline: route
+            .abandon_timeout
+            .map_or(deadline, |timeout| deadline.min(request.arrived + timeout)),
         pool: route.pool_for(rand::random()).clone(),
         series: state
             .request_metrics
@@ -212,8 +212,8 @@
         return None;
     }
     let (scheme, key) = headers.text("authorization")?.split_once(' ')?;
-    let known = scheme.eq_ignore_ascii_case(&state.header_names.key_scheme);
-    known.then(|| key.trim())
+    let is_known = scheme.eq_ignore_ascii_case(&state.header_names.key_scheme);
+    is_known.then(|| key.trim())
 }
 
 fn request_id(state: &EdgeState, request: &CallerRequest) -> Result<String, EdgeRefusal> {
@@ -226,11 +226,11 @@
 /// shorter.
 fn time_limit(state: &EdgeState, route: &ServiceRoute, request: &CallerRequest) -> Duration {
     let headers = &request.message.headers;
-    let asked = headers.number(&state.header_names.deadline_ms);
-    let asked = asked.map(Duration::from_millis);
-    let limit = match (asked, route.timeout) {
-        (Some(asked), Some(timeout)) => asked.min(timeout),
-        (asked, timeout) => asked.or(timeout).unwrap_or(DEFAULT_TIMEOUT),
+    let requested = headers.number(&state.header_names.deadline_ms);
+    let requested = requested.map(Duration::from_millis);
+    let limit = match (requested, route.timeout) {
+        (Some(requested), Some(timeout)) => requested.min(timeout),
+        (requested, timeout) => requested.or(timeout).unwrap_or(DEFAULT_TIMEOUT),
     };
     limit.min(DEFAULT_TIMEOUT * 10)
 }
@@ -257,7 +257,7 @@
             && !name.eq_ignore_ascii_case(&header_names.deadline_ms)
             && !reserved
                 .into_iter()
-                .any(|held| name.eq_ignore_ascii_case(held))
+                .any(|reserved| name.eq_ignore_ascii_case(reserved))
     });
     if !account.is_empty() {
         headers.push(&header_names.account, account);
--- a/src/edge/view_fetcher.rs
+++ b/src/edge/view_fetcher.rs
@@ -24,8 +24,8 @@
 use crate::peers::unpack_value;
 use crate::view::ViewUpdate;
 
-/// Time limit for each piece of a package.
-const PIECE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for each chunk of a package.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Versions and ages of a peer's view, by its own report.
 #[derive(Clone, Copy, Debug)]
@@ -68,31 +68,31 @@
 
     /// Fetches what this host lacks from a peer, unless a fetch is already in progress.
     /// The catalog is fetched first, because no request can be served without it.
-    pub(super) async fn catch_up(&self, peer: &HostName, mark: PeerViewState) {
+    pub(super) async fn catch_up(&self, peer: &HostName, peer_view: PeerViewState) {
         let (revision, catalog) = self.state.view.held_versions();
-        let is_behind = mark.catalog > catalog || mark.revision > revision;
+        let is_behind = peer_view.catalog > catalog || peer_view.revision > revision;
         if !is_behind || self.is_fetching.swap(true, Ordering::AcqRel) {
             return;
         }
         let mut fetched = Ok(());
-        if mark.catalog > catalog {
-            fetched = self.take_catalog(peer).await;
+        if peer_view.catalog > catalog {
+            fetched = self.fetch_catalog(peer).await;
         }
-        if fetched.is_ok() && mark.revision > self.state.view.held_versions().0 {
-            fetched = self.take_targets(peer).await;
+        if fetched.is_ok() && peer_view.revision > self.state.view.held_versions().0 {
+            fetched = self.fetch_targets(peer).await;
         }
         self.is_fetching.store(false, Ordering::Release);
         if let Err(error) = fetched {
             self.state.log.write(&DecisionLine::ViewFetchFailed {
                 peer: peer.clone(),
-                revision: mark.revision,
-                catalog: mark.catalog,
+                revision: peer_view.revision,
+                catalog: peer_view.catalog,
                 reason: error.to_string(),
             });
         }
     }
 
-    async fn take_catalog(&self, peer: &HostName) -> Result<(), PeerError> {
+    async fn fetch_catalog(&self, peer: &HostName) -> Result<(), PeerError> {
         let known = self.state.view.held_versions().1;
         let parts: Option<CatalogParts> = self.fetch(peer, PeerCall::Catalog { known }).await?;
         if parts.is_some() {
@@ -100,20 +100,20 @@
                 catalog: parts,
                 ..ViewUpdate::default()
             };
-            self.take_update(update, peer);
+            self.apply_update(update, peer);
         }
         Ok(())
     }
 
-    async fn take_targets(&self, peer: &HostName) -> Result<(), PeerError> {
+    async fn fetch_targets(&self, peer: &HostName) -> Result<(), PeerError> {
         if let Some(update) = self.fetch(peer, PeerCall::FleetView).await? {
-            self.take_update(update, peer);
+            self.apply_update(update, peer);
         }
         Ok(())
     }
 
     /// Applies an update from a peer and passes it on to others.
-    pub(super) fn take_update(&self, update: ViewUpdate, peer: &HostName) {
+    pub(super) fn apply_update(&self, update: ViewUpdate, peer: &HostName) {
         let change = self.state.view.apply_peer_view(update, boot_now());
         if !change.is_empty() {
             self.state.gossip_schedule().expedite_all();
@@ -128,13 +128,13 @@
         call: PeerCall,
     ) -> Result<Option<T>, PeerError> {
         let call = self.mesh.open_call(peer, call);
-        let mut pieces = timeout(PIECE_TIMEOUT, call).await??;
+        let mut chunks = timeout(CHUNK_TIMEOUT, call).await??;
         let mut package = Vec::new();
-        while let Some(reply) = timeout(PIECE_TIMEOUT, pieces.next()).await?? {
-            let PeerReply::PackageChunk(piece) = reply else {
+        while let Some(reply) = timeout(CHUNK_TIMEOUT, chunks.next()).await?? {
+            let PeerReply::PackageChunk(chunk) = reply else {
                 return Err(PeerError::MalformedMessage);
             };
-            package.extend_from_slice(&piece);
+            package.extend_from_slice(&chunk);
             if package.len() > MAX_PACKAGE_BYTES {
                 return Err(PeerError::MessageTooLarge);
             }
--- a/src/edge/watch_controller.rs
+++ b/src/edge/watch_controller.rs
@@ -69,14 +69,14 @@
 pub(crate) async fn follow_store(state: Arc<EdgeState>, source: Arc<dyn FleetSource>) {
     let mut backoff = RetryBackoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     let mut needs_full_read = false;
-    let mut lost = false;
+    let mut is_lost = false;
     loop {
         let access = state.store_access();
         if !may_read_store(&state) || access == StoreAccess::Peers {
             task::sleep(ROLE_CHECK_PERIOD).await;
             continue;
         }
-        let begun = boot_now();
+        let started_at = boot_now();
         let after = match access {
             StoreAccess::Watch => state.view.complete_revision(),
             // The catalog is fetched from peers, which send it compressed.
@@ -89,15 +89,19 @@
         };
         match read {
             Ok(update) => {
-                if std::mem::take(&mut lost) {
+                if std::mem::take(&mut is_lost) {
                     let revision = update.revision;
                     state.log.write(&DecisionLine::StoreBack { revision });
                 }
                 needs_full_read = false;
                 backoff.reset();
                 let change = match update.full || access == StoreAccess::Watch {
-                    true => state.view.apply_store_response(update, begun, boot_now()),
-                    false => state.view.apply_store_targets(update, begun, boot_now()),
+                    true => state
+                        .view
+                        .apply_store_response(update, started_at, boot_now()),
+                    false => state
+                        .view
+                        .apply_store_targets(update, started_at, boot_now()),
                 };
                 let changed = !change.is_empty();
                 state.apply_change(change, None);
@@ -109,7 +113,7 @@
             }
             Err(SourceError::HistoryExpired) => needs_full_read = true,
             Err(error) => {
-                if !std::mem::replace(&mut lost, true) {
+                if !std::mem::replace(&mut is_lost, true) {
                     let reason = error.to_string();
                     state.log.write(&DecisionLine::StoreLost { reason });
                 }
@@ -151,12 +155,14 @@
         if state.evidence_age().is_some_and(|age| age < bound) {
             continue;
         }
-        let begun = boot_now();
+        let started_at = boot_now();
         count(&state.metrics.store_calls);
         match source.read_catalog().await {
             Ok(update) => {
                 backoff.reset();
-                let change = state.view.apply_store_response(update, begun, boot_now());
+                let change = state
+                    .view
+                    .apply_store_response(update, started_at, boot_now());
                 state.apply_change(change, None);
             }
             // The loss of the store is logged by the watch.
