--- a/src/edge/caller_session.rs
+++ b/src/edge/caller_session.rs
@@ -78,13 +78,13 @@
         }
     };
     state.record_request(&routed.pool);
-    let mut run = RequestExecution::new(state, caller, &routed);
-    let end = run.serve().await;
-    let sends = run.sends();
-    if !matches!(end, ExecutionOutcome::Answered) {
-        routed.record_end(run.outcome());
+    let mut execution = RequestExecution::new(state, caller, &routed);
+    let outcome = execution.serve().await;
+    let sends = execution.sends();
+    if !matches!(outcome, ExecutionOutcome::Answered) {
+        routed.record_end(execution.outcome());
     }
-    match end {
+    match outcome {
         ExecutionOutcome::Answered => {
             caller.reusable &= !state.is_leaving();
             true
--- a/src/edge/response_relay.rs
+++ b/src/edge/response_relay.rs
@@ -113,11 +113,11 @@
         request: &RequestMessage,
         call: &mut TargetCall,
         slot: &mut SlotGuard,
-        bounds: RelayLimits,
+        limits: RelayLimits,
         can_resume: impl Fn() -> bool,
     ) -> RelayOutcome {
         let mut received = Vec::new();
-        let left = bounds.deadline.saturating_sub(boot_now());
+        let left = limits.deadline.saturating_sub(boot_now());
         let mut deadline_timer = Box::pin(task::sleep(left));
         // The next target sends the buffered partial event again from its start.
         self.splitter.take_rest();
@@ -134,7 +134,7 @@
                     RelayEvent::DeadlineExceeded
                 };
                 let silent = async {
-                    match bounds.max_silence {
+                    match limits.max_silence {
                         Some(max_silence) => task::sleep(max_silence).await,
                         None => std::future::pending().await,
                     }
@@ -166,7 +166,7 @@
             slot.record_event();
             let output = self.frame(request, &call.head, caller.reusable, &events, is_complete);
             let written = timeout(
-                bounds.deadline.saturating_sub(boot_now()),
+                limits.deadline.saturating_sub(boot_now()),
                 write_bytes(&caller.stream, &output),
             );
             match written.await {
--- a/src/edge/target_send.rs
+++ b/src/edge/target_send.rs
@@ -158,7 +158,7 @@
 
     async fn relay_stream(&mut self, call: &mut TargetCall, slot: &mut SlotGuard) -> SendOutcome {
         let can_repeat = self.sends < self.routed.max_attempts;
-        let bounds = RelayLimits {
+        let limits = RelayLimits {
             deadline: self.routed.deadline,
             max_silence: match self.routed.kind {
                 CallKind::ResumableStream if can_repeat => Some(MAX_RESUMABLE_SILENCE),
@@ -176,7 +176,7 @@
         let caller = &mut *self.caller;
         let relayed = self
             .progress
-            .relay(caller, request, call, slot, bounds, can_resume);
+            .relay(caller, request, call, slot, limits, can_resume);
         match relayed.await {
             RelayOutcome::Complete => SendOutcome::Delivered { status: 200 },
             RelayOutcome::CallerDisconnected => SendOutcome::CallerDisconnected,
