--- /dev/null
+++ b/src/edge/gossip_builder.rs
@@ -0,0 +1,266 @@
+//! Builds the gossip messages that this host sends.
+
+use std::time::Duration;
+
+use super::edge_state::EdgeState;
+use crate::clock::boot_now;
+use crate::dispatch::PoolGrants;
+use crate::dispatch::TargetLoad;
+use crate::ids::HostName;
+use crate::members::GossipMessage;
+use crate::members::HeartbeatAge;
+use crate::members::LoadVersion;
+use crate::members::MemberRecord;
+use crate::members::hash_host;
+use crate::quota::AccountUsage;
+use crate::quota::UnresponsiveHosts;
+use crate::quota::UsageScope;
+use crate::sorted::SortedMap;
+use crate::view::ViewUpdate;
+
+/// Number of unchanged hosts that each message lists, in rotation. Membership rarely
+/// changes, and a full list would be most of a message in a large fleet.
+const RECORDS_PER_MESSAGE: usize = 2;
+/// Limit on target changes per message. A message must reach all hosts of a group in time
+/// over a narrow link.
+const MAX_CHANGES_PER_MESSAGE: usize = 128;
+/// Number of hosts listed in a message to a peer that knows few.
+const BOOTSTRAP_RECORDS: usize = 512;
+/// Ratio of the known hosts that a peer must know to be sent only changes and a rotating
+/// few.
+const MIN_KNOWN_RATIO: f64 = 0.8;
+/// Number of messages over which the heartbeats of the whole fleet are spread.
+const HEARTBEAT_ROUNDS: usize = 8;
+/// Age up to which a host counts as recently started.
+const STARTUP_AGE: Duration = Duration::from_secs(5);
+/// Age of the changes that are sent to a peer without a previous exchange.
+const DEFAULT_CHANGE_WINDOW: Duration = Duration::from_secs(6);
+
+/// Returns whether a host of this age is still starting and knows few others.
+pub(super) fn is_starting_up(age: Duration) -> bool {
+    age < STARTUP_AGE
+}
+
+/// The recipient of a message and what the message should contain.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct MessageOptions<'r> {
+    pub(crate) receiver: &'r str,
+    /// Whose usage and loads the message reports.
+    pub(crate) scope: Option<UsageScope>,
+    /// Whether the message reports loads.
+    pub(crate) with_loads: bool,
+    /// Whether the peer is new to this host or has just started, so that it needs
+    /// everything.
+    pub(crate) is_new: bool,
+    /// Number of hosts that the peer knows, by its last report.
+    pub(crate) peer_hosts: usize,
+    /// Start of the last successful exchange with the peer.
+    pub(crate) since: Option<Duration>,
+}
+
+/// The loads that were sent last, and the positions from which the next messages
+/// continue.
+#[derive(Debug, Default)]
+pub(crate) struct GossipCursors {
+    loads: Vec<TargetLoad>,
+    version: LoadVersion,
+    record_offset: usize,
+    /// Where the next list of heartbeats starts, for each peer.
+    heartbeat_offsets: SortedMap<HostName, usize>,
+}
+
+impl GossipCursors {
+    /// Sets the current loads and returns their version.
+    fn update_loads(&mut self, loads: &[TargetLoad]) -> LoadVersion {
+        if self.loads != loads {
+            self.loads = loads.to_vec();
+            self.version += 1;
+        }
+        self.version
+    }
+
+    fn next_record_offset(&mut self, count: usize) -> usize {
+        let offset = self.record_offset;
+        self.record_offset = offset.wrapping_add(count);
+        offset
+    }
+
+    fn next_heartbeat_offset(&mut self, receiver: &str, count: usize) -> usize {
+        let next = self
+            .heartbeat_offsets
+            .get_or_insert_with(receiver.to_owned(), || 0);
+        let offset = *next;
+        *next = offset.wrapping_add(count);
+        offset
+    }
+}
+
+impl EdgeState {
+    /// Returns the version of this host's loads at the targets.
+    pub(crate) fn load_version(&self) -> LoadVersion {
+        let loads = self.queue.lock_table().own_loads();
+        self.gossip_cursors().update_loads(&loads)
+    }
+
+    /// Builds a message for a peer; returns it with the version of this host's loads.
+    pub(crate) fn build_message(
+        &self,
+        options: MessageOptions<'_>,
+    ) -> (GossipMessage, LoadVersion) {
+        let now = boot_now();
+        let version = self.load_version();
+        let uptime = now.saturating_sub(self.started);
+        let is_new = options.is_new || is_starting_up(uptime);
+        let since = options
+            .since
+            .unwrap_or(now.saturating_sub(DEFAULT_CHANGE_WINDOW));
+        let (revision, catalog) = self.view.held_versions();
+        let (usage, unresponsive) = self.usage_for(options, is_new, now);
+        let message = GossipMessage {
+            own: self.own_record(),
+            uptime_ms: uptime.as_millis() as u64,
+            hosts: self.live_host_count() as u16,
+            grouped: self.role().is_grouped_member(),
+            members: self.select_records(options, since, now),
+            heartbeats: self.select_heartbeats(options, now),
+            revision,
+            complete_revision: self.view.revision(),
+            catalog,
+            catalog_revision: self.view.catalog_revision(),
+            evidence_age_ms: self.evidence_age().map(as_millis),
+            view_age_ms: self.view.view_age(now).map(as_millis),
+            update: None,
+            scope: options.scope,
+            loads: options
+                .with_loads
+                .then(|| self.loads_for(options))
+                .flatten(),
+            slot_demands: (options.scope == Some(UsageScope::Host))
+                .then(|| self.queue.lock_table().slot_demands()),
+            slot_grants: match options.scope {
+                Some(UsageScope::Fleet) => self.grant_slots(options.receiver, now),
+                _ => Vec::new(),
+            },
+            usage,
+            unresponsive,
+            limits: self.queue.lock_table().changed_limits(is_new, since, now),
+            poison: self.poison.changed_entries(is_new, since),
+        };
+        (message, version)
+    }
+
+    /// Returns the targets and evacuations that are missing from the view of the peer
+    /// that sent `message`. Returns `None` if there are too many for a message; the peer
+    /// then fetches the view separately.
+    pub(crate) fn update_for(&self, message: &GossipMessage) -> Option<Box<ViewUpdate>> {
+        if self.view.held_versions().0 <= message.revision {
+            return None;
+        }
+        let update = self.view.update_since(message.complete_revision)?;
+        let changes = update.targets.len() + update.removals.len();
+        (changes <= MAX_CHANGES_PER_MESSAGE).then(|| Box::new(update))
+    }
+
+    /// Grants a host of the group its part of the shard's slots.
+    pub(crate) fn grant_slots(&self, host: &str, now: Duration) -> Vec<PoolGrants> {
+        let settings = self.settings.load();
+        let mut grants = self.slot_grants();
+        let members = grants.hosts();
+        let table = self.queue.lock_table();
+        let pools = table.grant_targets(host, &settings.host, &members, now);
+        drop(table);
+        grants.grant(host, pools, now)
+    }
+
+    fn own_record(&self) -> MemberRecord {
+        let settings = self.settings.load();
+        MemberRecord {
+            host: settings.host.clone(),
+            availability_zone: settings.availability_zone.clone(),
+            address: settings.peer_address,
+            capacity: settings.capacity,
+            incarnation: self.incarnation,
+            age_ms: 0,
+            leaving: self.is_leaving(),
+        }
+    }
+
+    fn usage_for(
+        &self,
+        options: MessageOptions<'_>,
+        all: bool,
+        now: Duration,
+    ) -> (Vec<AccountUsage>, UnresponsiveHosts) {
+        let mut limiter = self.quota_limiter();
+        match options.scope {
+            None => (Vec::new(), UnresponsiveHosts::default()),
+            Some(UsageScope::Host) => (limiter.own_usage(all, now), UnresponsiveHosts::default()),
+            Some(UsageScope::Group) => limiter.group_usage(all, now),
+            Some(UsageScope::Fleet) => limiter.fleet_usage(options.receiver, all, now),
+        }
+    }
+
+    fn loads_for(&self, options: MessageOptions<'_>) -> Option<Vec<TargetLoad>> {
+        let table = self.queue.lock_table();
+        Some(match options.scope? {
+            UsageScope::Host => table.own_loads(),
+            UsageScope::Group => table.group_loads(),
+            UsageScope::Fleet => table.loads_excluding(options.receiver),
+        })
+    }
+
+    /// Returns the hosts that changed since the last exchange, and a rotating few others.
+    fn select_records(
+        &self,
+        options: MessageOptions<'_>,
+        since: Duration,
+        now: Duration,
+    ) -> Vec<MemberRecord> {
+        let members = self.members();
+        let known = (members.live_count(now) + 1) as f64;
+        if (options.peer_hosts as f64) < known * MIN_KNOWN_RATIO {
+            return members.records_from(0, BOOTSTRAP_RECORDS, now);
+        }
+        let offset = self
+            .gossip_cursors()
+            .next_record_offset(RECORDS_PER_MESSAGE);
+        let mut records = members.records_from(offset, RECORDS_PER_MESSAGE, now);
+        records.extend(members.changed_records(since, now));
+        records
+    }
+
+    /// Returns the heartbeats of the hosts that report to this one, or a rotating part of
+    /// all heartbeats.
+    fn select_heartbeats(&self, options: MessageOptions<'_>, now: Duration) -> Vec<HeartbeatAge> {
+        match options.scope {
+            None | Some(UsageScope::Host) => Vec::new(),
+            Some(UsageScope::Group) => self.reporter_heartbeats(now),
+            Some(UsageScope::Fleet) => {
+                let members = self.members();
+                let count = members.size().div_ceil(HEARTBEAT_ROUNDS);
+                let mut cursors = self.gossip_cursors();
+                let offset = cursors.next_heartbeat_offset(options.receiver, count);
+                members.heartbeats(offset, count, now)
+            }
+        }
+    }
+
+    /// Returns heartbeats of this host and of those that report to it.
+    fn reporter_heartbeats(&self, now: Duration) -> Vec<HeartbeatAge> {
+        let own = HeartbeatAge {
+            host: hash_host(&self.settings.load().host),
+            age_ms: 0,
+        };
+        let mut heartbeats = vec![own];
+        let reports = self.reporting_hosts();
+        heartbeats.extend(reports.iter().map(|(host, at)| HeartbeatAge {
+            host: hash_host(host),
+            age_ms: now.saturating_sub(*at).as_millis() as u32,
+        }));
+        heartbeats
+    }
+}
+
+fn as_millis(age: Duration) -> u64 {
+    age.as_millis() as u64
+}
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -1,11 +1,11 @@
-//! Takes the messages of peers in, and answers them.
+//! Merges the gossip messages of peers and builds the replies.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::edge_state::EdgeState;
-use super::local_digest::MessageRequest;
-use super::local_digest::is_young;
+use super::gossip_builder::MessageOptions;
+use super::gossip_builder::is_starting_up;
 use crate::clock::boot_now;
 use crate::logs::DecisionLine;
 use crate::members::GossipMessage;
@@ -13,52 +13,53 @@
 use crate::quota::UsageReport;
 use crate::quota::UsageScope;
 
-/// Takes a peer's message in, and returns this host's.
-pub(crate) fn answer_gossip(state: &Arc<EdgeState>, message: GossipMessage) -> GossipMessage {
+/// Merges a peer's message and returns the reply.
+pub(crate) fn handle_gossip(state: &Arc<EdgeState>, message: GossipMessage) -> GossipMessage {
     let peer = message.own.host.clone();
     let now = boot_now();
     let role = state.role();
-    let near = message.loads.is_some();
+    let with_loads = message.loads.is_some();
     let peer_hosts = usize::from(message.hosts);
-    let new = is_young(Duration::from_millis(message.uptime_ms)) || state.schedule().is_new(&peer);
-    let since = state.schedule().last_exchange(&peer);
+    let is_new = is_starting_up(Duration::from_millis(message.uptime_ms))
+        || state.gossip_schedule().is_new(&peer);
+    let since = state.gossip_schedule().last_exchange(&peer);
     let update = state.update_for(&message);
     let (revision, catalog) = state.view.held_versions();
-    let is_ahead = message.revision > revision || message.catalog > catalog;
-    let placed = role.is_placed() && message.grouped;
-    if placed && message.scope == Some(UsageScope::Host) && !message.own.leaving {
-        state.note_report(&peer, now);
+    let is_newer = message.revision > revision || message.catalog > catalog;
+    let both_grouped = role.is_grouped_member() && message.grouped;
+    if both_grouped && message.scope == Some(UsageScope::Host) && !message.own.leaving {
+        state.record_report(&peer, now);
     }
-    let leads = placed && !state.is_leaving() && state.acts_as_leader(&role);
+    let is_leader = both_grouped && !state.is_leaving() && state.acts_as_leader(&role);
     let is_mesh = !role.layout.is_grouped() && !message.grouped;
     let scope = match message.scope {
         Some(UsageScope::Host) if is_mesh => Some(UsageScope::Host),
-        Some(UsageScope::Host) if leads => Some(UsageScope::Fleet),
-        Some(UsageScope::Group) if leads => Some(UsageScope::Group),
+        Some(UsageScope::Host) if is_leader => Some(UsageScope::Fleet),
+        Some(UsageScope::Group) if is_leader => Some(UsageScope::Group),
         _ => None,
     };
     match scope {
         Some(_) => merge_message(state, message),
         None => merge_members(state, &message),
     }
-    let (mut own, version) = state.message_for(MessageRequest {
+    let (mut own, version) = state.build_message(MessageOptions {
         peer_hosts,
         receiver: &peer,
         scope,
-        near,
-        new,
+        with_loads,
+        is_new,
         since,
     });
     own.update = update;
-    let mut schedule = state.schedule();
+    let mut schedule = state.gossip_schedule();
     schedule.record_answered_call(&peer, version, now);
-    if is_ahead && scope == Some(UsageScope::Group) {
+    if is_newer && scope == Some(UsageScope::Group) {
         schedule.expedite(&peer);
     }
     own
 }
 
-/// Takes a peer's message in.
+/// Merges a peer's message, including usage and loads.
 pub(super) fn merge_message(state: &Arc<EdgeState>, message: GossipMessage) {
     merge_members(state, &message);
     let Some(scope) = message.scope else {
@@ -84,18 +85,18 @@
         },
         covered: match scope {
             UsageScope::Host => vec![crate::members::hash_host(&host)],
-            UsageScope::Group => hashes_of(&message.heartbeats),
+            UsageScope::Group => host_hashes(&message.heartbeats),
             UsageScope::Fleet => Vec::new(),
         },
         accounts: message.usage,
         unresponsive: message.unresponsive,
     };
-    let mut quotas = state.quotas();
-    quotas.record_report(host.clone(), report, now);
+    let mut limiter = state.quota_limiter();
+    limiter.record_report(host.clone(), report, now);
     if message.own.leaving {
-        quotas.mark_departed(&host);
+        limiter.mark_departed(&host);
     }
-    drop(quotas);
+    drop(limiter);
     if let Some(loads) = message.loads {
         state
             .queue
@@ -105,25 +106,25 @@
     }
 }
 
-/// Takes in what a peer knows of hosts, targets' limits and poison requests.
+/// Merges what a peer knows about hosts, target limits and poison requests.
 pub(super) fn merge_members(state: &EdgeState, message: &GossipMessage) {
     let now = boot_now();
     let mut members = state.members();
     members.apply_record(&message.own, now);
-    for note in &message.members {
-        members.apply_record(note, now);
+    for record in &message.members {
+        members.apply_record(record, now);
     }
-    for sighting in &message.heartbeats {
-        members.apply_heartbeat(*sighting, now);
+    for heartbeat in &message.heartbeats {
+        members.apply_heartbeat(*heartbeat, now);
     }
     drop(members);
-    state.note_known_by(&message.own.host, usize::from(message.hosts));
+    state.record_host_count(&message.own.host, usize::from(message.hosts));
     state.poison.merge(&message.poison);
     merge_limits(state, message);
-    state.note_fleet_size(usize::from(message.hosts), message.grouped, now);
+    state.record_fleet_size(usize::from(message.hosts), message.grouped, now);
 }
 
-/// Takes in the limits of targets that a peer knows of.
+/// Merges the target limits that a peer knows.
 fn merge_limits(state: &EdgeState, message: &GossipMessage) {
     if message.limits.is_empty() {
         return;
@@ -139,6 +140,6 @@
     }
 }
 
-fn hashes_of(heartbeats: &[HeartbeatAge]) -> Vec<u32> {
-    heartbeats.iter().map(|sighting| sighting.host).collect()
+fn host_hashes(heartbeats: &[HeartbeatAge]) -> Vec<u32> {
+    heartbeats.iter().map(|heartbeat| heartbeat.host).collect()
 }
--- /dev/null
+++ b/src/edge/request_execution.rs
@@ -0,0 +1,313 @@
+//! Executes one routed request: waits for a target, sends the request, and repeats it
+//! where that is allowed.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use futures_lite::future::or;
+
+use super::caller_connection::CallerConnection;
+use super::connection_pool::TargetConnection;
+use super::edge_metrics::count;
+use super::edge_refusal::EdgeRefusal;
+use super::edge_state::EdgeState;
+use super::response_relay::StreamProgress;
+use super::response_relay::write_collected;
+use super::route_filter::RoutedRequest;
+use super::send_outcome::SendOutcome;
+use crate::catalog::CallKind;
+use crate::clock::boot_now;
+use crate::dispatch::AttemptOutcome;
+use crate::dispatch::PlacementRequest;
+use crate::dispatch::SlotGuard;
+use crate::dispatch::WaitOutcome;
+use crate::errors::ErrorKind;
+use crate::errors::RequestOutcome;
+use crate::ids::TargetName;
+use crate::wire::AnswerMessage;
+
+/// Number of unreachable targets after which a request fails.
+const MAX_UNREACHABLE: usize = 4;
+/// Minimum remaining time of a request that is sent to a target. No response takes less,
+/// so the work would be wasted.
+pub(super) const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
+/// Share of the time until the caller gives up that a request may wait in the queue. The
+/// rest is left for the first event.
+const QUEUE_WAIT_RATIO: f64 = 0.75;
+/// Share of the remaining time that a request may wait in the queue when it can no longer
+/// meet its objective. Such requests run only on capacity that no other request needs,
+/// and their callers have already waited long.
+const LATE_QUEUE_WAIT_RATIO: f64 = 0.25;
+/// Minimum time that the rest of a stream may wait for a target. Callers give up on a
+/// stream that pauses for two seconds.
+const RESUME_WAIT: Duration = Duration::from_millis(1500);
+/// Retry delay for a stream that found no capacity, as a share of its remaining time. Its
+/// response will be late anyway, so the retry should come after the load peak and not
+/// during it. After a third of their time callers retry regardless of the delay they were
+/// given.
+const STREAM_RETRY_RATIO: f64 = 0.33;
+/// The same for other calls, which may still meet their objective.
+const CALL_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Random variation of the retry delays, as a share of them, so that callers don't retry
+/// together.
+const STREAM_RETRY_JITTER: f64 = 0.25;
+const CALL_RETRY_JITTER: f64 = 0.6;
+
+/// Result of a request, as far as the caller's connection is concerned.
+#[derive(Debug)]
+pub(crate) enum ExecutionOutcome {
+    /// A complete response was written; the connection may be reused.
+    Answered,
+    /// The host must answer the request itself.
+    Refused(EdgeRefusal),
+    /// The connection must be closed: the caller disconnected, or the response is
+    /// incomplete.
+    Closed,
+}
+
+/// A request in progress.
+pub(crate) struct RequestExecution<'a> {
+    pub(super) state: &'a Arc<EdgeState>,
+    pub(super) caller: &'a mut CallerConnection,
+    pub(super) routed: &'a RoutedRequest,
+    pub(super) progress: StreamProgress,
+    pub(super) sends: u32,
+    tried: Vec<TargetName>,
+    /// Whether a target may have run the request.
+    may_have_run: bool,
+    /// The last error response of a target, forwarded if no other target does better.
+    failure: Option<(AnswerMessage, Vec<u8>)>,
+}
+
+impl<'a> RequestExecution<'a> {
+    /// Creates the execution of a request that was not sent yet.
+    pub(crate) fn new(
+        state: &'a Arc<EdgeState>,
+        caller: &'a mut CallerConnection,
+        routed: &'a RoutedRequest,
+    ) -> Self {
+        Self {
+            state,
+            caller,
+            routed,
+            progress: StreamProgress::new(routed.request.arrived, Arc::clone(&routed.series)),
+            sends: 0,
+            tried: Vec::new(),
+            may_have_run: false,
+            failure: None,
+        }
+    }
+
+    /// Returns how often the request was sent.
+    pub(crate) const fn sends(&self) -> u32 {
+        self.sends
+    }
+
+    /// Returns what is known about a request that got no response from a target.
+    pub(crate) const fn outcome(&self) -> RequestOutcome {
+        match self.may_have_run {
+            true => RequestOutcome::Unknown,
+            false => RequestOutcome::NotRun,
+        }
+    }
+
+    /// Executes the request.
+    pub(crate) async fn serve(&mut self) -> ExecutionOutcome {
+        let mut unreachable = 0;
+        loop {
+            let slot = match self.wait_for_slot().await {
+                Ok(slot) => slot,
+                Err(outcome) => return outcome,
+            };
+            let Some(connection) = self.connect(&slot).await else {
+                let target = slot.target().name.clone();
+                self.report_failure(&target, "unreachable", true);
+                self.tried.push(target);
+                slot.finish(AttemptOutcome::Unreachable);
+                unreachable += 1;
+                if unreachable >= MAX_UNREACHABLE {
+                    return self.fail(ErrorKind::TargetUnreachable).await;
+                }
+                continue;
+            };
+            if let Some(outcome) = self.send_once(slot, connection).await {
+                return outcome;
+            }
+        }
+    }
+
+    /// Waits for a free slot at a target, or returns how the request ends.
+    async fn wait_for_slot(&mut self) -> Result<SlotGuard, ExecutionOutcome> {
+        let routed = self.routed;
+        let now = boot_now();
+        let left = routed.deadline.saturating_sub(now);
+        if left <= MIN_TIME_LEFT {
+            return Err(self.fail(ErrorKind::DeadlinePassed).await);
+        }
+        let placement = self.placement();
+        let max_wait = self.max_queue_wait(left);
+        let queue = &self.state.queue;
+        let caller = &mut *self.caller;
+        let placed = async { Some(queue.wait_for_target(placement, max_wait).await) };
+        let disconnected = async {
+            caller.disconnected().await;
+            None
+        };
+        match or(placed, disconnected).await {
+            None => Err(ExecutionOutcome::Closed),
+            Some(WaitOutcome::Placed(slot)) => Ok(slot),
+            Some(WaitOutcome::Overloaded) => Err(self.fail(ErrorKind::Overloaded).await),
+            Some(WaitOutcome::NoTarget) => Err(self.fail(ErrorKind::NoTarget).await),
+            Some(WaitOutcome::TimedOut) => Err(self.fail(ErrorKind::Overloaded).await),
+        }
+    }
+
+    /// Returns the placement criteria of the request.
+    pub(super) fn placement(&self) -> PlacementRequest {
+        let routed = self.routed;
+        PlacementRequest {
+            pool: routed.pool.clone(),
+            priority: routed.priority,
+            objective_at: match self.progress.has_started {
+                true => boot_now() + RESUME_WAIT,
+                false => (routed.request.arrived + routed.objective).saturating_sub(routed.waited),
+            },
+            // The rest of a stream is not retried by the caller.
+            is_retry: !routed.waited.is_zero() || self.progress.has_started,
+            prompt_tokens: routed.usage.map_or(0, |usage| usage.prompt),
+            output_tokens: routed.usage.and_then(|usage| usage.expected_output),
+            event_gap_objective: routed.event_gap_objective,
+            deadline: routed.deadline,
+            tried: self.tried.clone(),
+        }
+    }
+
+    /// Returns how long the request may wait in the queue.
+    ///
+    /// A caller that is refused early can retry when capacity may be free again. One that
+    /// is kept waiting until it gives up leaves without any response.
+    fn max_queue_wait(&self, left: Duration) -> Duration {
+        let routed = self.routed;
+        let wait = routed
+            .first_event_deadline
+            .saturating_sub(routed.request.arrived);
+        let wait_end = routed.request.arrived + wait.mul_f64(QUEUE_WAIT_RATIO);
+        let wait = wait_end.saturating_sub(boot_now());
+        let wait = match (self.progress.has_started, routed.waited.is_zero()) {
+            (true, _) => wait.max(RESUME_WAIT),
+            (false, true) => wait,
+            (false, false) => wait.min(left.mul_f64(LATE_QUEUE_WAIT_RATIO)),
+        };
+        wait.min(left - MIN_TIME_LEFT)
+    }
+
+    async fn connect(&self, slot: &SlotGuard) -> Option<TargetConnection> {
+        let target = slot.target();
+        if let Some(connection) = self.state.connections.take(&target.name).await {
+            return Some(connection);
+        }
+        count(&self.state.metrics.connects);
+        TargetConnection::open(target.address).await.ok()
+    }
+
+    /// Sends the request once. Returns `None` if it should be sent to another target.
+    async fn send_once(
+        &mut self,
+        slot: SlotGuard,
+        connection: TargetConnection,
+    ) -> Option<ExecutionOutcome> {
+        let target = slot.target().name.clone();
+        self.sends += 1;
+        self.report_sent(&target);
+        let outcome = self.send(slot, connection).await;
+        self.tried.push(target.clone());
+        self.may_have_run |= !matches!(outcome, SendOutcome::NotRun(_));
+        let (cause, is_repeatable, kind) = match outcome {
+            SendOutcome::Delivered { status } => {
+                self.report_served(&target, status);
+                return Some(ExecutionOutcome::Answered);
+            }
+            SendOutcome::CallerDisconnected => return Some(ExecutionOutcome::Closed),
+            SendOutcome::DeadlineExceeded => return Some(self.fail(ErrorKind::TargetSilent).await),
+            SendOutcome::NotRun(cause) => (cause, true, ErrorKind::Overloaded),
+            SendOutcome::Lost(cause) => {
+                let is_repeatable = self.routed.kind.is_retryable();
+                (cause.to_string(), is_repeatable, ErrorKind::TargetLost)
+            }
+            SendOutcome::TargetFailure { head, body } => {
+                let cause = format!("status {}", head.status);
+                self.failure = Some((head, body));
+                let is_repeatable = self.routed.kind == CallKind::Idempotent;
+                (cause, is_repeatable, ErrorKind::TargetFault)
+            }
+        };
+        let repeat = is_repeatable && self.reserve_repeat();
+        self.report_failure(&target, &cause, repeat);
+        match repeat {
+            true => None,
+            false => Some(self.fail(kind).await),
+        }
+    }
+
+    /// Returns whether the request may be repeated, and charges the retry budget if so.
+    fn reserve_repeat(&self) -> bool {
+        let is_resumable = !self.progress.has_started || self.progress.last_id().is_some();
+        is_resumable
+            && self.sends < self.routed.max_attempts
+            && boot_now() + MIN_TIME_LEFT < self.routed.deadline
+            && self.state.try_retry(&self.routed.pool)
+    }
+
+    pub(super) async fn write_response(
+        &mut self,
+        head: &AnswerMessage,
+        body: &[u8],
+    ) -> SendOutcome {
+        // A complete response is still delivered after the deadline.
+        let left = self.routed.deadline.saturating_sub(boot_now());
+        let limit = left.max(Duration::from_secs(1));
+        match write_collected(self.caller, head, body, limit).await {
+            true => SendOutcome::Delivered {
+                status: head.status,
+            },
+            false => SendOutcome::CallerDisconnected,
+        }
+    }
+
+    /// Ends the request with an error, or with the last error response of a target.
+    async fn fail(&mut self, kind: ErrorKind) -> ExecutionOutcome {
+        if self.progress.has_started {
+            // Part of the response was written; only closing the connection shows that it
+            // is incomplete.
+            return ExecutionOutcome::Closed;
+        }
+        if let Some((head, body)) = self.failure.take() {
+            return match self.write_response(&head, &body).await {
+                SendOutcome::Delivered { status } => {
+                    let target = self.tried.last().cloned().unwrap_or_default();
+                    self.report_answered(&target, status, RequestOutcome::Unknown);
+                    ExecutionOutcome::Answered
+                }
+                _ => ExecutionOutcome::Closed,
+            };
+        }
+        let claims_not_run = kind.answer().status == 503;
+        match (claims_not_run, self.may_have_run) {
+            // Status 503 promises that nothing ran, but an earlier attempt may have.
+            (true, true) => ExecutionOutcome::Refused(ErrorKind::TargetLost.into()),
+            (true, false) => {
+                ExecutionOutcome::Refused(EdgeRefusal::after(kind, self.retry_delay()))
+            }
+            (false, _) => ExecutionOutcome::Refused(kind.into()),
+        }
+    }
+
+    fn retry_delay(&self) -> Duration {
+        let spread = rand::random::<f64>();
+        if !self.routed.kind.is_stream() {
+            return CALL_RETRY_DELAY.mul_f64(1.0 + CALL_RETRY_JITTER * spread);
+        }
+        let left = self.routed.deadline.saturating_sub(boot_now());
+        left.mul_f64(STREAM_RETRY_RATIO * (1.0 - STREAM_RETRY_JITTER * spread))
+    }
+}
--- a/src/edge/answer_writer.rs
+++ b/src/edge/response_writer.rs
@@ -1,4 +1,4 @@
-//! Writes answers towards a caller.
+//! Writes responses to callers.
 
 use std::io;
 use std::time::Duration;
@@ -11,25 +11,29 @@
 use crate::wire::MessageHeaders;
 use crate::wire::RequestMessage;
 
-/// How the body towards the caller is framed.
+/// Framing of the response body sent to the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum AnswerFraming {
-    /// By its length.
+pub(crate) enum ResponseFraming {
+    /// By `Content-Length`.
     Length(usize),
-    /// In chunks.
+    /// By chunked transfer coding.
     Chunked,
-    /// By the end of the connection, for HTTP/1.0.
+    /// By closing the connection, for HTTP/1.0.
     UntilClose,
 }
 
-/// Returns a target's head as the caller gets it.
-pub(crate) fn relayed_head(head: &AnswerMessage, framing: AnswerFraming, close: bool) -> Vec<u8> {
+/// Returns the head of a target's response as it is forwarded to the caller.
+pub(crate) fn forwarded_head(
+    head: &AnswerMessage,
+    framing: ResponseFraming,
+    close: bool,
+) -> Vec<u8> {
     let mut headers = head.headers.clone();
     headers.remove_hop_by_hop();
     head_bytes(head.status, &headers, framing, close)
 }
 
-/// Returns an answer of the host's own.
+/// Returns a response that the host generates itself.
 pub(crate) fn refusal_bytes(
     refusal: EdgeRefusal,
     echo: Option<(&str, &str)>,
@@ -48,7 +52,7 @@
     if let Some(retry_after) = refusal.retry_after {
         headers.push("Retry-After", seconds_text(retry_after));
     }
-    let framing = AnswerFraming::Length(body.len());
+    let framing = ResponseFraming::Length(body.len());
     let mut bytes = head_bytes(row.status, &headers, framing, close);
     bytes.extend_from_slice(body.as_bytes());
     bytes
@@ -58,56 +62,56 @@
 ///
 /// # Errors
 ///
-/// The caller is gone.
+/// The caller disconnected.
 pub(crate) async fn write_bytes(mut stream: &TcpStream, bytes: &[u8]) -> io::Result<()> {
     stream.write_all(bytes).await
 }
 
-/// Wraps a piece of a body as the framing asks.
-pub(crate) fn frame_piece(framing: AnswerFraming, piece: &[u8], output: &mut Vec<u8>) {
-    if piece.is_empty() {
+/// Appends a part of the body with the given framing.
+pub(crate) fn write_chunk(framing: ResponseFraming, chunk: &[u8], output: &mut Vec<u8>) {
+    if chunk.is_empty() {
         return;
     }
-    if framing == AnswerFraming::Chunked {
-        output.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
+    if framing == ResponseFraming::Chunked {
+        output.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
     }
-    output.extend_from_slice(piece);
-    if framing == AnswerFraming::Chunked {
+    output.extend_from_slice(chunk);
+    if framing == ResponseFraming::Chunked {
         output.extend_from_slice(b"\r\n");
     }
 }
 
-/// Adds the end of a whole body.
-pub(crate) fn frame_end(framing: AnswerFraming, output: &mut Vec<u8>) {
-    if framing == AnswerFraming::Chunked {
+/// Appends the end of a complete body.
+pub(crate) fn write_end(framing: ResponseFraming, output: &mut Vec<u8>) {
+    if framing == ResponseFraming::Chunked {
         output.extend_from_slice(b"0\r\n\r\n");
     }
 }
 
-/// Returns the framing of a stream towards the caller of `request`.
-pub(crate) const fn stream_framing(request: &RequestMessage) -> AnswerFraming {
+/// Returns the framing of a streamed response to `request`.
+pub(crate) const fn stream_framing(request: &RequestMessage) -> ResponseFraming {
     match request.is_http10 {
-        true => AnswerFraming::UntilClose,
-        false => AnswerFraming::Chunked,
+        true => ResponseFraming::UntilClose,
+        false => ResponseFraming::Chunked,
     }
 }
 
 fn head_bytes(
     status: u16,
     headers: &MessageHeaders,
-    framing: AnswerFraming,
+    framing: ResponseFraming,
     close: bool,
 ) -> Vec<u8> {
-    let mut bytes = format!("HTTP/1.1 {status} {}\r\n", reason(status)).into_bytes();
+    let mut bytes = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).into_bytes();
     headers.write_to(&mut bytes);
     match framing {
-        // These never have a body, and so no length.
-        AnswerFraming::Length(0) if matches!(status, 204 | 304) => {}
-        AnswerFraming::Length(length) => {
+        // Responses with these statuses have no body and so no length.
+        ResponseFraming::Length(0) if matches!(status, 204 | 304) => {}
+        ResponseFraming::Length(length) => {
             bytes.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes());
         }
-        AnswerFraming::Chunked => bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
-        AnswerFraming::UntilClose => {}
+        ResponseFraming::Chunked => bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
+        ResponseFraming::UntilClose => {}
     }
     if close {
         bytes.extend_from_slice(b"Connection: close\r\n");
@@ -116,7 +120,7 @@
     bytes
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     http::StatusCode::from_u16(status)
         .ok()
         .and_then(|status| status.canonical_reason())
