--- a/src/catalog/client_account.rs
+++ b/src/catalog/client_account.rs
@@ -25,7 +25,7 @@
     /// Tier of its requests, overriding the route's tier.
     pub tier: Option<TierRank>,
     /// Quota of the account; `None` for unlimited use.
-    pub allowance: Option<TokenRate>,
+    pub quota: Option<TokenRate>,
     /// Tokens charged for a request that does not state its token usage.
     pub plain_tokens: u64,
     /// Whether the quota counts tokens rather than requests.
--- a/src/edge/edge_settings.rs
+++ b/src/edge/edge_settings.rs
@@ -51,7 +51,7 @@
     pub(crate) retry_slack: f64,
     /// The window over which repeats are counted.
     pub(crate) retry_window: Duration,
-    /// How far all hosts together may exceed an account's allowance.
+    /// How far all hosts together may exceed an account's quota.
     pub(crate) quota_tolerance: QuotaTolerance,
 }
 
--- a/src/edge/quota_filter.rs
+++ b/src/edge/quota_filter.rs
@@ -1,4 +1,4 @@
-//! Charges requests to the allowances of their accounts.
+//! Charges requests to the quotas of their accounts.
 
 use super::edge_refusal::EdgeRefusal;
 use super::edge_state::EdgeState;
@@ -9,13 +9,13 @@
 use crate::quota::QuotaDecision;
 use crate::quota::QuotaRequest;
 
-/// Retry delay after an account has exceeded its allowance, as ratios of the route's
+/// Retry delay after an account has exceeded its quota, as ratios of the route's
 /// latency objective: short enough for a retry to meet the objective, and with jitter so
 /// that requests refused together are not retried together.
 const MIN_RETRY_RATIO: f64 = 0.2;
 const RETRY_JITTER: f64 = 0.3;
 
-/// Charges a request to its account's allowance.
+/// Charges a request to its account's quota.
 ///
 /// # Errors
 ///
--- a/src/edge/tests/edge_fixture.rs
+++ b/src/edge/tests/edge_fixture.rs
@@ -338,7 +338,7 @@
             name: "acme".into(),
             keys: keys.iter().map(ToString::to_string).collect(),
             tier: None,
-            allowance: None,
+            quota: None,
             plain_tokens: 1,
             counts_tokens: false,
         }],
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -175,7 +175,7 @@
         now: Duration,
         random: f64,
     ) -> QuotaDecision {
-        let Some(quota) = account.allowance else {
+        let Some(quota) = account.quota else {
             return QuotaDecision::Admitted;
         };
         let window = self.tolerance.window;
--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -37,7 +37,7 @@
         name: "acme".into(),
         keys: Vec::new(),
         tier: None,
-        allowance: Some(TokenRate {
+        quota: Some(TokenRate {
             per_second: RATE,
             burst: 0.0,
         }),
--- a/tests/quota_limiter.rs
+++ b/tests/quota_limiter.rs
@@ -23,7 +23,7 @@
         name: "acme".into(),
         keys: Vec::new(),
         tier: None,
-        allowance: Some(TokenRate { per_second, burst }),
+        quota: Some(TokenRate { per_second, burst }),
         plain_tokens: 1,
         counts_tokens: true,
     }
@@ -153,8 +153,8 @@
 
     /// Checks that no window exceeds the account's limit.
     fn assert_within_limit(&self, account: &ClientAccount) {
-        let allowance = account.allowance.expect("a limit");
-        let limit = window_limit(allowance.per_second, allowance.burst);
+        let quota = account.quota.expect("a limit");
+        let limit = window_limit(quota.per_second, quota.burst);
         let mut first = 0;
         let mut sum = 0.0;
         for (at, _, cost) in &self.admitted {
