--- a/src/edge/watch_controller.rs
+++ b/src/edge/watch_controller.rs
@@ -194,7 +194,7 @@
 pub(crate) async fn expire_stale(state: Arc<EdgeState>) {
     loop {
         task::sleep(EXPIRY_PERIOD).await;
-        state.apply_change(state.view.remove_lapsed(boot_now()), None);
+        state.apply_change(state.view.remove_expired(boot_now()), None);
         state.connections.close_idle();
         state.queue.lock_table().expire_peer_loads(boot_now());
         state.queue.assign_waiting();
--- a/src/view/platform_view.rs
+++ b/src/view/platform_view.rs
@@ -185,7 +185,7 @@
     }
 
     /// Removes targets with expired registrations that were not renewed in time.
-    pub fn remove_lapsed(&mut self, now: Duration) -> ViewChange {
+    pub fn remove_expired(&mut self, now: Duration) -> ViewChange {
         let mut change = ViewChange::default();
         let overdue: Vec<TargetName> = self
             .expired
--- a/src/view/shared_view.rs
+++ b/src/view/shared_view.rs
@@ -113,8 +113,8 @@
     }
 
     /// Removes targets with expired registrations that were not renewed in time.
-    pub fn remove_lapsed(&self, now: Duration) -> ViewChange {
-        self.lock().view.remove_lapsed(now)
+    pub fn remove_expired(&self, now: Duration) -> ViewChange {
+        self.lock().view.remove_expired(now)
     }
 
     /// Returns the catalog in use.
--- a/tests/platform_view.rs
+++ b/tests/platform_view.rs
@@ -108,7 +108,7 @@
         ..ViewUpdate::default()
     };
     view.apply_store_response(registered, seconds(106), seconds(106));
-    let change = view.remove_lapsed(seconds(107));
+    let change = view.remove_expired(seconds(107));
 
     assert_eq!(during, 2);
     assert_eq!(change.removed, ["gone"]);
@@ -213,7 +213,7 @@
 
     second.apply_peer_view(first.full_update(), outage_end);
 
-    second.remove_lapsed(outage_end + seconds(2));
+    second.remove_expired(outage_end + seconds(2));
     let names: Vec<String> = second.targets().into_iter().map(|held| held.name).collect();
     assert_eq!(names, ["other"]);
 }
