--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -28,7 +28,7 @@
     let is_newer = message.revision > revision || message.catalog > catalog;
     let both_grouped = role.is_grouped_member() && message.grouped;
     if both_grouped && message.scope == Some(UsageScope::Host) && !message.own.leaving {
-        state.record_report(&peer, now);
+        state.apply_report(&peer, now);
     }
     let is_leader = both_grouped && !state.is_leaving() && state.acts_as_leader(&role);
     let is_mesh = !role.layout.is_grouped() && !message.grouped;
@@ -92,7 +92,7 @@
         unresponsive: message.unresponsive,
     };
     let mut limiter = state.quota_limiter();
-    limiter.record_report(host.clone(), report, now);
+    limiter.apply_report(host.clone(), report, now);
     if message.own.leaving {
         limiter.mark_departed(&host);
     }
--- a/src/quota/quota_limiter.rs
+++ b/src/quota/quota_limiter.rs
@@ -274,7 +274,7 @@
 
     /// Applies the usage that a host reported about itself; `uptime` is the time since it
     /// started.
-    pub fn record_host_usage(
+    pub fn apply_host_usage(
         &mut self,
         host: HostName,
         incarnation: IncarnationId,
@@ -282,11 +282,11 @@
         usage: Vec<AccountUsage>,
         now: Duration,
     ) {
-        self.record_report(host, UsageReport::of_host(incarnation, uptime, usage), now);
+        self.apply_report(host, UsageReport::of_host(incarnation, uptime, usage), now);
     }
 
     /// Applies a peer's report.
-    pub fn record_report(&mut self, host: HostName, report: UsageReport, now: Duration) {
+    pub fn apply_report(&mut self, host: HostName, report: UsageReport, now: Duration) {
         let UsageReport {
             incarnation,
             uptime,
--- a/tests/quota_groups.rs
+++ b/tests/quota_groups.rs
@@ -184,7 +184,7 @@
             accounts,
             unresponsive,
         };
-        self.limiters[to].record_report(name_of(from), report, now);
+        self.limiters[to].apply_report(name_of(from), report, now);
     }
 
     /// Returns the largest amount admitted in any window that ends at or after `from`.
--- a/tests/quota_limiter.rs
+++ b/tests/quota_limiter.rs
@@ -125,7 +125,7 @@
     /// Sends a host's report to another host.
     fn report(&mut self, from: usize, to: usize, uptime: Duration, now: Duration) {
         let usage = self.limiters[from].own_usage(false, now);
-        self.limiters[to].record_host_usage(format!("e{from}"), 1, uptime, usage, now);
+        self.limiters[to].apply_host_usage(format!("e{from}"), 1, uptime, usage, now);
     }
 
     /// Sends the report of each host in a group to all others in it.
@@ -133,7 +133,7 @@
         for from in group {
             let usage: Vec<AccountUsage> = self.limiters[*from].own_usage(false, now);
             for to in group.iter().filter(|to| *to != from) {
-                self.limiters[*to].record_host_usage(
+                self.limiters[*to].apply_host_usage(
                     format!("e{from}"),
                     1,
                     uptime,
@@ -380,10 +380,10 @@
     let mut limiter = single_limiter(Duration::ZERO);
     let start = Duration::from_secs(20);
     limiter.try_consume(&account, urgent_request(10.0), start, 0.5);
-    limiter.record_host_usage("e2".into(), 1, LONG_UPTIME, usage_report(0.0), start);
+    limiter.apply_host_usage("e2".into(), 1, LONG_UPTIME, usage_report(0.0), start);
 
     for _ in 0..5 {
-        limiter.record_host_usage("e2".into(), 1, LONG_UPTIME, usage_report(500.0), start);
+        limiter.apply_host_usage("e2".into(), 1, LONG_UPTIME, usage_report(500.0), start);
         limiter.mark_departed("e2");
     }
 
@@ -455,7 +455,7 @@
 fn usage_during_a_partition_counts_at_the_time_of_use() {
     let account = account_with(1000.0, 1000.0);
     let mut limiter = single_limiter(Duration::ZERO);
-    limiter.record_host_usage(
+    limiter.apply_host_usage(
         "e2".into(),
         1,
         LONG_UPTIME,
@@ -464,7 +464,7 @@
     );
 
     let healed = Duration::from_secs(40);
-    limiter.record_host_usage("e2".into(), 1, LONG_UPTIME, usage_report(10_000.0), healed);
+    limiter.apply_host_usage("e2".into(), 1, LONG_UPTIME, usage_report(10_000.0), healed);
 
     let decision = limiter.try_consume(&account, urgent_request(100.0), healed, 0.999);
     assert_eq!(decision, QuotaDecision::Admitted);
@@ -480,7 +480,7 @@
     limiter.try_consume(&account, urgent_request(10.0), start, 0.5);
 
     let met = start + millis(800);
-    limiter.record_host_usage("e2".into(), 1, millis(900), usage_report(3000.0), met);
+    limiter.apply_host_usage("e2".into(), 1, millis(900), usage_report(3000.0), met);
 
     let decision = limiter.try_consume(&account, urgent_request(500.0), met, 0.5);
     assert_eq!(decision, QuotaDecision::Rejected);
