--- a/benches/policy_cost.rs
+++ b/benches/policy_cost.rs
@@ -50,7 +50,7 @@
         let work = 1_000_000 + u64::from(index);
         black_box(policy.arrive(now, work_item(work, &allowed)));
         black_box(policy.withdraw(now, work));
-        black_box(policy.ended(now, work, WorkOutcome::Finished));
+        black_box(policy.record_end(now, work, WorkOutcome::Finished));
     });
     println!(
         "{targets:3} targets, {queued:4} waiting: tick {tick:.1?}, digest {digest:.1?}, \
--- a/src/controllers/work_controller.rs
+++ b/src/controllers/work_controller.rs
@@ -141,7 +141,7 @@
 
     /// Passes a target's load report to the policy.
     pub(crate) fn report(&self, target: &TargetName, report: LoadReport) {
-        lock(&self.policy).report(boot_now(), target, report);
+        lock(&self.policy).apply_report(boot_now(), target, report);
     }
 
     /// Passes a peer's digest to the policy.
@@ -216,19 +216,19 @@
 
     /// Records that the first byte was sent to the target.
     pub(crate) fn started(&self) {
-        lock(&self.controller.policy).started(boot_now(), self.work);
+        lock(&self.controller.policy).record_start(boot_now(), self.work);
     }
 
     /// Records how many tokens have been received.
     pub(crate) fn progressed(&self, tokens: TokenCount) {
-        lock(&self.controller.policy).progressed(boot_now(), self.work, tokens);
+        lock(&self.controller.policy).record_progress(boot_now(), self.work, tokens);
     }
 
     /// Releases the slot unused; the work item waits for another placement.
     pub(crate) fn not_sent(&mut self) {
         self.stage = TicketStage::Waiting;
         self.controller
-            .decide(|policy| policy.ended(boot_now(), self.work, WorkOutcome::NotSent));
+            .decide(|policy| policy.record_end(boot_now(), self.work, WorkOutcome::NotSent));
     }
 
     /// Ends the work item.
@@ -247,7 +247,7 @@
             }
             TicketStage::Placed => {
                 self.controller
-                    .decide(|policy| policy.ended(boot_now(), work, end));
+                    .decide(|policy| policy.record_end(boot_now(), work, end));
             }
             TicketStage::Ended => (),
         }
@@ -258,7 +258,7 @@
     fn release_unread_placement(&self, end: WorkOutcome) {
         if let Ok(WorkPlacement::Target(_)) = self.placements.try_recv() {
             self.controller
-                .decide(|policy| policy.ended(boot_now(), self.work, end));
+                .decide(|policy| policy.record_end(boot_now(), self.work, end));
         }
     }
 }
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -134,14 +134,14 @@
     }
 
     /// Records that the target started the work.
-    pub fn started(&mut self, now: Duration, work: WorkId) {
+    pub fn record_start(&mut self, now: Duration, work: WorkId) {
         if let Some(running) = self.running.get_mut(&work) {
             running.progressed_at = now;
         }
     }
 
     /// Records how many tokens of the answer have arrived.
-    pub fn progressed(&mut self, now: Duration, work: WorkId, tokens_so_far: u32) {
+    pub fn record_progress(&mut self, now: Duration, work: WorkId, tokens_so_far: u32) {
         let Some(running) = self.running.get_mut(&work) else {
             return;
         };
@@ -177,7 +177,12 @@
     }
 
     /// Records the end of dispatched work and decides what takes its slot.
-    pub fn ended(&mut self, now: Duration, work: WorkId, end: WorkOutcome) -> Vec<PolicyAction> {
+    pub fn record_end(
+        &mut self,
+        now: Duration,
+        work: WorkId,
+        end: WorkOutcome,
+    ) -> Vec<PolicyAction> {
         let Some(ended) = self.running.remove(&work) else {
             return Vec::new();
         };
@@ -205,7 +210,7 @@
     }
 
     /// Applies a target's load report, which may be outdated.
-    pub fn report(&mut self, _now: Duration, target: &TargetName, report: LoadReport) {
+    pub fn apply_report(&mut self, _now: Duration, target: &TargetName, report: LoadReport) {
         if let Some(view) = self.targets.get_mut(target) {
             view.apply_report(report);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -50,7 +50,7 @@
 //! let first = policy.arrive(Duration::ZERO, item(1, 2));
 //! policy.arrive(Duration::ZERO, item(2, 2));
 //! policy.arrive(Duration::ZERO, item(3, 0));
-//! let next = policy.ended(Duration::from_secs(1), 1, WorkOutcome::Finished);
+//! let next = policy.record_end(Duration::from_secs(1), 1, WorkOutcome::Finished);
 //!
 //! assert!(matches!(first[..], [PolicyAction::Dispatch { work: 1, .. }]));
 //! assert!(matches!(next[..], [PolicyAction::Dispatch { work: 3, .. }]), "the upper tier goes first");
--- a/src/policy/policy_action.rs
+++ b/src/policy/policy_action.rs
@@ -11,7 +11,7 @@
 /// An action that the host must take at once on one piece of work.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PolicyAction {
-    /// Send the work to the target. Its slot stays taken until `ended`.
+    /// Send the work to the target. Its slot stays taken until `record_end`.
     Dispatch {
         /// The work.
         work: WorkId,
--- a/src/replay/baseline_policy.rs
+++ b/src/replay/baseline_policy.rs
@@ -52,7 +52,7 @@
         })
     }
 
-    pub(super) fn report(&mut self, target: &TargetName, report: LoadReport) {
+    pub(super) fn apply_report(&mut self, target: &TargetName, report: LoadReport) {
         self.reported_loads
             .insert(target.clone(), report.running + report.waiting);
     }
--- a/src/replay/first_policy.rs
+++ b/src/replay/first_policy.rs
@@ -114,14 +114,14 @@
     }
 
     /// Records that the target started the work.
-    pub(super) fn started(&mut self, now: Duration, work: WorkId) {
+    pub(super) fn record_start(&mut self, now: Duration, work: WorkId) {
         if let Some(running) = self.running.get_mut(&work) {
             running.last_progress = Some((now, 0));
         }
     }
 
     /// Records the number of tokens received so far, and updates the time per token.
-    pub(super) fn progressed(&mut self, now: Duration, work: WorkId, tokens_so_far: u32) {
+    pub(super) fn record_progress(&mut self, now: Duration, work: WorkId, tokens_so_far: u32) {
         let Some(running) = self.running.get_mut(&work) else {
             return;
         };
@@ -142,7 +142,7 @@
     }
 
     /// Records the end of dispatched work, and dispatches waiting work to the free slot.
-    pub(super) fn ended(
+    pub(super) fn record_end(
         &mut self,
         now: Duration,
         work: WorkId,
--- a/src/replay/replay_exchange.rs
+++ b/src/replay/replay_exchange.rs
@@ -76,7 +76,7 @@
         let targets = &self.trace.header.targets;
         for (target, report) in targets.iter().zip(reports) {
             for policy in &mut self.policies {
-                policy.report(self.now, &target.name, *report);
+                policy.apply_report(self.now, &target.name, *report);
             }
         }
     }
--- a/src/replay/replay_policy.rs
+++ b/src/replay/replay_policy.rs
@@ -98,31 +98,31 @@
         }
     }
 
-    pub(super) fn started(&mut self, now: Duration, work: WorkId) {
+    pub(super) fn record_start(&mut self, now: Duration, work: WorkId) {
         match self {
-            Self::Current(policy) => policy.started(now, work),
-            Self::First(policy) => policy.started(now, work),
+            Self::Current(policy) => policy.record_start(now, work),
+            Self::First(policy) => policy.record_start(now, work),
             Self::Baseline(_) => (),
         }
     }
 
-    pub(super) fn progressed(&mut self, now: Duration, work: WorkId, tokens: u32) {
+    pub(super) fn record_progress(&mut self, now: Duration, work: WorkId, tokens: u32) {
         match self {
-            Self::Current(policy) => policy.progressed(now, work, tokens),
-            Self::First(policy) => policy.progressed(now, work, tokens),
+            Self::Current(policy) => policy.record_progress(now, work, tokens),
+            Self::First(policy) => policy.record_progress(now, work, tokens),
             Self::Baseline(_) => (),
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn record_end(
         &mut self,
         now: Duration,
         work: WorkId,
         end: WorkOutcome,
     ) -> Vec<PolicyAction> {
         match self {
-            Self::Current(policy) => policy.ended(now, work, end),
-            Self::First(policy) => policy.ended(now, work, end),
+            Self::Current(policy) => policy.record_end(now, work, end),
+            Self::First(policy) => policy.record_end(now, work, end),
             Self::Baseline(_) => Vec::new(),
         }
     }
@@ -135,11 +135,11 @@
         }
     }
 
-    pub(super) fn report(&mut self, now: Duration, target: &TargetName, report: LoadReport) {
+    pub(super) fn apply_report(&mut self, now: Duration, target: &TargetName, report: LoadReport) {
         match self {
-            Self::Current(policy) => policy.report(now, target, report),
+            Self::Current(policy) => policy.apply_report(now, target, report),
             Self::First(_) => (),
-            Self::Baseline(policy) => policy.report(target, report),
+            Self::Baseline(policy) => policy.apply_report(target, report),
         }
     }
 
--- a/src/replay/replay_run.rs
+++ b/src/replay/replay_run.rs
@@ -289,7 +289,7 @@
             match event {
                 EngineEvent::Admitted(work) => {
                     let host = self.records[work as usize].host;
-                    self.policies[host].started(self.now, work);
+                    self.policies[host].record_start(self.now, work);
                 }
                 EngineEvent::Prefilled {
                     work,
@@ -313,14 +313,14 @@
         let record = &mut self.records[work as usize];
         record.first_token.get_or_insert(elapsed);
         let host = record.host;
-        self.policies[host].progressed(self.now, work, tokens);
+        self.policies[host].record_progress(self.now, work, tokens);
     }
 
     fn finish(&mut self, target: usize, work: WorkId) {
         self.remove_from_target(target, work);
         let host = self.records[work as usize].host;
         self.end_request(work, RecordOutcome::Useful);
-        let actions = self.policies[host].ended(self.now, work, WorkOutcome::Finished);
+        let actions = self.policies[host].record_end(self.now, work, WorkOutcome::Finished);
         self.apply_actions(host, actions);
     }
 
@@ -344,7 +344,7 @@
             self.events
                 .push(self.now + time, ReplayEvent::CallEnd(target, work));
             let host = self.records[work as usize].host;
-            self.policies[host].started(self.now, work);
+            self.policies[host].record_start(self.now, work);
         }
     }
 
@@ -367,7 +367,7 @@
                 self.end_request(work, RecordOutcome::Late);
                 self.remove_from_target(target, work);
                 self.start_calls(target);
-                self.policies[host].ended(self.now, work, WorkOutcome::Cancelled)
+                self.policies[host].record_end(self.now, work, WorkOutcome::Cancelled)
             }
             None => {
                 self.end_request(work, RecordOutcome::Refused);
--- a/tests/policy_first.rs
+++ b/tests/policy_first.rs
@@ -63,7 +63,7 @@
     policy.arrive(Duration::ZERO, item(2, 1));
     policy.arrive(Duration::ZERO, item(3, 0));
 
-    let actions = policy.ended(Duration::from_secs(1), 1, WorkOutcome::Finished);
+    let actions = policy.record_end(Duration::from_secs(1), 1, WorkOutcome::Finished);
 
     assert_eq!(dispatched(&actions), [3]);
 }
--- a/tests/policy_load/policy_bench.rs
+++ b/tests/policy_load/policy_bench.rs
@@ -118,7 +118,7 @@
     /// Ends the work that was dispatched first; returns the work dispatched as a result.
     pub(crate) fn end_oldest(&mut self, end: WorkOutcome) -> Vec<u64> {
         let (work, _, _) = self.running.remove(0);
-        let actions = self.policy.ended(self.now, work, end);
+        let actions = self.policy.record_end(self.now, work, end);
         self.record(&actions);
         let works = actions.iter().filter_map(|action| match action {
             PolicyAction::Dispatch { work, .. } => Some(*work),
@@ -170,14 +170,16 @@
                 continue;
             }
             *tokens += 1;
-            self.policy.progressed(self.now, *work, *tokens);
+            self.policy.record_progress(self.now, *work, *tokens);
             if *tokens >= 150 {
                 ended.push(*work);
             }
         }
         self.running.retain(|(work, _, _)| !ended.contains(work));
         for work in ended {
-            let actions = self.policy.ended(self.now, work, WorkOutcome::Finished);
+            let actions = self
+                .policy
+                .record_end(self.now, work, WorkOutcome::Finished);
             self.record(&actions);
         }
     }
--- a/tests/policy_shares.rs
+++ b/tests/policy_shares.rs
@@ -111,7 +111,7 @@
 
     fn end(&mut self, host: usize) {
         if let Some(work) = self.running[host].pop() {
-            let actions = self.policies[host].ended(self.now, work, WorkOutcome::Finished);
+            let actions = self.policies[host].record_end(self.now, work, WorkOutcome::Finished);
             self.record(host, actions);
         }
     }
--- a/tests/policy_slow_targets.rs
+++ b/tests/policy_slow_targets.rs
@@ -61,9 +61,9 @@
             is_dispatched(&policy.arrive(now, booking(work, now))),
             "call {work}"
         );
-        policy.started(now, work);
+        policy.record_start(now, work);
         now += Duration::from_millis(millis);
-        policy.ended(now, work, WorkOutcome::Finished);
+        policy.record_end(now, work, WorkOutcome::Finished);
     }
 
     let actions = policy.arrive(now, booking(100, now));
--- a/tests/policy_stall.rs
+++ b/tests/policy_stall.rs
@@ -129,10 +129,10 @@
         policy.arrive(now, urgent);
         policy.tick(now);
         policy.withdraw(now, work);
-        policy.ended(now, work.saturating_sub(2), WorkOutcome::Finished);
+        policy.record_end(now, work.saturating_sub(2), WorkOutcome::Finished);
     }
-    policy.ended(now, 99, WorkOutcome::Finished);
-    policy.ended(now, 100, WorkOutcome::Finished);
+    policy.record_end(now, 99, WorkOutcome::Finished);
+    policy.record_end(now, 100, WorkOutcome::Finished);
     policy.set_targets(now, two_slots(TargetState::Leaving));
 
     let actions = policy.arrive(now, briefing(200, now));
@@ -153,11 +153,11 @@
     for work in 1..=60 {
         now += Duration::from_millis(20);
         dispatched += count_dispatches(&policy.arrive(now, booking(work, now)));
-        policy.started(now, work);
+        policy.record_start(now, work);
         // The first calls take 50 ms, the later ones 500 ms.
         now += Duration::from_millis(if work <= 20 { 50 } else { 500 });
-        policy.progressed(now, work, 1);
-        policy.ended(now, work, WorkOutcome::Finished);
+        policy.record_progress(now, work, 1);
+        policy.record_end(now, work, WorkOutcome::Finished);
     }
 
     assert_eq!(dispatched, 60);
@@ -173,7 +173,7 @@
     let now = Duration::from_millis(20);
     let first = policy.arrive(now, booking(1, now));
 
-    let second = policy.ended(now, 1, WorkOutcome::NotSent);
+    let second = policy.record_end(now, 1, WorkOutcome::NotSent);
 
     assert_eq!(count_dispatches(&first), 1);
     assert_eq!(count_dispatches(&second), 1, "{second:?}");
