--- a/src/controllers/target_controller.rs
+++ b/src/controllers/target_controller.rs
@@ -212,7 +212,7 @@
         };
         let age = Duration::from_millis(unix_now().saturating_sub(report.taken_ms));
         let load = LoadReport {
-            taken: boot_now().saturating_sub(age),
+            measured_at: boot_now().saturating_sub(age),
             running: report.running,
             waiting: report.waiting,
         };
--- a/src/policy/target_facts.rs
+++ b/src/policy/target_facts.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
     /// When the target measured the load, on this process's clock.
-    pub taken: Duration,
+    pub measured_at: Duration,
     /// Requests in the target's batch.
     pub running: u32,
     /// Requests that wait inside the target.
--- a/src/policy/target_view.rs
+++ b/src/policy/target_view.rs
@@ -77,13 +77,13 @@
     /// The report does not include work that was sent after it was made; the expected wait adds
     /// that work.
     pub(super) fn apply_report(&mut self, report: LoadReport) {
-        if report.taken < self.reported_at {
+        if report.measured_at < self.reported_at {
             return;
         }
-        self.reported_at = report.taken;
+        self.reported_at = report.measured_at;
         self.queued = report.waiting;
         self.dispatch_times
-            .retain(|at| *at + REPORT_MAX_AGE > report.taken);
+            .retain(|at| *at + REPORT_MAX_AGE > report.measured_at);
     }
 
     pub(super) fn record_dispatch(&mut self, now: Duration, item: &WorkItem) {
--- a/src/replay/replay_exchange.rs
+++ b/src/replay/replay_exchange.rs
@@ -62,7 +62,7 @@
                 TargetModel::Service(service) => service.load(),
             };
             reports.push(LoadReport {
-                taken: self.now,
+                measured_at: self.now,
                 running,
                 waiting,
             });
