--- a/src/controllers/work_controller.rs
+++ b/src/controllers/work_controller.rs
@@ -273,7 +273,7 @@
 fn placement_of(action: PolicyAction) -> (WorkId, WorkPlacement) {
     match action {
         PolicyAction::Dispatch { work, target } => (work, WorkPlacement::Target(target)),
-        PolicyAction::HandOver { work, host } => (work, WorkPlacement::Peer(host)),
+        PolicyAction::Forward { work, host } => (work, WorkPlacement::Peer(host)),
         PolicyAction::Refuse {
             work,
             kind,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -36,12 +36,12 @@
 const MAX_PEER_WAIT_RATIO: f64 = 0.5;
 
 impl DispatchPolicy {
-    /// Decides about work that arrives here or was handed over by a peer.
+    /// Decides about work that arrives here or was forwarded by a peer.
     pub(super) fn admit(
         &mut self,
         now: Duration,
         item: WorkItem,
-        may_hand_over: bool,
+        may_forward: bool,
     ) -> Vec<PolicyAction> {
         let Some(cost) = self.best_service_seconds(&item) else {
             return vec![self.refuse(&item, ErrorKind::NoTarget)];
@@ -53,7 +53,7 @@
         if item.tier > self.pool(kind).shed.level(now) {
             return vec![self.refuse(&item, ErrorKind::Overloaded)];
         }
-        if may_hand_over
+        if may_forward
             && let Some(action) = self
                 .forward_brief(now, &item, cost)
                 .or_else(|| self.forward_to_home(now, &item, cost))
@@ -63,16 +63,16 @@
         }
         let wait = self.expected_wait(&item, cost);
         if !self.meets_deadline(now, wait, &item) {
-            return vec![self.forward_or_refuse(now, &item, may_hand_over)];
+            return vec![self.forward_or_refuse(now, &item, may_forward)];
         }
         let (work, tier) = (item.work, item.tier);
         self.enqueue(now, item, cost, None);
         let mut actions = self.decide(now);
         if self.queue.works().len() > self.settings.max_waiting as usize {
-            actions.extend(self.displace(now, work, tier, may_hand_over));
+            actions.extend(self.displace(now, work, tier, may_forward));
         }
-        if tier == 0 && may_hand_over {
-            actions.extend(self.hand_over_waiting(now, work));
+        if tier == 0 && may_forward {
+            actions.extend(self.forward_waiting(now, work));
         }
         actions
     }
@@ -115,10 +115,10 @@
         }
     }
 
-    /// Hands work over to a peer, or refuses it because this host is leaving.
-    pub(super) fn hand_over_or_leave(&mut self, now: Duration, item: &WorkItem) -> PolicyAction {
+    /// Forwards work to a peer, or refuses it because this host is leaving.
+    pub(super) fn forward_or_leave(&mut self, now: Duration, item: &WorkItem) -> PolicyAction {
         match self.peers.choose(now, item) {
-            Some(host) => PolicyAction::HandOver {
+            Some(host) => PolicyAction::Forward {
                 work: item.work,
                 host,
             },
@@ -133,11 +133,11 @@
         now: Duration,
         work: WorkId,
         tier: TierRank,
-        may_hand_over: bool,
+        may_forward: bool,
     ) -> Option<PolicyAction> {
         let Some(lowest) = self.queue.lowest_below(tier) else {
             let refused = self.queue.remove(work)?;
-            return Some(self.forward_or_refuse(now, &refused.item, may_hand_over));
+            return Some(self.forward_or_refuse(now, &refused.item, may_forward));
         };
         let displaced = self.queue.remove(lowest)?;
         self.pool_mut(displaced.kind).shed.record_refusal(now, tier);
@@ -150,10 +150,10 @@
         &mut self,
         now: Duration,
         item: &WorkItem,
-        may_hand_over: bool,
+        may_forward: bool,
     ) -> PolicyAction {
-        if may_hand_over && let Some(host) = self.peer_in_time(now, item) {
-            return PolicyAction::HandOver {
+        if may_forward && let Some(host) = self.peer_in_time(now, item) {
+            return PolicyAction::Forward {
                 work: item.work,
                 host,
             };
@@ -189,7 +189,7 @@
             return None;
         }
         let host = self.peers.choose_with_free_slot(now, &[home])?;
-        Some(PolicyAction::HandOver {
+        Some(PolicyAction::Forward {
             work: item.work,
             host,
         })
@@ -212,7 +212,7 @@
         }
         let names: Vec<TargetName> = express.iter().map(|view| view.facts.name.clone()).collect();
         let host = self.peers.choose_with_free_slot(now, &names)?;
-        Some(PolicyAction::HandOver {
+        Some(PolicyAction::Forward {
             work: item.work,
             host,
         })
@@ -236,7 +236,7 @@
         let host = self
             .peers
             .choose_shorter_wait(now, item.tier, cost, limit)?;
-        Some(PolicyAction::HandOver {
+        Some(PolicyAction::Forward {
             work: item.work,
             host,
         })
@@ -266,11 +266,11 @@
     }
 
     /// Hands top-tier work that found no slot over to a peer that has one.
-    fn hand_over_waiting(&mut self, now: Duration, work: u64) -> Option<PolicyAction> {
+    fn forward_waiting(&mut self, now: Duration, work: u64) -> Option<PolicyAction> {
         let waits = self.queue.works().iter().find(|w| w.item.work == work)?;
         let host = self.peers.choose(now, &waits.item)?;
         self.queue.remove(work);
-        Some(PolicyAction::HandOver { work, host })
+        Some(PolicyAction::Forward { work, host })
     }
 
     fn enqueue(&mut self, now: Duration, item: WorkItem, cost: f64, avoid: Option<TargetName>) {
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -128,7 +128,7 @@
         self.admit(now, item, true)
     }
 
-    /// Decides about work that a peer handed over. It is not handed over again.
+    /// Decides about work that a peer forwarded. It is not forwarded again.
     pub fn take_over(&mut self, now: Duration, item: WorkItem) -> Vec<PolicyAction> {
         self.admit(now, item, false)
     }
@@ -286,7 +286,7 @@
         let works = self.queue.drain();
         works
             .into_iter()
-            .map(|work| self.hand_over_or_leave(now, &work.item))
+            .map(|work| self.forward_or_leave(now, &work.item))
             .collect()
     }
 
--- a/src/policy/policy_action.rs
+++ b/src/policy/policy_action.rs
@@ -27,8 +27,8 @@
         /// The time after which the caller should retry.
         retry_after: Duration,
     },
-    /// Hand the work, which was not dispatched, over to a peer.
-    HandOver {
+    /// Forward the work, which was not dispatched, to a peer.
+    Forward {
         /// The work.
         work: WorkId,
         /// The peer.
--- a/src/replay/replay_run.rs
+++ b/src/replay/replay_run.rs
@@ -198,12 +198,14 @@
                         .push(at, ReplayEvent::RequestDelivered(index, work));
                 }
                 PolicyAction::Refuse { work, .. } => self.end_request(work, RecordOutcome::Refused),
-                PolicyAction::HandOver { work, host: peer } => self.hand_over(host, work, &peer),
+                PolicyAction::Forward { work, host: peer } => {
+                    self.forward_to_peer(host, work, &peer)
+                }
             }
         }
     }
 
-    fn hand_over(&mut self, from: usize, work: WorkId, peer: &HostName) {
+    fn forward_to_peer(&mut self, from: usize, work: WorkId, peer: &HostName) {
         let hosts = &self.trace.header.hosts;
         let to = hosts.iter().position(|host| host == peer).unwrap_or(from);
         let reachable = self.live[to] && self.partition_side[from] == self.partition_side[to];
--- a/tests/policy_load/main.rs
+++ b/tests/policy_load/main.rs
@@ -172,7 +172,7 @@
     assert_eq!((before.len(), after.len(), reopened.len()), (0, 1, 0));
 }
 
-/// Urgent work that finds no slot is handed over to a peer with free slots before it is
+/// Urgent work that finds no slot is forwarded to a peer with free slots before it is
 /// refused.
 #[test]
 fn urgent_work_goes_to_a_peer_with_free_slots_before_it_is_refused() {
@@ -186,7 +186,7 @@
 
     let handed = actions
         .iter()
-        .any(|action| matches!(action, PolicyAction::HandOver { host, .. } if host == "entry-2"));
+        .any(|action| matches!(action, PolicyAction::Forward { host, .. } if host == "entry-2"));
     assert!(handed, "{actions:?}");
     assert!(refusals(&actions).is_empty());
 }
