--- a/tests/claim_rules/register.rs
+++ b/tests/claim_rules/register.rs
@@ -184,7 +184,7 @@
 /// Host b granted an id and restarts. Its empty memory must not grant the id to another
 /// caller, even after it may vote again.
 #[test]
-fn a_restarted_seat_speaks_only_for_newer_ids() {
+fn a_restarted_seat_votes_only_on_newer_ids() {
     let [mut a, mut b, mut c] = <[TestSeat; 3]>::try_from(fleet(3)).ok().expect("three");
     assert!(matches!(
         call(&mut b, NOW_MS, ClaimOperation::Claim, NOW_MS).answer,
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn ids_outside_the_window_are_refused_and_forgotten() {
+fn ids_outside_the_window_are_refused_and_expire() {
     let mut seats = fleet(1);
     let seat = &mut seats[0];
     let future = call(seat, NOW_MS + SKEW_MS + 1, ClaimOperation::Claim, NOW_MS);
--- a/tests/claim_rules/rosters.rs
+++ b/tests/claim_rules/rosters.rs
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_seat_that_took_up_a_roster_refuses_calls_of_the_older_one() {
+fn a_seat_that_adopted_a_roster_refuses_calls_of_the_older_one() {
     let off = ClaimRules {
         refuse_older_rosters: false,
         ..ALL()
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_restarted_seat_is_silent_until_a_majority_told_it_what_they_know() {
+fn a_restarted_seat_may_not_vote_until_a_majority_has_reported_its_state() {
     let off = ClaimRules {
         rejoin_by_majority: false,
         ..ALL()
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn a_vote_that_its_seat_forgot_counts_for_nothing() {
+fn a_vote_that_its_seat_forgot_is_not_counted() {
     let off = ClaimRules {
         crash_vector: false,
         ..ALL()
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn a_restarted_seat_waits_while_a_roster_is_on_the_way() {
+fn a_restarted_seat_waits_while_a_roster_is_pending() {
     let off = ClaimRules {
         join_waits: false,
         ..ALL()
@@ -398,7 +398,7 @@
 /// alone, a new host. Roster 1 is still active. If d bootstrapped roster 5 because none
 /// of its seats votes, ids would run on both sides.
 #[test]
-fn a_new_seat_does_not_found_a_roster_that_never_became_active() {
+fn a_new_seat_does_not_bootstrap_a_roster_that_never_became_active() {
     let mut d = open("d", 1_000, ALL());
     d.offer(&plan(5, &["d"], Some(&["a", "d", "e"])), 1_000);
     assert!(!d.is_voting());
