--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -28,7 +28,7 @@
     let is_newer = message.revision > revision || message.catalog > catalog;
     let both_grouped = role.is_grouped_member() && message.grouped;
     if both_grouped && message.scope == Some(UsageScope::Host) && !message.own.leaving {
-        state.apply_report(&peer, now);
+        state.record_report(&peer, now);
     }
     let is_leader = both_grouped && !state.is_leaving() && state.acts_as_leader(&role);
     let is_mesh = !role.layout.is_grouped() && !message.grouped;
