--- a/src/edge/caller_session.rs
+++ b/src/edge/caller_session.rs
@@ -1,24 +1,24 @@
-//! Serves the requests of one caller's connection, in turn.
+//! Serves the requests of one caller connection in sequence.
 
 use std::sync::Arc;
 
 use async_std::net::TcpStream;
 
-use super::answer_writer::refusal_bytes;
-use super::answer_writer::write_bytes;
-use super::caller_link::BadRequest;
-use super::caller_link::CallerLink;
-use super::caller_link::CallerRequest;
+use super::caller_connection::BadRequest;
+use super::caller_connection::CallerConnection;
+use super::caller_connection::CallerRequest;
 use super::edge_metrics::count;
 use super::edge_refusal::EdgeRefusal;
 use super::edge_state::EdgeState;
-use super::leave_controller::LEAVING_DELAY;
 use super::quota_filter::consume_quota;
-use super::request_run::RequestRun;
-use super::request_run::RunEnd;
+use super::request_execution::ExecutionOutcome;
+use super::request_execution::RequestExecution;
+use super::response_writer::refusal_bytes;
+use super::response_writer::write_bytes;
 use super::route_filter::RoutedRequest;
 use super::route_filter::UnroutedRequest;
 use super::route_filter::route_request;
+use super::shutdown_controller::LEAVING_RETRY_DELAY;
 use crate::clock::boot_now;
 use crate::errors::ErrorKind;
 use crate::errors::RequestOutcome;
@@ -27,24 +27,24 @@
 use crate::logs::DecisionLine;
 use crate::wire::RequestMessage;
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed.
 pub(crate) async fn serve_caller(state: Arc<EdgeState>, stream: TcpStream) {
-    let mut caller = CallerLink::new(stream);
+    let mut caller = CallerConnection::new(stream);
     loop {
         let limits = state.view.catalog().map(|catalog| catalog.limits());
         let next = caller.next_request(limits.unwrap_or_default()).await;
-        let _running = state.enter_request();
-        // From the signal to leave on each answer is its connection's last.
+        let _running = state.track_request();
+        // During shutdown the connection is closed after the current response.
         caller.reusable &= !state.is_leaving();
-        let goes_on = match next {
+        let is_usable = match next {
             Ok(Some(request)) => serve_request(&state, &mut caller, request).await,
             Ok(None) => return,
-            Err(bad) => {
-                refuse_bad(&state, &mut caller, bad).await;
+            Err(request) => {
+                refuse_bad(&state, &mut caller, request).await;
                 true
             }
         };
-        if !goes_on {
+        if !is_usable {
             return;
         }
         if !caller.reusable {
@@ -53,43 +53,44 @@
     }
 }
 
-/// Serves one request; returns whether the connection may go on or end in peace.
+/// Serves one request. Returns whether the connection is still in a defined state: it may
+/// be reused or closed gracefully.
 async fn serve_request(
     state: &Arc<EdgeState>,
-    caller: &mut CallerLink,
+    caller: &mut CallerConnection,
     request: CallerRequest,
 ) -> bool {
     let arrived = request.arrived;
-    let routed = match enter_request(state, request) {
+    let routed = match admit_request(state, request) {
         Ok(routed) => routed,
-        Err(entry) => {
-            let told = RefusalReport {
-                message: Some(&entry.message),
-                refusal: entry.refusal,
+        Err(refused) => {
+            let report = RefusalReport {
+                message: Some(&refused.message),
+                refusal: refused.refusal,
                 sends: 0,
                 arrived,
                 pool: None,
-                account: entry.account.as_ref(),
+                account: refused.account.as_ref(),
                 tier: None,
-                cost: entry.cost,
+                cost: refused.cost,
             };
-            return refuse(state, caller, told).await;
+            return refuse(state, caller, report).await;
         }
     };
-    state.note_request(&routed.pool);
-    let mut run = RequestRun::new(state, caller, &routed);
-    let end = run.serve().await;
-    let sends = run.sends();
-    if !matches!(end, RunEnd::Answered) {
-        routed.record_end(run.outcome());
+    state.record_request(&routed.pool);
+    let mut execution = RequestExecution::new(state, caller, &routed);
+    let outcome = execution.serve().await;
+    let sends = execution.sends();
+    if !matches!(outcome, ExecutionOutcome::Answered) {
+        routed.record_end(execution.outcome());
     }
-    match end {
-        RunEnd::Answered => {
+    match outcome {
+        ExecutionOutcome::Answered => {
             caller.reusable &= !state.is_leaving();
             true
         }
-        RunEnd::Refused(refusal) => {
-            let told = RefusalReport {
+        ExecutionOutcome::Refused(refusal) => {
+            let report = RefusalReport {
                 message: Some(&routed.request.message),
                 refusal,
                 sends,
@@ -99,9 +100,9 @@
                 tier: Some(routed.priority.account),
                 cost: None,
             };
-            refuse(state, caller, told).await
+            refuse(state, caller, report).await
         }
-        RunEnd::Closed => {
+        ExecutionOutcome::Closed => {
             count(&state.metrics.callers_left);
             state.log.write(&DecisionLine::CallerLeft {
                 request: routed.id.clone(),
@@ -113,29 +114,29 @@
     }
 }
 
-/// A request that is not admitted.
-struct EntryRefusal {
+/// A request that was refused before it was dispatched.
+struct AdmissionRefusal {
     message: RequestMessage,
     refusal: EdgeRefusal,
     account: Option<AccountName>,
     cost: Option<f64>,
 }
 
-/// Lets a request in, or says why not.
-fn enter_request(
+/// Admits a request, or returns why it is refused.
+fn admit_request(
     state: &Arc<EdgeState>,
     request: CallerRequest,
-) -> Result<RoutedRequest, Box<EntryRefusal>> {
+) -> Result<RoutedRequest, Box<AdmissionRefusal>> {
     let refuse = |message, refusal, account, cost| {
-        Box::new(EntryRefusal {
+        Box::new(AdmissionRefusal {
             message,
             refusal,
             account,
             cost,
         })
     };
-    if !state.takes_requests() {
-        let refusal = EdgeRefusal::after(ErrorKind::HostLeaving, LEAVING_DELAY);
+    if !state.accepts_requests() {
+        let refusal = EdgeRefusal::after(ErrorKind::HostLeaving, LEAVING_RETRY_DELAY);
         return Err(refuse(request.message, refusal, None, None));
     }
     let routed = route_request(state, request).map_err(|unrouted| {
@@ -157,7 +158,7 @@
     }
 }
 
-/// A request that the host answers itself.
+/// A request that the host answers itself, as it is logged and counted.
 struct RefusalReport<'r> {
     message: Option<&'r RequestMessage>,
     refusal: EdgeRefusal,
@@ -169,24 +170,30 @@
     cost: Option<f64>,
 }
 
-async fn refuse(state: &EdgeState, caller: &mut CallerLink, told: RefusalReport<'_>) -> bool {
-    let name = &state.dialect.request_id;
-    let id = told.message.and_then(|message| message.headers.text(name));
-    let refusal = told.refusal;
+async fn refuse(
+    state: &EdgeState,
+    caller: &mut CallerConnection,
+    report: RefusalReport<'_>,
+) -> bool {
+    let name = &state.header_names.request_id;
+    let id = report
+        .message
+        .and_then(|message| message.headers.text(name));
+    let refusal = report.refusal;
     let bytes = refusal_bytes(refusal, id.map(|id| (name.as_str(), id)), !caller.reusable);
-    state.requests.count_error(refusal.kind, told.tier);
-    let waiting = told
+    state.request_metrics.count_error(refusal.kind, report.tier);
+    let waiting = report
         .pool
         .map_or(0, |pool| state.queue.lock_table().waiting(pool));
     state.log.write(&DecisionLine::RequestRefused {
         request: id.unwrap_or_default().to_owned(),
-        account: told.account.cloned(),
-        cost: told.cost,
+        account: report.account.cloned(),
+        cost: report.cost,
         kind: refusal.kind,
         status: refusal.status(),
         retry_after_ms: refusal.retry_after.map(|after| after.as_millis() as u64),
-        attempts: told.sends,
-        total_ms: boot_now().saturating_sub(told.arrived).as_millis() as u64,
+        attempts: report.sends,
+        total_ms: boot_now().saturating_sub(report.arrived).as_millis() as u64,
         catalog: state.view.held_versions().1,
         evidence_age_ms: state.evidence_age().map(|age| age.as_millis() as u64),
         waiting,
@@ -194,12 +201,12 @@
     write_bytes(&caller.stream, &bytes).await.is_ok()
 }
 
-async fn refuse_bad(state: &EdgeState, caller: &mut CallerLink, bad: BadRequest) {
-    // What follows can't be told from the rest of this request.
+async fn refuse_bad(state: &EdgeState, caller: &mut CallerConnection, request: BadRequest) {
+    // The end of a malformed request is unknown, so no further request can be parsed.
     caller.reusable = false;
-    let told = RefusalReport {
-        message: bad.message.as_ref(),
-        refusal: bad.kind.into(),
+    let report = RefusalReport {
+        message: request.message.as_ref(),
+        refusal: request.kind.into(),
         sends: 0,
         arrived: boot_now(),
         pool: None,
@@ -207,5 +214,5 @@
         tier: None,
         cost: None,
     };
-    refuse(state, caller, told).await;
+    refuse(state, caller, report).await;
 }
--- /dev/null
+++ b/src/edge/response_relay.rs
@@ -0,0 +1,263 @@
+//! Forwards a target's response to the caller.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use async_std::future::timeout;
+use async_std::task;
+use futures_lite::future::or;
+
+use super::caller_connection::CallerConnection;
+use super::event_splitter::EventSplitter;
+use super::response_writer::ResponseFraming;
+use super::response_writer::forwarded_head;
+use super::response_writer::stream_framing;
+use super::response_writer::write_bytes;
+use super::response_writer::write_chunk;
+use super::response_writer::write_end;
+use super::send_outcome::LossCause;
+use super::target_call::CallError;
+use super::target_call::TargetCall;
+use crate::clock::boot_now;
+use crate::dispatch::SlotGuard;
+use crate::metrics::RequestSeries;
+use crate::wire::AnswerMessage;
+use crate::wire::RequestMessage;
+
+/// Limit on the body size of a response that is buffered before it is forwarded, in
+/// bytes. A larger one would take the memory of all other requests.
+const MAX_COLLECTED_BYTES: usize = 16 << 20;
+
+/// Result of relaying a stream.
+#[derive(Debug)]
+pub(crate) enum RelayOutcome {
+    /// The complete response was written to the caller.
+    Complete,
+    /// The caller disconnected.
+    CallerDisconnected,
+    /// The deadline of the request passed.
+    DeadlineExceeded,
+    /// The connection to the target was lost, or the target was silent for too long.
+    TargetLost(LossCause),
+}
+
+/// The event that ended one wait of the relay.
+enum RelayEvent {
+    TargetData(Result<bool, CallError>),
+    CallerDisconnected,
+    DeadlineExceeded,
+    TargetSilent,
+}
+
+/// State of a streamed response towards the caller, across all attempts.
+#[derive(Debug)]
+pub(crate) struct StreamProgress {
+    splitter: EventSplitter,
+    /// Whether anything was written to the caller.
+    pub(crate) has_started: bool,
+    first_at: Option<Duration>,
+    last_at: Duration,
+    longest_pause: Duration,
+    arrived: Duration,
+    series: Arc<RequestSeries>,
+    framing: Option<ResponseFraming>,
+}
+
+/// Limits at which relaying a stream is abandoned.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RelayLimits {
+    /// Deadline of the request, on the boot clock.
+    pub(crate) deadline: Duration,
+    /// Longest silence of the target before the stream is resumed at another one; `None`
+    /// if the stream can't be resumed.
+    pub(crate) max_silence: Option<Duration>,
+}
+
+impl StreamProgress {
+    /// Starts the response of a request that arrived at `arrived` on the boot clock.
+    pub(crate) fn new(arrived: Duration, series: Arc<RequestSeries>) -> Self {
+        Self {
+            splitter: EventSplitter::default(),
+            has_started: false,
+            first_at: None,
+            last_at: arrived,
+            longest_pause: Duration::ZERO,
+            arrived,
+            series,
+            framing: None,
+        }
+    }
+
+    /// Returns the id of the last event that was written.
+    pub(crate) fn last_id(&self) -> Option<&str> {
+        self.splitter.last_id()
+    }
+
+    /// Returns when the first bytes were written, on the boot clock.
+    pub(crate) const fn first_at(&self) -> Option<Duration> {
+        self.first_at
+    }
+
+    /// Returns the longest pause between two writes of events.
+    pub(crate) const fn longest_pause(&self) -> Duration {
+        self.longest_pause
+    }
+
+    /// Forwards events as they arrive. A silent target is abandoned only if `can_resume`
+    /// confirms that another one has capacity for the rest. The response head is written
+    /// together with the first events, so that another target can still take over before
+    /// that.
+    pub(crate) async fn relay(
+        &mut self,
+        caller: &mut CallerConnection,
+        request: &RequestMessage,
+        call: &mut TargetCall,
+        slot: &mut SlotGuard,
+        limits: RelayLimits,
+        can_resume: impl Fn() -> bool,
+    ) -> RelayOutcome {
+        let mut received = Vec::new();
+        let left = limits.deadline.saturating_sub(boot_now());
+        let mut deadline_timer = Box::pin(task::sleep(left));
+        // The next target sends the buffered partial event again from its start.
+        self.splitter.take_rest();
+        loop {
+            received.clear();
+            let event = {
+                let target = async { RelayEvent::TargetData(call.read_body(&mut received).await) };
+                let disconnected = async {
+                    caller.disconnected().await;
+                    RelayEvent::CallerDisconnected
+                };
+                let expired = async {
+                    (&mut deadline_timer).await;
+                    RelayEvent::DeadlineExceeded
+                };
+                let silent = async {
+                    match limits.max_silence {
+                        Some(max_silence) => task::sleep(max_silence).await,
+                        None => std::future::pending().await,
+                    }
+                    RelayEvent::TargetSilent
+                };
+                or(target, or(disconnected, or(expired, silent))).await
+            };
+            let is_complete = match event {
+                RelayEvent::TargetData(Ok(is_complete)) => is_complete,
+                RelayEvent::TargetData(Err(error)) => {
+                    return RelayOutcome::TargetLost(error.into());
+                }
+                RelayEvent::CallerDisconnected => return RelayOutcome::CallerDisconnected,
+                RelayEvent::DeadlineExceeded => return RelayOutcome::DeadlineExceeded,
+                RelayEvent::TargetSilent if can_resume() => {
+                    return RelayOutcome::TargetLost(LossCause::Silent);
+                }
+                // The target may only be slow, and an incomplete response is of no use to
+                // the caller.
+                RelayEvent::TargetSilent => continue,
+            };
+            let mut events = self.splitter.take_events(&mut received);
+            if is_complete {
+                events.append(&mut self.splitter.take_rest());
+            }
+            if events.is_empty() && !is_complete {
+                continue;
+            }
+            slot.record_event();
+            let output = self.frame(request, &call.head, caller.reusable, &events, is_complete);
+            let written = timeout(
+                limits.deadline.saturating_sub(boot_now()),
+                write_bytes(&caller.stream, &output),
+            );
+            match written.await {
+                Ok(Ok(())) => {
+                    self.has_started = true;
+                    self.record_events();
+                }
+                Ok(Err(_)) => return RelayOutcome::CallerDisconnected,
+                Err(_) => return RelayOutcome::DeadlineExceeded,
+            }
+            if is_complete {
+                return RelayOutcome::Complete;
+            }
+        }
+    }
+
+    /// Records the time of a write of events.
+    fn record_events(&mut self) {
+        let now = boot_now();
+        match self.first_at {
+            None => {
+                self.first_at = Some(now);
+                let first = now.saturating_sub(self.arrived);
+                self.series.record_first_token(first);
+            }
+            Some(_) => {
+                let gap = now.saturating_sub(self.last_at);
+                self.series.record_token_gap(gap);
+                self.longest_pause = self.longest_pause.max(gap);
+            }
+        }
+        self.last_at = now;
+    }
+
+    fn frame(
+        &mut self,
+        request: &RequestMessage,
+        head: &AnswerMessage,
+        reusable: bool,
+        events: &[u8],
+        is_complete: bool,
+    ) -> Vec<u8> {
+        let mut output = Vec::with_capacity(events.len() + 512);
+        let framing = match self.framing {
+            Some(framing) => framing,
+            None => {
+                let framing = stream_framing(request);
+                output = forwarded_head(head, framing, !reusable);
+                self.framing = Some(framing);
+                framing
+            }
+        };
+        write_chunk(framing, events, &mut output);
+        if is_complete {
+            write_end(framing, &mut output);
+        }
+        output
+    }
+}
+
+/// Reads a complete body. A truncated response must not look complete to the caller, so
+/// nothing of it is forwarded before its end was received.
+///
+/// # Errors
+///
+/// The body is truncated, malformed or too large.
+pub(crate) async fn collect_body(call: &mut TargetCall) -> Result<Vec<u8>, CallError> {
+    let mut body = Vec::new();
+    let mut chunk = Vec::new();
+    loop {
+        let is_complete = call.read_body(&mut chunk).await?;
+        body.append(&mut chunk);
+        if is_complete {
+            return Ok(body);
+        }
+        if body.len() > MAX_COLLECTED_BYTES {
+            return Err(CallError::InvalidResponse);
+        }
+    }
+}
+
+/// Writes a buffered response to the caller; returns whether it was written completely.
+pub(crate) async fn write_collected(
+    caller: &CallerConnection,
+    head: &AnswerMessage,
+    body: &[u8],
+    limit: Duration,
+) -> bool {
+    let framing = ResponseFraming::Length(body.len());
+    let mut output = forwarded_head(head, framing, !caller.reusable);
+    output.extend_from_slice(body);
+    let written = timeout(limit, write_bytes(&caller.stream, &output));
+    matches!(written.await, Ok(Ok(())))
+}
--- /dev/null
+++ b/src/edge/send_outcome.rs
@@ -0,0 +1,69 @@
+//! Outcome of one attempt to send a request to a target.
+
+use derive_more::Display;
+
+use super::target_call::CallError;
+use crate::dispatch::AttemptOutcome;
+use crate::wire::AnswerMessage;
+
+/// Why an attempt got no complete response although the target may have run the request.
+#[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
+pub(crate) enum LossCause {
+    /// The connection was closed before the response was complete.
+    #[display("connection closed before the response was complete")]
+    ConnectionClosed,
+    /// The response is malformed or belongs to another request.
+    #[display("invalid response")]
+    InvalidResponse,
+    /// The target was silent for too long.
+    #[display("silent")]
+    Silent,
+    /// A status that implies that nothing ran, without the header by which the target
+    /// confirms it.
+    #[display("status {_0} without confirmation that nothing ran")]
+    UnconfirmedStatus(u16),
+    /// A response that is not the continuation of a stream.
+    #[display("status {_0} instead of the rest of the stream")]
+    NotResumed(u16),
+}
+
+/// Outcome of one attempt.
+#[derive(Debug)]
+pub(crate) enum SendOutcome {
+    /// The response was delivered to the caller.
+    Delivered { status: u16 },
+    /// The caller disconnected. The attempt is cancelled, or left to finish at the
+    /// target.
+    CallerDisconnected,
+    /// The deadline of the request passed.
+    DeadlineExceeded,
+    /// The target refused the request and did not run it.
+    NotRun(String),
+    /// No complete response was received; the target may have run the request.
+    Lost(LossCause),
+    /// A complete error response of the target; another target may succeed.
+    TargetFailure { head: AnswerMessage, body: Vec<u8> },
+}
+
+impl SendOutcome {
+    /// Returns what the outcome says about the target.
+    pub(crate) fn attempt_outcome(&self) -> AttemptOutcome {
+        match self {
+            Self::Delivered { status } if *status >= 500 => AttemptOutcome::Failed,
+            Self::Delivered { .. } => AttemptOutcome::Succeeded,
+            Self::CallerDisconnected | Self::DeadlineExceeded => AttemptOutcome::Cancelled,
+            Self::NotRun(_) => AttemptOutcome::Rejected,
+            Self::Lost(LossCause::Silent) => AttemptOutcome::Unresponsive,
+            Self::Lost(_) | Self::TargetFailure { .. } => AttemptOutcome::Failed,
+        }
+    }
+}
+
+impl From<CallError> for LossCause {
+    fn from(error: CallError) -> Self {
+        match error {
+            CallError::ConnectionClosed => Self::ConnectionClosed,
+            CallError::InvalidResponse => Self::InvalidResponse,
+        }
+    }
+}
--- a/src/edge/target_send.rs
+++ b/src/edge/target_send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to a target, and the way of its answer to the caller.
+//! One attempt to send a request to a target and forward its response to the caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,18 +7,18 @@
 use async_std::task;
 use futures_lite::future::or;
 
-use super::answer_relay::RelayBounds;
-use super::answer_relay::RelayEnd;
-use super::answer_relay::collect_body;
-use super::caller_link::CallerLink;
+use super::caller_connection::CallerConnection;
+use super::connection_pool::TargetConnection;
 use super::crash_check::check_crash;
-use super::request_run::LEAST_LEFT;
-use super::request_run::RequestRun;
-use super::send_end::LossCause;
-use super::send_end::SendEnd;
+use super::request_execution::MIN_TIME_LEFT;
+use super::request_execution::RequestExecution;
+use super::response_relay::RelayLimits;
+use super::response_relay::RelayOutcome;
+use super::response_relay::collect_body;
+use super::send_outcome::LossCause;
+use super::send_outcome::SendOutcome;
 use super::target_call::CallIdentity;
 use super::target_call::TargetCall;
-use super::target_links::TargetLink;
 use crate::catalog::CallKind;
 use crate::clock::boot_now;
 use crate::dispatch::AttemptOutcome;
@@ -26,77 +26,86 @@
 use crate::logs::DecisionLine;
 use crate::wire::AnswerMessage;
 
-/// How long a stream that another target can go on with may be silent. Engines send
-/// an event each 25 to 100 ms; callers give a stream up after two seconds.
-const RESUME_SILENCE: Duration = Duration::from_millis(1300);
-/// How long an idempotent call is waited for before another target is asked, in
-/// objectives: nine in ten answers take a fifth of their objective.
+/// Longest silence of a stream that another target can resume. Engines send an event
+/// every 25 to 100 ms; callers give up on a stream after two seconds.
+const MAX_RESUMABLE_SILENCE: Duration = Duration::from_millis(1300);
+/// Time after which an idempotent request is repeated at another target, in latency
+/// objectives. Nine out of ten responses take a fifth of their objective.
 const REPEAT_AFTER_OBJECTIVES: u32 = 2;
-/// How long the rest of a target's refusal is waited for, to keep the connection.
-const DISCARD_TIME: Duration = Duration::from_millis(100);
+/// Time limit for reading the rest of a target's refusal in order to reuse the
+/// connection.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(100);
 
-impl RequestRun<'_> {
-    pub(super) async fn send(&mut self, mut slot: SlotGuard, link: TargetLink) -> SendEnd {
+impl RequestExecution<'_> {
+    pub(super) async fn send(
+        &mut self,
+        mut slot: SlotGuard,
+        connection: TargetConnection,
+    ) -> SendOutcome {
         let bytes = self.request_bytes(&slot);
-        let called = self.call(link, &bytes, &mut slot).await;
-        let mut call = match called {
+        let sent = self.call(connection, &bytes, &mut slot).await;
+        let mut call = match sent {
             Ok(call) => call,
-            Err(end) => {
-                slot.finish(end.attempt_outcome());
-                return end;
+            Err(outcome) => {
+                slot.finish(outcome.attempt_outcome());
+                return outcome;
             }
         };
         if self.is_not_run(&call.head) {
             let cause = format!("not run, status {}", call.head.status);
-            self.discard(call, &slot).await;
+            self.discard_body(call, &slot).await;
             slot.finish(AttemptOutcome::Rejected);
-            return SendEnd::NotRun(cause);
+            return SendOutcome::NotRun(cause);
         }
         let status = call.head.status;
-        let end = match self.routed.kind.is_stream() && status == 200 {
+        let outcome = match self.routed.kind.is_stream() && status == 200 {
             true => self.relay_stream(&mut call, &mut slot).await,
             false => match self.collect(call, &mut slot).await {
-                Ok((whole, body)) => {
-                    call = whole;
-                    self.pass_collected(&call.head, body).await
+                Ok((complete, body)) => {
+                    call = complete;
+                    self.deliver_collected(&call.head, body).await
                 }
-                Err(end) => {
-                    slot.finish(end.attempt_outcome());
-                    return end;
+                Err(outcome) => {
+                    slot.finish(outcome.attempt_outcome());
+                    return outcome;
                 }
             },
         };
-        if let Some((link, head)) = call.into_kept() {
-            self.state.links.put(&slot.target().name, link, &head);
+        if let Some((connection, head)) = call.into_reusable() {
+            self.state
+                .connections
+                .put(&slot.target().name, connection, &head);
         }
-        slot.finish(end.attempt_outcome());
-        end
+        slot.finish(outcome.attempt_outcome());
+        outcome
     }
 
-    /// Writes the request and reads the answer's head.
+    /// Writes the request and reads the head of the response.
     async fn call(
         &mut self,
-        link: TargetLink,
+        connection: TargetConnection,
         bytes: &[u8],
         slot: &mut SlotGuard,
-    ) -> Result<TargetCall, SendEnd> {
+    ) -> Result<TargetCall, SendOutcome> {
         let routed = self.routed;
         let identity = CallIdentity {
-            header: &self.state.dialect.request_id,
+            header: &self.state.header_names.request_id,
             request: &routed.id,
             method: &routed.request.message.method,
         };
-        let limit = self.head_limit();
-        let sent = async {
-            match timeout(limit, TargetCall::send(link, bytes, identity)).await {
+        let limit = self.head_timeout();
+        let exchange = async {
+            match timeout(limit, TargetCall::send(connection, bytes, identity)).await {
                 Ok(Ok(call)) => Ok(call),
-                Ok(Err(error)) => Err(SendEnd::Lost(error.into())),
-                Err(_) if boot_now() + LEAST_LEFT >= routed.deadline => Err(SendEnd::TimeOver),
-                Err(_) => Err(SendEnd::Lost(LossCause::Silent)),
+                Ok(Err(error)) => Err(SendOutcome::Lost(error.into())),
+                Err(_) if boot_now() + MIN_TIME_LEFT >= routed.deadline => {
+                    Err(SendOutcome::DeadlineExceeded)
+                }
+                Err(_) => Err(SendOutcome::Lost(LossCause::Silent)),
             }
         };
-        let called = unless_caller_leaves(self.caller, routed.kind, sent).await;
-        if let Err(SendEnd::Lost(cause)) = &called
+        let sent = cancel_on_disconnect(self.caller, routed.kind, exchange).await;
+        if let Err(SendOutcome::Lost(cause)) = &sent
             && *cause != LossCause::Silent
         {
             let state = Arc::clone(self.state);
@@ -107,23 +116,24 @@
                 routed.id.clone(),
             ));
         }
-        if let Ok(call) = &called {
+        if let Ok(call) = &sent {
             self.record_limit(&call.head, slot);
             if !routed.kind.is_stream() {
                 slot.record_event();
             }
         }
-        called
+        sent
     }
 
-    /// Notes the limit that an answer names. Only a success without one says that there is
-    /// none: a failure may come from something before the target's own code.
+    /// Records the request limit that a response declares. Only a successful response
+    /// without one shows that there is no limit: an error may come from an intermediary
+    /// in front of the target.
     fn record_limit(&self, head: &AnswerMessage, slot: &SlotGuard) {
-        let named = head.headers.text(&self.state.dialect.request_limit);
-        let per_second = named.and_then(|text| text.trim().parse().ok());
+        let header = head.headers.text(&self.state.header_names.request_limit);
+        let per_second = header.and_then(|text| text.trim().parse().ok());
         let per_second = per_second.filter(|limit: &f64| limit.is_finite() && *limit >= 0.0);
-        let says_none = named.is_none() && (200..300).contains(&head.status);
-        if (per_second.is_some() || says_none) && slot.record_limit(per_second) {
+        let is_unlimited = header.is_none() && (200..300).contains(&head.status);
+        if (per_second.is_some() || is_unlimited) && slot.record_limit(per_second) {
             self.state.log.write(&DecisionLine::TargetLimited {
                 target: slot.target().name.clone(),
                 per_second,
@@ -132,24 +142,26 @@
         }
     }
 
-    /// Returns how long the answer's head is waited for.
-    fn head_limit(&self) -> Duration {
+    /// Returns the time limit for the head of the response.
+    fn head_timeout(&self) -> Duration {
         let routed = self.routed;
         let left = routed.deadline.saturating_sub(boot_now());
-        let again = self.sends < routed.max_attempts;
+        let can_repeat = self.sends < routed.max_attempts;
         match routed.kind {
-            CallKind::Idempotent if again => left.min(routed.objective * REPEAT_AFTER_OBJECTIVES),
-            CallKind::ResumableStream if again => left.min(RESUME_SILENCE),
+            CallKind::Idempotent if can_repeat => {
+                left.min(routed.objective * REPEAT_AFTER_OBJECTIVES)
+            }
+            CallKind::ResumableStream if can_repeat => left.min(MAX_RESUMABLE_SILENCE),
             _ => left,
         }
     }
 
-    async fn relay_stream(&mut self, call: &mut TargetCall, slot: &mut SlotGuard) -> SendEnd {
-        let again = self.sends < self.routed.max_attempts;
-        let bounds = RelayBounds {
+    async fn relay_stream(&mut self, call: &mut TargetCall, slot: &mut SlotGuard) -> SendOutcome {
+        let can_repeat = self.sends < self.routed.max_attempts;
+        let limits = RelayLimits {
             deadline: self.routed.deadline,
-            silence: match self.routed.kind {
-                CallKind::ResumableStream if again => Some(RESUME_SILENCE),
+            max_silence: match self.routed.kind {
+                CallKind::ResumableStream if can_repeat => Some(MAX_RESUMABLE_SILENCE),
                 _ => None,
             },
         };
@@ -157,88 +169,91 @@
         let mut placement = self.placement();
         placement.tried.push(slot.target().name.clone());
         let state = self.state;
-        let can_move = || {
+        let can_resume = || {
             let table = state.queue.lock_table();
             table.has_room_for(&placement, boot_now()) && state.can_retry(&placement.pool)
         };
         let caller = &mut *self.caller;
         let relayed = self
             .progress
-            .relay(caller, request, call, slot, bounds, can_move);
+            .relay(caller, request, call, slot, limits, can_resume);
         match relayed.await {
-            RelayEnd::Whole => SendEnd::Done { status: 200 },
-            RelayEnd::CallerGone => SendEnd::CallerGone,
-            RelayEnd::TimeOver => SendEnd::TimeOver,
-            RelayEnd::TargetLost(cause) => SendEnd::Lost(cause),
+            RelayOutcome::Complete => SendOutcome::Delivered { status: 200 },
+            RelayOutcome::CallerDisconnected => SendOutcome::CallerDisconnected,
+            RelayOutcome::DeadlineExceeded => SendOutcome::DeadlineExceeded,
+            RelayOutcome::TargetLost(cause) => SendOutcome::Lost(cause),
         }
     }
 
-    /// Reads the whole body.
+    /// Reads the complete body.
     async fn collect(
         &mut self,
         mut call: TargetCall,
         slot: &mut SlotGuard,
-    ) -> Result<(TargetCall, Vec<u8>), SendEnd> {
+    ) -> Result<(TargetCall, Vec<u8>), SendOutcome> {
         let left = self.routed.deadline.saturating_sub(boot_now());
         let collected = async {
             match timeout(left, collect_body(&mut call)).await {
                 Ok(Ok(body)) => Ok(body),
-                Ok(Err(error)) => Err(SendEnd::Lost(error.into())),
-                Err(_) => Err(SendEnd::TimeOver),
+                Ok(Err(error)) => Err(SendOutcome::Lost(error.into())),
+                Err(_) => Err(SendOutcome::DeadlineExceeded),
             }
         };
-        let body = unless_caller_leaves(self.caller, self.routed.kind, collected).await?;
+        let body = cancel_on_disconnect(self.caller, self.routed.kind, collected).await?;
         slot.record_event();
         Ok((call, body))
     }
 
-    /// Passes a whole answer on, or keeps a failure that another target may mend.
-    async fn pass_collected(&mut self, head: &AnswerMessage, body: Vec<u8>) -> SendEnd {
-        // 429, 503, 408 and 421 tell the caller that nothing ran. A target that
-        // doesn't say so may have run it.
+    /// Forwards a buffered response, or keeps an error response because another target
+    /// may succeed.
+    async fn deliver_collected(&mut self, head: &AnswerMessage, body: Vec<u8>) -> SendOutcome {
+        // Statuses 429, 503, 408 and 421 tell the caller that nothing ran. Without the
+        // target's confirmation it may have run the request.
         if matches!(head.status, 408 | 421 | 429 | 503) {
-            return SendEnd::Lost(LossCause::Unproven(head.status));
+            return SendOutcome::Lost(LossCause::UnconfirmedStatus(head.status));
         }
-        if self.progress.began {
-            // The rest of a stream can't be a failure with a status.
-            return SendEnd::Lost(LossCause::NotTheRest(head.status));
+        if self.progress.has_started {
+            // A stream can't be continued with an error response.
+            return SendOutcome::Lost(LossCause::NotResumed(head.status));
         }
         if head.status >= 500 {
-            return SendEnd::Failure {
+            return SendOutcome::TargetFailure {
                 head: head.clone(),
                 body,
             };
         }
-        self.write_answer(head, &body).await
+        self.write_response(head, &body).await
     }
 
-    /// Tells whether the target says that it did not run the request.
+    /// Returns whether the target confirms that it did not run the request.
     fn is_not_run(&self, head: &AnswerMessage) -> bool {
-        head.status == 421 || head.headers.contains(&self.state.dialect.not_run)
+        head.status == 421 || head.headers.contains(&self.state.header_names.not_run)
     }
 
-    /// Reads a refusal to its end, so that the connection can be kept.
-    async fn discard(&self, mut call: TargetCall, slot: &SlotGuard) {
-        let collected = timeout(DISCARD_TIME, collect_body(&mut call)).await;
+    /// Reads the rest of a refusal so that the connection can be reused.
+    async fn discard_body(&self, mut call: TargetCall, slot: &SlotGuard) {
+        let collected = timeout(DISCARD_TIMEOUT, collect_body(&mut call)).await;
         if matches!(collected, Ok(Ok(_)))
-            && let Some((link, head)) = call.into_kept()
+            && let Some((connection, head)) = call.into_reusable()
         {
-            self.state.links.put(&slot.target().name, link, &head);
+            self.state
+                .connections
+                .put(&slot.target().name, connection, &head);
         }
     }
 
-    /// Returns the request as this target gets it.
+    /// Returns the request as it is sent to this target.
     fn request_bytes(&self, slot: &SlotGuard) -> Vec<u8> {
         let routed = self.routed;
-        let dialect = &self.state.dialect;
+        let header_names = &self.state.header_names;
         let mut message = routed.request.message.clone();
         let left = routed.deadline.saturating_sub(boot_now());
         let headers = &mut message.headers;
-        headers.push(&dialect.deadline_ms, left.as_millis().to_string());
-        headers.push(&dialect.target, &slot.target().name);
+        headers.push(&header_names.deadline_ms, left.as_millis().to_string());
+        headers.push(&header_names.target, &slot.target().name);
         if let Some(last) = self.progress.last_id() {
-            headers.retain(|name| !name.eq_ignore_ascii_case(&dialect.resume_after));
-            headers.push(&dialect.resume_after, last);
+            headers.retain(|name| !name.eq_ignore_ascii_case(&header_names.resume_after));
+            headers.push(&header_names.resume_after, last);
         }
         let body = &routed.request.body;
         let mut bytes = Vec::with_capacity(body.len() + 1024);
@@ -248,19 +263,19 @@
     }
 }
 
-/// Goes on with `work` until the caller leaves. What may run once may run by now, and is
-/// left alone if its caller leaves.
-async fn unless_caller_leaves<T>(
-    caller: &mut CallerLink,
+/// Runs `operation` until the caller disconnects. A non-idempotent request may already be
+/// running at the target, so it is left to finish.
+async fn cancel_on_disconnect<T>(
+    caller: &mut CallerConnection,
     kind: CallKind,
-    work: impl Future<Output = Result<T, SendEnd>>,
-) -> Result<T, SendEnd> {
+    operation: impl Future<Output = Result<T, SendOutcome>>,
+) -> Result<T, SendOutcome> {
     if kind == CallKind::NonIdempotent {
-        return work.await;
+        return operation.await;
     }
-    let gone = async {
-        caller.gone().await;
-        Err(SendEnd::CallerGone)
+    let disconnected = async {
+        caller.disconnected().await;
+        Err(SendOutcome::CallerDisconnected)
     };
-    or(work, gone).await
+    or(operation, disconnected).await
 }
--- a/src/edge/tests/gossip.rs
+++ b/src/edge/tests/gossip.rs
@@ -1,23 +1,24 @@
-//! What gossip carries.
+//! Content and size of gossip messages.
 
 use std::time::Duration;
 
 use bincode::config::standard;
 
+use super::edge_fixture::isolated_state;
 use super::edge_fixture::large_catalog;
-use super::edge_fixture::lone_state;
 use crate::catalog::CatalogParts;
 use crate::catalog::RouteCatalog;
 use crate::clock::boot_now;
 use crate::edge::EdgeBounds;
-use crate::edge::local_digest::MessageRequest;
+use crate::edge::gossip_builder::MessageOptions;
 use crate::peers::unpack_value;
 use crate::view::TargetPhase;
 use crate::view::TargetRecord;
 use crate::view::TargetRemoval;
 use crate::view::ViewUpdate;
 
-/// What each of 16 hosts of a group may get within 400 ms over a link of 10 Mbit/s, in bytes.
+/// Bytes that each of 16 hosts of a group may receive within 400 ms over a link of 10
+/// Mbit/s.
 const NARROW_LINK_BYTES: usize = 31_000;
 
 fn catalog_update(version: u64, routes: usize) -> ViewUpdate {
@@ -59,11 +60,11 @@
     }
 }
 
-/// Guards against a large catalog that holds up what a peer must know of leaving targets.
+/// Guards against a large catalog that delays the news of leaving targets.
 #[test]
-fn a_leaving_target_is_told_without_the_catalog() {
-    let leader = lone_state(EdgeBounds::default());
-    let member = lone_state(EdgeBounds::default());
+fn a_leaving_target_is_reported_without_the_catalog() {
+    let leader = isolated_state(EdgeBounds::default());
+    let member = isolated_state(EdgeBounds::default());
     let now = boot_now();
     member
         .view
@@ -74,11 +75,11 @@
     leader
         .view
         .apply_store_response(removal_update(3), now, now);
-    let (message, _) = member.message_for(MessageRequest {
+    let (message, _) = member.build_message(MessageOptions {
         receiver: "leader",
         scope: None,
-        near: false,
-        new: false,
+        with_loads: false,
+        is_new: false,
         peer_hosts: 1,
         since: None,
     });
@@ -91,13 +92,13 @@
 }
 
 #[test]
-fn a_catalog_is_sent_packed() {
+fn a_catalog_is_sent_compressed() {
     let parts = large_catalog(2, 1400);
     let catalog = RouteCatalog::compile(parts);
 
     let package = catalog.encoded_parts();
     let unpacked: CatalogParts = unpack_value(package).unwrap();
-    let cut: Option<CatalogParts> = unpack_value(&package[..package.len() / 2]);
+    let truncated: Option<CatalogParts> = unpack_value(&package[..package.len() / 2]);
     let unpacked = RouteCatalog::compile(unpacked);
 
     assert!(package.len() < NARROW_LINK_BYTES, "{}", package.len());
@@ -107,23 +108,24 @@
             .find_route("host-01399.example", "/more/01399/x")
             .is_some()
     );
-    assert!(cut.is_none());
+    assert!(truncated.is_none());
 }
 
-/// Guards against a host that starts and never gets the view, as no answer can carry it in time.
+/// Guards against a starting host that never receives the view because no message can
+/// carry it in time.
 #[test]
 fn gossip_does_not_carry_a_large_view() {
-    let leader = lone_state(EdgeBounds::default());
-    let young = lone_state(EdgeBounds::default());
+    let leader = isolated_state(EdgeBounds::default());
+    let starting = isolated_state(EdgeBounds::default());
     let now = boot_now();
     leader
         .view
         .apply_store_response(targets_update(1, 3000), now, now);
-    let (message, _) = young.message_for(MessageRequest {
+    let (message, _) = starting.build_message(MessageOptions {
         receiver: "leader",
         scope: None,
-        near: false,
-        new: true,
+        with_loads: false,
+        is_new: true,
         peer_hosts: 1,
         since: None,
     });
--- a/src/policy/policy_action.rs
+++ b/src/policy/policy_action.rs
@@ -11,7 +11,7 @@
 /// An action that the host must take at once on one piece of work.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PolicyAction {
-    /// Send the work to the target. Its slot stays taken until `ended`.
+    /// Send the work to the target. Its slot stays taken until `record_end`.
     Dispatch {
         /// The work.
         work: WorkId,
@@ -27,8 +27,8 @@
         /// The time after which the caller should retry.
         retry_after: Duration,
     },
-    /// Hand the work, which was not dispatched, over to a peer.
-    HandOver {
+    /// Forward the work, which was not dispatched, to a peer.
+    Forward {
         /// The work.
         work: WorkId,
         /// The peer.
