--- a/src/edge/caller_session.rs
+++ b/src/edge/caller_session.rs
@@ -40,7 +40,7 @@
             Ok(Some(request)) => serve_request(&state, &mut caller, request).await,
             Ok(None) => return,
             Err(request) => {
-                refuse_bad(&state, &mut caller, request).await;
+                refuse_bad_request(&state, &mut caller, request).await;
                 true
             }
         };
@@ -67,7 +67,7 @@
             let report = RefusalReport {
                 message: Some(&refused.message),
                 refusal: refused.refusal,
-                sends: 0,
+                attempts: 0,
                 arrived,
                 pool: None,
                 account: refused.account.as_ref(),
@@ -80,7 +80,7 @@
     state.record_request(&routed.pool);
     let mut execution = RequestExecution::new(state, caller, &routed);
     let outcome = execution.serve().await;
-    let sends = execution.sends();
+    let attempts = execution.attempts();
     if !matches!(outcome, ExecutionOutcome::Answered) {
         routed.record_end(execution.outcome());
     }
@@ -93,7 +93,7 @@
             let report = RefusalReport {
                 message: Some(&routed.request.message),
                 refusal,
-                sends,
+                attempts,
                 arrived,
                 pool: Some(&routed.pool),
                 account: routed.account.as_ref().map(|account| &account.name),
@@ -106,7 +106,7 @@
             count(&state.metrics.callers_left);
             state.log.write(&DecisionLine::CallerLeft {
                 request: routed.id.clone(),
-                attempts: sends,
+                attempts,
                 total_ms: routed.age().as_millis() as u64,
             });
             false
@@ -162,7 +162,7 @@
 struct RefusalReport<'r> {
     message: Option<&'r RequestMessage>,
     refusal: EdgeRefusal,
-    sends: u32,
+    attempts: u32,
     arrived: std::time::Duration,
     pool: Option<&'r str>,
     account: Option<&'r AccountName>,
@@ -192,7 +192,7 @@
         kind: refusal.kind,
         status: refusal.status(),
         retry_after_ms: refusal.retry_after.map(|after| after.as_millis() as u64),
-        attempts: report.sends,
+        attempts: report.attempts,
         total_ms: boot_now().saturating_sub(report.arrived).as_millis() as u64,
         catalog: state.view.held_versions().1,
         evidence_age_ms: state.evidence_age().map(|age| age.as_millis() as u64),
@@ -201,13 +201,13 @@
     write_bytes(&caller.stream, &bytes).await.is_ok()
 }
 
-async fn refuse_bad(state: &EdgeState, caller: &mut CallerConnection, request: BadRequest) {
+async fn refuse_bad_request(state: &EdgeState, caller: &mut CallerConnection, request: BadRequest) {
     // The end of a malformed request is unknown, so no further request can be parsed.
     caller.reusable = false;
     let report = RefusalReport {
         message: request.message.as_ref(),
         refusal: request.kind.into(),
-        sends: 0,
+        attempts: 0,
         arrived: boot_now(),
         pool: None,
         account: None,
--- a/src/edge/crash_check.rs
+++ b/src/edge/crash_check.rs
@@ -20,7 +20,7 @@
 /// request as suspect if the target no longer accepts connections.
 ///
 /// Without this, a request that crashes every target that runs it takes down one target
-/// after another, with all of their work, as its caller repeats it under new ids. A
+/// after another, with all of their work, as its caller retries it under new ids. A
 /// single closed connection is no proof of a crash, because targets close connections for
 /// other reasons too.
 pub(crate) async fn check_crash(
@@ -31,8 +31,8 @@
 ) {
     task::sleep(PROBE_DELAY).await;
     count(&state.metrics.connects);
-    if let Ok(link) = TargetConnection::open(target.address).await {
-        state.connections.put_unused(&target.name, link);
+    if let Ok(connection) = TargetConnection::open(target.address).await {
+        state.connections.put_unused(&target.name, connection);
         return;
     }
     let name = target.name;
--- a/src/edge/deadline_history.rs
+++ b/src/edge/deadline_history.rs
@@ -14,7 +14,7 @@
 
 /// Lowest ratio of an individual initial deadline to the longest one of its route.
 /// Retries have less time left than that.
-const MIN_FIRST_RATIO: f64 = 0.8;
+const MIN_INITIAL_RATIO: f64 = 0.8;
 /// Period over which the longest deadline of a route is tracked.
 const LONGEST_PERIOD: Duration = Duration::from_secs(30);
 
@@ -22,7 +22,7 @@
 ///
 /// Callers start either with one of a few common deadlines or with an individual one
 /// close to the longest. A caller that retries after a refusal sends what is left of its
-/// first deadline, which is an uncommon value. The latency objective counts from the
+/// initial deadline, which is an uncommon value. The latency objective counts from the
 /// first attempt, so it may already have been missed.
 #[derive(Debug, Default)]
 pub(crate) struct DeadlineHistory {
@@ -52,7 +52,7 @@
             .routes
             .get_or_insert_with(route.to_owned(), RouteDeadlines::default);
         count_deadline(&mut route.seen, left);
-        let longest = route.longest_with(left, now);
+        let longest = route.update_longest(left, now);
         let frequent = route
             .seen
             .iter()
@@ -63,7 +63,7 @@
             .min();
         match initial {
             Some(initial) => initial - left,
-            None if left < longest.mul_f64(MIN_FIRST_RATIO) => longest - left,
+            None if left < longest.mul_f64(MIN_INITIAL_RATIO) => longest - left,
             None => Duration::ZERO,
         }
     }
@@ -71,7 +71,7 @@
 
 impl RouteDeadlines {
     /// Records a deadline and returns the longest one of the last two periods.
-    fn longest_with(&mut self, left: Duration, now: Duration) -> Duration {
+    fn update_longest(&mut self, left: Duration, now: Duration) -> Duration {
         if now.saturating_sub(self.period_start) >= LONGEST_PERIOD {
             self.previous_longest = std::mem::take(&mut self.longest);
             self.period_start = now;
--- a/src/edge/edge_metrics.rs
+++ b/src/edge/edge_metrics.rs
@@ -11,10 +11,10 @@
     pub(crate) answered: AtomicU64,
     /// Requests whose caller disconnected.
     pub(crate) callers_left: AtomicU64,
-    /// Requests sent to targets, including repeats.
-    pub(crate) sends: AtomicU64,
-    /// Requests sent to a target again after the first time.
-    pub(crate) repeats: AtomicU64,
+    /// Requests sent to targets, including retries.
+    pub(crate) attempts: AtomicU64,
+    /// Requests sent to a target after the first attempt.
+    pub(crate) retries: AtomicU64,
     /// Connections opened to targets.
     pub(crate) connects: AtomicU64,
     pub(crate) store_calls: AtomicU64,
@@ -31,8 +31,8 @@
         let counters = [
             ("requests_answered_total", &self.answered),
             ("callers_left_total", &self.callers_left),
-            ("target_sends_total", &self.sends),
-            ("target_repeats_total", &self.repeats),
+            ("target_sends_total", &self.attempts),
+            ("target_repeats_total", &self.retries),
             ("target_connects_total", &self.connects),
             ("store_calls_total", &self.store_calls),
         ];
--- a/src/edge/edge_settings.rs
+++ b/src/edge/edge_settings.rs
@@ -45,11 +45,11 @@
     /// Time within which a target that is leaving, or whose availability zone is
     /// evacuated, must stop receiving new work.
     pub(crate) max_target_delay: Duration,
-    /// Allowed repeats per request, across all hosts.
+    /// Allowed retries per request, across all hosts.
     pub(crate) retry_ratio: f64,
-    /// Allowed repeats per window in addition to the ratio, across all hosts.
+    /// Allowed retries per window in addition to the ratio, across all hosts.
     pub(crate) retry_slack: f64,
-    /// The window over which repeats are counted.
+    /// The window over which retries are counted.
     pub(crate) retry_window: Duration,
     /// How far all hosts together may exceed an account's quota.
     pub(crate) quota_tolerance: QuotaTolerance,
@@ -75,7 +75,7 @@
 }
 
 impl EdgeBounds {
-    /// Returns the limits on repeats.
+    /// Returns the limits on retries.
     pub(crate) const fn retry_bounds(&self) -> RetryBounds {
         RetryBounds {
             ratio: self.retry_ratio,
--- a/src/edge/edge_state.rs
+++ b/src/edge/edge_state.rs
@@ -160,9 +160,9 @@
         *lock(&self.peer_fleet_size)
     }
 
-    /// Records the fleet size that a peer reported.
-    pub(crate) fn record_fleet_size(&self, hosts: usize, grouped: bool, now: Duration) {
-        lock(&self.peer_fleet_size).record(hosts, grouped, now);
+    /// Updates the fleet size from the report of a peer.
+    pub(crate) fn update_fleet_size(&self, hosts: usize, grouped: bool, now: Duration) {
+        lock(&self.peer_fleet_size).update(hosts, grouped, now);
     }
 
     /// Returns the number of hosts that a peer knows, by its last report.
@@ -170,8 +170,8 @@
         lock(&self.peer_host_count).get(host).copied().unwrap_or(0)
     }
 
-    /// Records the number of hosts that a peer knows.
-    pub(crate) fn record_host_count(&self, host: &HostName, hosts: usize) {
+    /// Updates the number of hosts that a peer knows.
+    pub(crate) fn update_host_count(&self, host: &HostName, hosts: usize) {
         lock(&self.peer_host_count).insert(host.clone(), hosts);
     }
 
@@ -186,7 +186,7 @@
         skipped.contains_key(host)
     }
 
-    /// Returns what was sent last and what is sent next.
+    /// Returns the loads that were sent last and the positions of the next messages.
     pub(crate) fn gossip_cursors(&self) -> MutexGuard<'_, GossipCursors> {
         lock(&self.gossip_cursors)
     }
@@ -195,15 +195,14 @@
         lock(&self.quota_limiter)
     }
 
-    /// Reserves a repeat from the retry budget of all hosts; returns whether one was
-    /// left.
+    /// Takes a retry from the retry budget of all hosts; returns whether one was left.
     pub(crate) fn try_retry(&self, pool: &str) -> bool {
         let bounds = self.settings.load().bounds.retry_bounds();
         let hosts = self.members().size();
         lock(&self.retry_budget).try_retry(pool, bounds, hosts, boot_now())
     }
 
-    /// Returns whether the retry budget of all hosts permits another repeat.
+    /// Returns whether the retry budget of all hosts permits another retry.
     pub(crate) fn can_retry(&self, pool: &str) -> bool {
         let bounds = self.settings.load().bounds.retry_bounds();
         let hosts = self.members().size();
--- a/src/edge/fleet_role.rs
+++ b/src/edge/fleet_role.rs
@@ -21,10 +21,9 @@
 const REPORT_TTL: Duration = Duration::from_millis(1500);
 /// Time for which a reported fleet size is valid.
 const FLEET_SIZE_TTL: Duration = Duration::from_secs(3);
-/// Ratio of the reported fleet size that a host must know before it takes its place in a
-/// group.
+/// Ratio of the reported fleet size that a host must know before it joins a group.
 const MIN_KNOWN_RATIO: f64 = 0.9;
-/// Longest time that a host waits until it knows that many hosts.
+/// Longest time that a host waits to know that many hosts.
 const MAX_JOIN_TIME: Duration = Duration::from_secs(5);
 /// Age of the target view at which a host that doesn't watch the store polls it, as a
 /// ratio of the maximum delay of target changes. The second ratio is added in full for
@@ -49,7 +48,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetRole {
     pub(crate) layout: GroupLayout,
-    /// Whether it knows too few hosts to take its place in a group.
+    /// Whether it still knows too few hosts to join a group, or awaits the first report of
+    /// the fleet size.
     pub(crate) is_joining: bool,
     /// Whether it is the first leader candidate of its group.
     pub(crate) is_leader: bool,
@@ -72,15 +72,16 @@
 }
 
 impl FleetRole {
-    /// Returns whether the host is placed in a group.
+    /// Returns whether the host has joined a group.
     pub(crate) const fn is_grouped_member(&self) -> bool {
         self.layout.is_grouped() && !self.is_joining
     }
 }
 
 impl PeerFleetSize {
-    /// Records a fleet size, and whether the peer that reported it is placed in a group.
-    pub(crate) fn record(&mut self, hosts: usize, grouped: bool, now: Duration) {
+    /// Updates the fleet size from the report of a peer; `grouped` is whether that peer has
+    /// joined a group.
+    pub(crate) fn update(&mut self, hosts: usize, grouped: bool, now: Duration) {
         let is_expired = now.saturating_sub(self.reported_at) >= FLEET_SIZE_TTL;
         if hosts >= self.hosts || is_expired {
             *self = Self {
@@ -171,8 +172,8 @@
         }
     }
 
-    /// Returns whether this host is its group's leader, or other hosts report to it
-    /// anyway.
+    /// Returns whether this host is its group's leader or receives reports from other
+    /// hosts, which consider it the leader.
     pub(crate) fn acts_as_leader(&self, role: &FleetRole) -> bool {
         if !role.is_grouped_member() {
             return false;
--- a/src/edge/gossip_builder.rs
+++ b/src/edge/gossip_builder.rs
@@ -26,14 +26,14 @@
 const MAX_CHANGES_PER_MESSAGE: usize = 128;
 /// Number of hosts listed in a message to a peer that knows few.
 const BOOTSTRAP_RECORDS: usize = 512;
-/// Ratio of the known hosts that a peer must know to be sent only changes and a rotating
-/// few.
+/// Ratio of the known hosts. A peer that knows fewer is sent up to [`BOOTSTRAP_RECORDS`]
+/// hosts, any other peer only the changed hosts and a few more in rotation.
 const MIN_KNOWN_RATIO: f64 = 0.8;
 /// Number of messages over which the heartbeats of the whole fleet are spread.
 const HEARTBEAT_ROUNDS: usize = 8;
 /// Age up to which a host counts as recently started.
 const STARTUP_AGE: Duration = Duration::from_secs(5);
-/// Age of the changes that are sent to a peer without a previous exchange.
+/// Maximum age of the changes that are sent to a peer without a successful exchange.
 const DEFAULT_CHANGE_WINDOW: Duration = Duration::from_secs(6);
 
 /// Returns whether a host of this age is still starting and knows few others.
@@ -209,7 +209,7 @@
         })
     }
 
-    /// Returns the hosts that changed since the last exchange, and a rotating few others.
+    /// Returns the hosts that changed since the last exchange, and a few others in rotation.
     fn select_records(
         &self,
         options: MessageOptions<'_>,
@@ -229,8 +229,8 @@
         records
     }
 
-    /// Returns the heartbeats of the hosts that report to this one, or a rotating part of
-    /// all heartbeats.
+    /// Returns the heartbeats of the hosts that report to this one, or a part of all
+    /// heartbeats in rotation.
     fn select_heartbeats(&self, options: MessageOptions<'_>, now: Duration) -> Vec<HeartbeatAge> {
         match options.scope {
             None | Some(UsageScope::Host) => Vec::new(),
--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -36,9 +36,9 @@
 
 /// Period at which a small fleet checks for due peers and sends changed loads.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(100);
-/// Period until this host has received a view from a peer or the store.
+/// The same period until this host has received a view from a peer or the store.
 const BOOTSTRAP_PERIOD: Duration = Duration::from_millis(25);
-/// Period in a large fleet.
+/// The same period in a large fleet.
 const GROUP_PERIOD: Duration = Duration::from_millis(200);
 /// Number of periods after which peers gossip without a change of load, as a heartbeat.
 const HEARTBEAT_PERIODS: u32 = 4;
@@ -286,14 +286,14 @@
         // The age is applied before the view. Entries that are missing from the view may
         // only have expired because the store was unavailable, and the age tells whether
         // it was.
-        self.record_view_state(peer_view, started_at);
+        self.apply_view_state(peer_view, started_at);
         if let Some(update) = update {
             self.fetcher.apply_update(*update, &peer.host);
         }
         self.fetcher.catch_up(&peer.host, peer_view).await;
         // The age is valid only for the versions that this host holds, which may be newer
         // now.
-        self.record_view_state(peer_view, started_at);
+        self.apply_view_state(peer_view, started_at);
     }
 
     /// Ends a failed exchange and skips the peer as a leader for a while.
@@ -327,11 +327,11 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records how recent a peer's view is, by its own report.
+    /// Applies a peer's report on how recent its view is.
     ///
     /// The peer measured the age after the call started, so its view matched the store at
     /// the resulting time or later.
-    fn record_view_state(&self, peer_view: PeerViewState, started_at: Duration) {
+    fn apply_view_state(&self, peer_view: PeerViewState, started_at: Duration) {
         let view = &self.state.view;
         let confirmed_at = |age_ms: u64| started_at.saturating_sub(Duration::from_millis(age_ms));
         if let Some(age) = peer_view.evidence_age_ms {
--- a/src/edge/gossip_merge.rs
+++ b/src/edge/gossip_merge.rs
@@ -118,10 +118,10 @@
         members.apply_heartbeat(*heartbeat, now);
     }
     drop(members);
-    state.record_host_count(&message.own.host, usize::from(message.hosts));
+    state.update_host_count(&message.own.host, usize::from(message.hosts));
     state.poison.merge(&message.poison);
     merge_limits(state, message);
-    state.record_fleet_size(usize::from(message.hosts), message.grouped, now);
+    state.update_fleet_size(usize::from(message.hosts), message.grouped, now);
 }
 
 /// Merges the target limits that a peer knows.
--- a/src/edge/gossip_service.rs
+++ b/src/edge/gossip_service.rs
@@ -96,7 +96,7 @@
         }
         let reply = self.answer(call);
         Box::pin(async move {
-            // The peer may have disconnected; the error is of no use then.
+            // A failed send is ignored, because the peer may have disconnected.
             replies.finish(reply).await.ok();
         })
     }
--- a/src/edge/mod.rs
+++ b/src/edge/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Each step of a request has its own file: [`caller_connection`] reads it,
 //! [`route_filter`] finds its route and account, [`quota_filter`] charges it to the
-//! account, [`request_execution`] waits for a target, sends the request and repeats it,
+//! account, [`request_execution`] waits for a target, sends and retries the request,
 //! and [`response_relay`] forwards the response. Controllers maintain the state:
 //! [`watch_controller`] follows the store, [`gossip_controller`] the other hosts,
 //! [`settings_controller`] the settings file, and [`shutdown_controller`] performs the
--- a/src/edge/operator_endpoints.rs
+++ b/src/edge/operator_endpoints.rs
@@ -41,11 +41,11 @@
             true => "",
             false => "Connection: close\r\n",
         };
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 {status} {reason}\r\nContent-Type: text/plain\r\n{connection}Content-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        let written = write_bytes(&caller.stream, answer.as_bytes()).await;
+        let written = write_bytes(&caller.stream, response.as_bytes()).await;
         if written.is_err() || !caller.reusable {
             return;
         }
--- a/src/edge/request_execution.rs
+++ b/src/edge/request_execution.rs
@@ -1,4 +1,4 @@
-//! Executes one routed request: waits for a target, sends the request, and repeats it
+//! Executes one routed request: waits for a target, sends the request, and retries it
 //! where that is allowed.
 
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use super::edge_refusal::EdgeRefusal;
 use super::edge_state::EdgeState;
 use super::response_relay::StreamProgress;
-use super::response_relay::write_collected;
+use super::response_relay::write_buffered;
 use super::route_filter::RoutedRequest;
 use super::send_outcome::SendOutcome;
 use crate::catalog::CallKind;
@@ -34,10 +34,10 @@
 /// Share of the time until the caller gives up that a request may wait in the queue. The
 /// rest is left for the first event.
 const QUEUE_WAIT_RATIO: f64 = 0.75;
-/// Share of the remaining time that a request may wait in the queue when it can no longer
-/// meet its objective. Such requests run only on capacity that no other request needs,
-/// and their callers have already waited long.
-const LATE_QUEUE_WAIT_RATIO: f64 = 0.25;
+/// Share of the remaining time that the retry of a caller may wait in the queue. If it can
+/// no longer meet its objective, it runs only on capacity that no other request needs, and
+/// its caller has already waited long.
+const RETRY_QUEUE_WAIT_RATIO: f64 = 0.25;
 /// Minimum time that the rest of a stream may wait for a target. Callers give up on a
 /// stream that pauses for two seconds.
 const RESUME_WAIT: Duration = Duration::from_millis(1500);
@@ -46,10 +46,10 @@
 /// during it. After a third of their time callers retry regardless of the delay they were
 /// given.
 const STREAM_RETRY_RATIO: f64 = 0.33;
-/// The same for other calls, which may still meet their objective.
+/// Minimum retry delay for a request that is not a stream, which may still meet its objective.
 const CALL_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Random variation of the retry delays, as a share of them, so that callers don't retry
-/// together.
+/// together. It is subtracted from the delay for a stream and added to the other one.
 const STREAM_RETRY_JITTER: f64 = 0.25;
 const CALL_RETRY_JITTER: f64 = 0.6;
 
@@ -71,7 +71,7 @@
     pub(super) caller: &'a mut CallerConnection,
     pub(super) routed: &'a RoutedRequest,
     pub(super) progress: StreamProgress,
-    pub(super) sends: u32,
+    pub(super) attempts: u32,
     tried: Vec<TargetName>,
     /// Whether a target may have run the request.
     may_have_run: bool,
@@ -91,7 +91,7 @@
             caller,
             routed,
             progress: StreamProgress::new(routed.request.arrived, Arc::clone(&routed.series)),
-            sends: 0,
+            attempts: 0,
             tried: Vec::new(),
             may_have_run: false,
             failure: None,
@@ -99,8 +99,8 @@
     }
 
     /// Returns how often the request was sent.
-    pub(crate) const fn sends(&self) -> u32 {
-        self.sends
+    pub(crate) const fn attempts(&self) -> u32 {
+        self.attempts
     }
 
     /// Returns what is known about a request that got no response from a target.
@@ -172,7 +172,8 @@
                 true => boot_now() + RESUME_WAIT,
                 false => (routed.request.arrived + routed.objective).saturating_sub(routed.waited),
             },
-            // The rest of a stream is not retried by the caller.
+            // A resumed stream counts as a retry, because its caller does not ask for the
+            // rest again.
             is_retry: !routed.waited.is_zero() || self.progress.has_started,
             prompt_tokens: routed.usage.map_or(0, |usage| usage.prompt),
             output_tokens: routed.usage.and_then(|usage| usage.expected_output),
@@ -196,7 +197,7 @@
         let wait = match (self.progress.has_started, routed.waited.is_zero()) {
             (true, _) => wait.max(RESUME_WAIT),
             (false, true) => wait,
-            (false, false) => wait.min(left.mul_f64(LATE_QUEUE_WAIT_RATIO)),
+            (false, false) => wait.min(left.mul_f64(RETRY_QUEUE_WAIT_RATIO)),
         };
         wait.min(left - MIN_TIME_LEFT)
     }
@@ -217,12 +218,12 @@
         connection: TargetConnection,
     ) -> Option<ExecutionOutcome> {
         let target = slot.target().name.clone();
-        self.sends += 1;
+        self.attempts += 1;
         self.report_sent(&target);
         let outcome = self.send(slot, connection).await;
         self.tried.push(target.clone());
         self.may_have_run |= !matches!(outcome, SendOutcome::NotRun(_));
-        let (cause, is_repeatable, kind) = match outcome {
+        let (cause, is_retryable, kind) = match outcome {
             SendOutcome::Delivered { status } => {
                 self.report_served(&target, status);
                 return Some(ExecutionOutcome::Answered);
@@ -231,29 +232,29 @@
             SendOutcome::DeadlineExceeded => return Some(self.fail(ErrorKind::TargetSilent).await),
             SendOutcome::NotRun(cause) => (cause, true, ErrorKind::Overloaded),
             SendOutcome::Lost(cause) => {
-                let is_repeatable = self.routed.kind.is_retryable();
-                (cause.to_string(), is_repeatable, ErrorKind::TargetLost)
+                let is_retryable = self.routed.kind.is_retryable();
+                (cause.to_string(), is_retryable, ErrorKind::TargetLost)
             }
             SendOutcome::TargetFailure { head, body } => {
                 let cause = format!("status {}", head.status);
                 self.failure = Some((head, body));
-                let is_repeatable = self.routed.kind == CallKind::Idempotent;
-                (cause, is_repeatable, ErrorKind::TargetFault)
+                let is_retryable = self.routed.kind == CallKind::Idempotent;
+                (cause, is_retryable, ErrorKind::TargetFault)
             }
         };
-        let repeat = is_repeatable && self.reserve_repeat();
-        self.report_failure(&target, &cause, repeat);
-        match repeat {
+        let retry = is_retryable && self.reserve_retry();
+        self.report_failure(&target, &cause, retry);
+        match retry {
             true => None,
             false => Some(self.fail(kind).await),
         }
     }
 
-    /// Returns whether the request may be repeated, and charges the retry budget if so.
-    fn reserve_repeat(&self) -> bool {
+    /// Returns whether the request may be retried, and charges the retry budget if so.
+    fn reserve_retry(&self) -> bool {
         let is_resumable = !self.progress.has_started || self.progress.last_id().is_some();
         is_resumable
-            && self.sends < self.routed.max_attempts
+            && self.attempts < self.routed.max_attempts
             && boot_now() + MIN_TIME_LEFT < self.routed.deadline
             && self.state.try_retry(&self.routed.pool)
     }
@@ -266,7 +267,7 @@
         // A complete response is still delivered after the deadline.
         let left = self.routed.deadline.saturating_sub(boot_now());
         let limit = left.max(Duration::from_secs(1));
-        match write_collected(self.caller, head, body, limit).await {
+        match write_buffered(self.caller, head, body, limit).await {
             true => SendOutcome::Delivered {
                 status: head.status,
             },
--- a/src/edge/request_reporting.rs
+++ b/src/edge/request_reporting.rs
@@ -11,11 +11,11 @@
     pub(super) fn report_sent(&self, target: &TargetName) {
         let state = self.state;
         let waited = self.routed.age();
-        count(&state.metrics.sends);
-        if self.sends > 1 {
-            count(&state.metrics.repeats);
+        count(&state.metrics.attempts);
+        if self.attempts > 1 {
+            count(&state.metrics.retries);
         }
-        if self.sends == 1 {
+        if self.attempts == 1 {
             self.routed.series.record_queue_time(waited);
         }
         state.log.write(&DecisionLine::RequestSent {
@@ -28,7 +28,7 @@
                 .map(|account| account.name.clone()),
             pool: self.routed.pool.clone(),
             target: target.clone(),
-            attempt: self.sends,
+            attempt: self.attempts,
             waited_ms: waited.as_millis() as u64,
             earlier_ms: self.routed.waited.as_millis() as u64,
             prompt_tokens: self.routed.usage.map(|usage| usage.prompt),
@@ -44,7 +44,7 @@
         self.state.log.write(&DecisionLine::SendFailed {
             request: self.routed.id.clone(),
             target: target.clone(),
-            attempt: self.sends,
+            attempt: self.attempts,
             cause: cause.to_owned(),
             again,
         });
@@ -77,7 +77,7 @@
             request: self.routed.id.clone(),
             target: target.clone(),
             status,
-            attempts: self.sends,
+            attempts: self.attempts,
             first_ms: first.as_millis() as u64,
             total_ms: total.as_millis() as u64,
             longest_pause_ms: self.progress.longest_pause().as_millis() as u64,
--- a/src/edge/response_relay.rs
+++ b/src/edge/response_relay.rs
@@ -26,7 +26,7 @@
 
 /// Limit on the body size of a response that is buffered before it is forwarded, in
 /// bytes. A larger one would take the memory of all other requests.
-const MAX_COLLECTED_BYTES: usize = 16 << 20;
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
 /// Result of relaying a stream.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     CallerDisconnected,
     /// The deadline of the request passed.
     DeadlineExceeded,
-    /// The connection to the target was lost, or the target was silent for too long.
+    /// The connection to the target was lost, or the target sent nothing for too long.
     TargetLost(LossCause),
 }
 
@@ -46,7 +46,7 @@
     TargetData(Result<bool, CallError>),
     CallerDisconnected,
     DeadlineExceeded,
-    TargetSilent,
+    TargetUnresponsive,
 }
 
 /// State of a streamed response towards the caller, across all attempts.
@@ -68,9 +68,9 @@
 pub(crate) struct RelayLimits {
     /// Deadline of the request, on the boot clock.
     pub(crate) deadline: Duration,
-    /// Longest silence of the target before the stream is resumed at another one; `None`
-    /// if the stream can't be resumed.
-    pub(crate) max_silence: Option<Duration>,
+    /// Longest time without data from the target before the stream is resumed at another
+    /// one; `None` if the stream can't be resumed.
+    pub(crate) max_pause: Option<Duration>,
 }
 
 impl StreamProgress {
@@ -103,10 +103,10 @@
         self.longest_pause
     }
 
-    /// Forwards events as they arrive. A silent target is abandoned only if `can_resume`
-    /// confirms that another one has capacity for the rest. The response head is written
-    /// together with the first events, so that another target can still take over before
-    /// that.
+    /// Forwards events as they arrive. An unresponsive target is abandoned only if
+    /// `can_resume` confirms that another one has capacity for the rest. The response head
+    /// is written together with the first events, so that another target can still take
+    /// over before that.
     pub(crate) async fn relay(
         &mut self,
         caller: &mut CallerConnection,
@@ -134,11 +134,11 @@
                     RelayEvent::DeadlineExceeded
                 };
                 let silent = async {
-                    match limits.max_silence {
-                        Some(max_silence) => task::sleep(max_silence).await,
+                    match limits.max_pause {
+                        Some(max_pause) => task::sleep(max_pause).await,
                         None => std::future::pending().await,
                     }
-                    RelayEvent::TargetSilent
+                    RelayEvent::TargetUnresponsive
                 };
                 or(target, or(disconnected, or(expired, silent))).await
             };
@@ -149,12 +149,12 @@
                 }
                 RelayEvent::CallerDisconnected => return RelayOutcome::CallerDisconnected,
                 RelayEvent::DeadlineExceeded => return RelayOutcome::DeadlineExceeded,
-                RelayEvent::TargetSilent if can_resume() => {
-                    return RelayOutcome::TargetLost(LossCause::Silent);
+                RelayEvent::TargetUnresponsive if can_resume() => {
+                    return RelayOutcome::TargetLost(LossCause::Unresponsive);
                 }
                 // The target may only be slow, and an incomplete response is of no use to
                 // the caller.
-                RelayEvent::TargetSilent => continue,
+                RelayEvent::TargetUnresponsive => continue,
             };
             let mut events = self.splitter.take_events(&mut received);
             if is_complete {
@@ -242,14 +242,14 @@
         if is_complete {
             return Ok(body);
         }
-        if body.len() > MAX_COLLECTED_BYTES {
+        if body.len() > MAX_BUFFERED_BYTES {
             return Err(CallError::InvalidResponse);
         }
     }
 }
 
 /// Writes a buffered response to the caller; returns whether it was written completely.
-pub(crate) async fn write_collected(
+pub(crate) async fn write_buffered(
     caller: &CallerConnection,
     head: &AnswerMessage,
     body: &[u8],
--- a/src/edge/response_writer.rs
+++ b/src/edge/response_writer.rs
@@ -39,10 +39,10 @@
     echo: Option<(&str, &str)>,
     close: bool,
 ) -> Vec<u8> {
-    let row = refusal.kind.answer();
+    let answer = refusal.kind.answer();
     let body = format!(
         "{{\"error\":\"{}\",\"message\":\"{}\"}}",
-        refusal.kind, row.message
+        refusal.kind, answer.message
     );
     let mut headers = MessageHeaders::default();
     headers.push("Content-Type", "application/json");
@@ -53,7 +53,7 @@
         headers.push("Retry-After", seconds_text(retry_after));
     }
     let framing = ResponseFraming::Length(body.len());
-    let mut bytes = head_bytes(row.status, &headers, framing, close);
+    let mut bytes = head_bytes(answer.status, &headers, framing, close);
     bytes.extend_from_slice(body.as_bytes());
     bytes
 }
--- a/src/edge/route_filter.rs
+++ b/src/edge/route_filter.rs
@@ -47,7 +47,7 @@
     pub(crate) catalog: Arc<RouteCatalog>,
     /// The route's name.
     pub(crate) route: String,
-    /// Determines whether the request may be repeated.
+    /// Determines whether the request may be retried.
     pub(crate) kind: CallKind,
     /// Number of targets to which it may be sent.
     pub(crate) max_attempts: u32,
@@ -67,7 +67,7 @@
     /// The declared token counts.
     pub(crate) usage: Option<TokenUsage>,
     pub(crate) series: Arc<RequestSeries>,
-    /// Fingerprint that is the same for repeats of a request under new ids.
+    /// Fingerprint that stays the same if the caller retries the request under a new id.
     pub(crate) fingerprint: RequestFingerprint,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// A refused request with the reason.
+/// A refused request with the reason of the refusal.
 #[derive(Debug)]
 pub(crate) struct UnroutedRequest {
     pub(crate) request: CallerRequest,
--- a/src/edge/send_outcome.rs
+++ b/src/edge/send_outcome.rs
@@ -15,9 +15,9 @@
     /// The response is malformed or belongs to another request.
     #[display("invalid response")]
     InvalidResponse,
-    /// The target was silent for too long.
+    /// The target sent nothing for too long.
     #[display("silent")]
-    Silent,
+    Unresponsive,
     /// A status that implies that nothing ran, without the header by which the target
     /// confirms it.
     #[display("status {_0} without confirmation that nothing ran")]
@@ -53,7 +53,7 @@
             Self::Delivered { .. } => AttemptOutcome::Succeeded,
             Self::CallerDisconnected | Self::DeadlineExceeded => AttemptOutcome::Cancelled,
             Self::NotRun(_) => AttemptOutcome::Rejected,
-            Self::Lost(LossCause::Silent) => AttemptOutcome::Unresponsive,
+            Self::Lost(LossCause::Unresponsive) => AttemptOutcome::Unresponsive,
             Self::Lost(_) | Self::TargetFailure { .. } => AttemptOutcome::Failed,
         }
     }
--- a/src/edge/shutdown_controller.rs
+++ b/src/edge/shutdown_controller.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: every request that was read is answered before the process exits.
+//! Graceful shutdown: within the grace period every request that was read is answered
+//! before the process exits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,8 +17,8 @@
 /// seconds, so one that started later might be cut off at the end of the grace period;
 /// its caller is sent to another host instead.
 const MAX_SERVE_TIME: Duration = Duration::from_millis(2700);
-/// Time for which an idle host keeps refusing requests before it exits. Requests that
-/// were sent before the caller could notice arrive within it.
+/// Time for which an idle host keeps refusing requests before it exits, so that requests
+/// that were already in transit get a response.
 const REFUSAL_TIME: Duration = Duration::from_millis(300);
 /// Margin before the end of the grace period at which the process exits by itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
--- a/src/edge/target_send.rs
+++ b/src/edge/target_send.rs
@@ -26,12 +26,12 @@
 use crate::logs::DecisionLine;
 use crate::wire::AnswerMessage;
 
-/// Longest silence of a stream that another target can resume. Engines send an event
+/// Longest pause of a stream that another target can resume. Engines send an event
 /// every 25 to 100 ms; callers give up on a stream after two seconds.
-const MAX_RESUMABLE_SILENCE: Duration = Duration::from_millis(1300);
-/// Time after which an idempotent request is repeated at another target, in latency
+const MAX_RESUMABLE_PAUSE: Duration = Duration::from_millis(1300);
+/// Time after which an idempotent request is retried at another target, in latency
 /// objectives. Nine out of ten responses take a fifth of their objective.
-const REPEAT_AFTER_OBJECTIVES: u32 = 2;
+const RETRY_AFTER_OBJECTIVES: u32 = 2;
 /// Time limit for reading the rest of a target's refusal in order to reuse the
 /// connection.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(100);
@@ -63,7 +63,7 @@
             false => match self.collect(call, &mut slot).await {
                 Ok((complete, body)) => {
                     call = complete;
-                    self.deliver_collected(&call.head, body).await
+                    self.deliver_buffered(&call.head, body).await
                 }
                 Err(outcome) => {
                     slot.finish(outcome.attempt_outcome());
@@ -101,12 +101,12 @@
                 Err(_) if boot_now() + MIN_TIME_LEFT >= routed.deadline => {
                     Err(SendOutcome::DeadlineExceeded)
                 }
-                Err(_) => Err(SendOutcome::Lost(LossCause::Silent)),
+                Err(_) => Err(SendOutcome::Lost(LossCause::Unresponsive)),
             }
         };
         let sent = cancel_on_disconnect(self.caller, routed.kind, exchange).await;
         if let Err(SendOutcome::Lost(cause)) = &sent
-            && *cause != LossCause::Silent
+            && *cause != LossCause::Unresponsive
         {
             let state = Arc::clone(self.state);
             task::spawn(check_crash(
@@ -146,22 +146,22 @@
     fn head_timeout(&self) -> Duration {
         let routed = self.routed;
         let left = routed.deadline.saturating_sub(boot_now());
-        let can_repeat = self.sends < routed.max_attempts;
+        let has_attempts_left = self.attempts < routed.max_attempts;
         match routed.kind {
-            CallKind::Idempotent if can_repeat => {
-                left.min(routed.objective * REPEAT_AFTER_OBJECTIVES)
+            CallKind::Idempotent if has_attempts_left => {
+                left.min(routed.objective * RETRY_AFTER_OBJECTIVES)
             }
-            CallKind::ResumableStream if can_repeat => left.min(MAX_RESUMABLE_SILENCE),
+            CallKind::ResumableStream if has_attempts_left => left.min(MAX_RESUMABLE_PAUSE),
             _ => left,
         }
     }
 
     async fn relay_stream(&mut self, call: &mut TargetCall, slot: &mut SlotGuard) -> SendOutcome {
-        let can_repeat = self.sends < self.routed.max_attempts;
+        let has_attempts_left = self.attempts < self.routed.max_attempts;
         let limits = RelayLimits {
             deadline: self.routed.deadline,
-            max_silence: match self.routed.kind {
-                CallKind::ResumableStream if can_repeat => Some(MAX_RESUMABLE_SILENCE),
+            max_pause: match self.routed.kind {
+                CallKind::ResumableStream if has_attempts_left => Some(MAX_RESUMABLE_PAUSE),
                 _ => None,
             },
         };
@@ -206,7 +206,7 @@
 
     /// Forwards a buffered response, or keeps an error response because another target
     /// may succeed.
-    async fn deliver_collected(&mut self, head: &AnswerMessage, body: Vec<u8>) -> SendOutcome {
+    async fn deliver_buffered(&mut self, head: &AnswerMessage, body: Vec<u8>) -> SendOutcome {
         // Statuses 429, 503, 408 and 421 tell the caller that nothing ran. Without the
         // target's confirmation it may have run the request.
         if matches!(head.status, 408 | 421 | 429 | 503) {
--- a/src/edge/tests/gossip.rs
+++ b/src/edge/tests/gossip.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Guards against a large catalog that delays the news of leaving targets.
+/// Guards against a large catalog that delays reports of leaving targets.
 #[test]
 fn a_leaving_target_is_reported_without_the_catalog() {
     let leader = isolated_state(EdgeBounds::default());
--- a/src/edge/tests/request_limits.rs
+++ b/src/edge/tests/request_limits.rs
@@ -23,13 +23,16 @@
     RawTarget::spawn(move |request, stream| {
         arrivals.lock().unwrap().push(Instant::now());
         let answer = request.answer("200 OK", "fine");
-        let named = format!("HTTP/1.1 200 OK\r\nX-Limit: {LIMIT}\r\n");
-        write_text(stream, &answer.replacen("HTTP/1.1 200 OK\r\n", &named, 1));
+        let declared = format!("HTTP/1.1 200 OK\r\nX-Limit: {LIMIT}\r\n");
+        write_text(
+            stream,
+            &answer.replacen("HTTP/1.1 200 OK\r\n", &declared, 1),
+        );
         true
     })
 }
 
-fn free_target() -> RawTarget {
+fn unlimited_target() -> RawTarget {
     RawTarget::spawn(|request, stream| {
         write_text(stream, &request.answer("200 OK", "fine"));
         true
@@ -40,7 +43,7 @@
 #[test]
 fn a_target_receives_no_more_requests_than_it_declares() {
     let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let targets = [limited_target(Arc::clone(&arrivals)), free_target()];
+    let targets = [limited_target(Arc::clone(&arrivals)), unlimited_target()];
     let host = EdgeFixture::open(&targets);
 
     let started_at = Instant::now();
--- a/src/edge/tests/responses.rs
+++ b/src/edge/tests/responses.rs
@@ -43,7 +43,7 @@
     assert!(received.text.ends_with("hello"));
 }
 
-/// Guards against a non-idempotent request that is repeated, or reported as not run,
+/// Guards against a non-idempotent request that is retried, or reported as not run,
 /// after a target ran it and its response was truncated.
 #[test]
 fn a_truncated_non_idempotent_request_is_neither_repeated_nor_reported_as_not_run() {
@@ -61,7 +61,7 @@
     assert_eq!(request_count(&[&targets[0], &targets[1]]), 1);
 }
 
-/// A truncated response to an idempotent request is repeated at another target.
+/// After a truncated response an idempotent request is retried at another target.
 #[test]
 fn a_truncated_idempotent_request_is_repeated_at_another_target() {
     let truncated = RawTarget::spawn(|_, stream| {
@@ -264,7 +264,7 @@
     assert!(answer.ends_with("0\r\n\r\n"));
 }
 
-/// A target accepts a request and stays silent. At the deadline the caller must be
+/// A target accepts a request and sends nothing. At the deadline the caller must be
 /// answered at once, without a promise that the request did not run.
 #[test]
 fn a_silent_target_is_abandoned_at_the_deadline() {
@@ -282,8 +282,8 @@
     assert!(started_at.elapsed() < Duration::from_millis(900));
 }
 
-/// Guards against a stream that is abandoned because its target is silent although no
-/// other target could resume it.
+/// Guards against a stream that is abandoned because its target sends nothing for a while,
+/// although no other target could resume it.
 #[test]
 fn a_stream_waits_for_a_slow_target_that_cannot_be_replaced() {
     let target = RawTarget::spawn(|request, stream| {
--- a/src/edge/watch_controller.rs
+++ b/src/edge/watch_controller.rs
@@ -45,10 +45,11 @@
 /// within this time, so one read serves the fleet; if the first hosts are down, the next
 /// ones read.
 const RANK_DELAY: Duration = Duration::from_millis(150);
-/// The same age where groups gossip. A read takes longer to reach all hosts, and one read
-/// serves more of them.
+/// Value of [`MAX_EVIDENCE_AGE`] in a fleet with groups. There a read takes longer to reach
+/// all hosts, and one read serves more of them.
 const GROUP_MAX_EVIDENCE_AGE: Duration = Duration::from_millis(450);
-/// Additional age for each group's rank, and the highest rank that is counted.
+/// Value of [`RANK_DELAY`] in a fleet with groups, where leaders have the lowest ranks, and
+/// the highest rank that is counted.
 const GROUP_RANK_DELAY: Duration = Duration::from_millis(400);
 const GROUP_MAX_RANK: usize = 4;
 /// Time that a starting host waits for a peer's view before it reads the store. When
@@ -56,7 +57,7 @@
 const PEER_VIEW_TIMEOUT: Duration = Duration::from_millis(80);
 /// Period at which a host that does not watch the store checks whether it should.
 const ROLE_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// Period at which the age is checked.
+/// Period at which the age of the key data is checked.
 const EVIDENCE_CHECK_PERIOD: Duration = Duration::from_millis(100);
 /// Bounds on the delay after a failed call. When the store is available again, hosts
 /// should have its changes within a fraction of a second.
--- a/tests/process_edge.rs
+++ b/tests/process_edge.rs
@@ -45,7 +45,7 @@
 }
 
 /// Waits until the host serves, and stops it.
-fn assert_serves_and_ends(host: &mut SoakHost) {
+fn assert_serves_and_stops(host: &mut SoakHost) {
     let started_at = Instant::now();
     while !host.serves_metrics() && started_at.elapsed() < START_TIMEOUT {
         std::thread::sleep(Duration::from_millis(20));
@@ -78,7 +78,7 @@
     pipe.write_all(host.settings.document().as_bytes()).unwrap();
     drop(pipe);
 
-    assert_serves_and_ends(&mut host);
+    assert_serves_and_stops(&mut host);
 }
 
 /// Guards against a host that exits because its settings file is being rewritten during
@@ -93,5 +93,5 @@
     std::thread::sleep(SIGNAL_DELAY);
     host.write_settings(false);
 
-    assert_serves_and_ends(&mut host);
+    assert_serves_and_stops(&mut host);
 }
