--- a/src/edge/tests/responses.rs
+++ b/src/edge/tests/responses.rs
@@ -267,7 +267,7 @@
 /// A target accepts a request and sends nothing. At the deadline the caller must be
 /// answered at once, without a promise that the request did not run.
 #[test]
-fn a_silent_target_is_abandoned_at_the_deadline() {
+fn an_unresponsive_target_is_abandoned_at_the_deadline() {
     let target = RawTarget::spawn(|_, _| {
         std::thread::sleep(Duration::from_secs(5));
         false
