--- a/src/http/request_line.rs
+++ b/src/http/request_line.rs
@@ -2,7 +2,7 @@
 
 use crate::errors::ErrorKind;
 
-/// Maximum number of header fields; `async-h1` accepts no more and gives no reason.
+/// Maximum number of header fields; `async-h1` refuses more without a specific error.
 const MAX_HEADER_FIELDS: usize = 128;
 const LINE_END: &str = "\r\n";
 
--- a/src/http/target_exchange.rs
+++ b/src/http/target_exchange.rs
@@ -40,14 +40,14 @@
     /// No connection was established, so no byte was sent.
     #[display("target unreachable")]
     Unreachable,
-    /// The connection was closed before the end of the message.
+    /// The connection was closed or failed before the end of the message.
     #[display("connection closed before the end of the message")]
     Truncated,
-    /// No bytes were sent or received within the time limit.
-    #[display("no data within the time limit")]
+    /// Sending, or waiting for the head or the next chunk of the answer, exceeded its time limit.
+    #[display("timed out")]
     TimedOut,
     /// The message violates HTTP/1.1 or doesn't declare where it ends.
-    #[display("malformed answer")]
+    #[display("malformed message")]
     Malformed,
 }
 
--- a/src/stream/stream_guard.rs
+++ b/src/stream/stream_guard.rs
@@ -15,7 +15,7 @@
 /// Why a stream can't be relayed.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub(crate) enum StreamFault {
-    /// Tokens are missing between two events.
+    /// Tokens are missing between two events, or a token follows the final event.
     #[display("missing tokens")]
     MissingTokens,
     /// An event is not JSON, has no offset, or is too large.
--- a/src/wire/message_headers.rs
+++ b/src/wire/message_headers.rs
@@ -65,8 +65,8 @@
     }
 
     /// Removes the lines that concern a single connection (RFC 9110 section 7.6.1),
-    /// including those listed in `Connection`. The framing lines are among them; the
-    /// caller writes them again.
+    /// including those listed in `Connection`. The framing lines are among them; they are
+    /// written again when the message is sent.
     pub(crate) fn remove_hop_by_hop(&mut self) {
         let listed: Vec<String> = self
             .all("connection")
--- a/src/wire/wire_error.rs
+++ b/src/wire/wire_error.rs
@@ -9,7 +9,7 @@
     /// The message violates HTTP/1.1, or its framing is ambiguous.
     #[display("malformed message")]
     Malformed,
-    /// The head exceeds its maximum size.
+    /// The head exceeds its maximum size or number of header lines.
     #[display("head too large")]
     HeadTooLarge,
     /// The body exceeds its maximum size.
