--- a/src/replay/first_policy.rs
+++ b/src/replay/first_policy.rs
@@ -146,7 +146,7 @@
         &mut self,
         now: Duration,
         work: WorkId,
-        end: WorkOutcome,
+        outcome: WorkOutcome,
     ) -> Vec<PolicyAction> {
         let Some(ended) = self.running.remove(&work) else {
             return Vec::new();
@@ -154,7 +154,7 @@
         if let Some(status) = self.targets.get_mut(&ended.target) {
             status.running = status.running.saturating_sub(1);
         }
-        if end == WorkOutcome::NotSent {
+        if outcome == WorkOutcome::NotSent {
             return self.arrive(now, ended.item);
         }
         self.dispatch_waiting(now)
--- a/src/replay/prefix_cache.rs
+++ b/src/replay/prefix_cache.rs
@@ -35,7 +35,7 @@
         tokens
     }
 
-    /// Inserts a prefix, and evicts others above the capacity.
+    /// Inserts a prefix, and evicts the least recently used ones above the capacity.
     pub(super) fn insert(&mut self, prefix: u64, tokens: TokenCount) {
         if tokens == 0 || tokens > self.capacity {
             return;
--- a/src/replay/replay_faults.rs
+++ b/src/replay/replay_faults.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Stops hosts: their connections record_end, so targets cancel their requests.
+    /// Stops hosts. Their connections close, so targets cancel their requests.
     fn stop_hosts(&mut self, hosts: &[HostName]) {
         for (index, host) in self.trace.header.hosts.iter().enumerate() {
             if hosts.contains(host) {
--- a/src/replay/replay_policy.rs
+++ b/src/replay/replay_policy.rs
@@ -118,11 +118,11 @@
         &mut self,
         now: Duration,
         work: WorkId,
-        end: WorkOutcome,
+        outcome: WorkOutcome,
     ) -> Vec<PolicyAction> {
         match self {
-            Self::Current(policy) => policy.record_end(now, work, end),
-            Self::First(policy) => policy.record_end(now, work, end),
+            Self::Current(policy) => policy.record_end(now, work, outcome),
+            Self::First(policy) => policy.record_end(now, work, outcome),
             Self::Baseline(_) => Vec::new(),
         }
     }
--- a/src/replay/replay_report.rs
+++ b/src/replay/replay_report.rs
@@ -41,7 +41,7 @@
     pub tiers: Vec<GroupReport>,
     /// The results by class.
     pub classes: Vec<GroupReport>,
-    /// Prompt tokens that were prefilled in vain.
+    /// Prompt tokens whose prefill was wasted.
     pub waste: WasteReport,
     /// The results by account.
     pub accounts: Vec<AccountReport>,
@@ -64,7 +64,7 @@
     pub refused: usize,
     /// Requests that were lost with their host.
     pub lost: usize,
-    /// Requests that were handed over to a peer.
+    /// Requests that were forwarded to a peer.
     pub handed_over: usize,
     /// The time to the first token.
     pub first_token_ms: QuantileReport,
@@ -83,7 +83,7 @@
     pub p99: f64,
 }
 
-/// Prompt tokens that engines prefilled, and those prefilled in vain, by cause.
+/// Prompt tokens that engines prefilled, and those whose prefill was wasted, by cause.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct WasteReport {
     /// All prompt tokens prefilled.
@@ -97,7 +97,7 @@
 }
 
 impl WasteReport {
-    /// Returns the total of prompt tokens prefilled in vain.
+    /// Returns the number of prompt tokens whose prefill was wasted.
     pub const fn total(&self) -> u64 {
         self.repeated + self.late + self.lost
     }
@@ -202,7 +202,7 @@
         lost: count(RecordOutcome::Lost),
         handed_over: group
             .iter()
-            .filter(|record| record.handover_count > 0)
+            .filter(|record| record.forward_count > 0)
             .count(),
         first_token_ms: quantiles(first_tokens.collect()),
         refusal_ms: quantiles(refused.map(|record| record.time_to_end).collect()),
--- a/src/replay/replay_run.rs
+++ b/src/replay/replay_run.rs
@@ -46,7 +46,7 @@
     },
     SampleReports,
     Reports(Arc<Vec<LoadReport>>),
-    HandedOver(usize, WorkId),
+    Forwarded(usize, WorkId),
     Deadline(WorkId),
     FaultStart(usize),
     FaultEnd(usize),
@@ -127,7 +127,7 @@
             ReplayEvent::Digest { from, to, digest } => self.deliver_digest(from, to, &digest),
             ReplayEvent::SampleReports => self.sample_reports(),
             ReplayEvent::Reports(reports) => self.deliver_reports(&reports),
-            ReplayEvent::HandedOver(host, work) => self.take_over(host, work),
+            ReplayEvent::Forwarded(host, work) => self.deliver_forwarded(host, work),
             ReplayEvent::Deadline(work) => self.expire(work),
             ReplayEvent::FaultStart(index) => self.start_fault(index),
             ReplayEvent::FaultEnd(index) => self.end_fault(index),
@@ -211,13 +211,13 @@
         let reachable = self.live[to] && self.partition_side[from] == self.partition_side[to];
         let host = if reachable { to } else { from };
         let record = &mut self.records[work as usize];
-        record.handover_count += 1;
+        record.forward_count += 1;
         record.host = host;
         let at = self.now + self.network_delay();
-        self.events.push(at, ReplayEvent::HandedOver(host, work));
+        self.events.push(at, ReplayEvent::Forwarded(host, work));
     }
 
-    fn take_over(&mut self, host: usize, work: WorkId) {
+    fn deliver_forwarded(&mut self, host: usize, work: WorkId) {
         if !self.live[host] {
             self.end_request(work, RecordOutcome::Lost);
             return;
--- a/src/replay/trace_generator.rs
+++ b/src/replay/trace_generator.rs
@@ -49,8 +49,8 @@
     let header = make_header(deployment, pattern, length);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
-    // Seeds have different prefixes, so that the effect of the prefixes' placement on
-    // engines is visible across seeds.
+    // Each seed uses other prefixes, so that runs with several seeds show the effect of the
+    // prefixes' placement on engines.
     let salt = u64::from(rng.random::<u32>());
     for shape in deployment.classes() {
         let load = ClassLoad {
--- a/src/replay/work_record.rs
+++ b/src/replay/work_record.rs
@@ -17,8 +17,8 @@
     pub(super) outcome: Option<RecordOutcome>,
     /// The time from arrival to the end.
     pub(super) time_to_end: Duration,
-    /// Number of times that it was handed over to a peer.
-    pub(super) handover_count: u32,
+    /// Number of times that it was forwarded to a peer.
+    pub(super) forward_count: u32,
     /// Prompt tokens that were prefilled for it.
     pub(super) computed: TokenCount,
     /// Prompt tokens that were prefilled for it although another request had prefilled them.
