--- a/standins/src/caller/caller_answer.rs
+++ b/standins/src/caller/caller_answer.rs
@@ -63,7 +63,7 @@
     /// The host refused the connection.
     Refused,
     /// The connection closed before the head of an answer was received.
-    Cut,
+    Closed,
     /// The head or framing of the answer is malformed.
     Malformed,
     /// No complete answer arrived within the client's timeout.
@@ -74,7 +74,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Refused => "connection refused",
-            Self::Cut => "connection closed before an answer",
+            Self::Closed => "connection closed before an answer",
             Self::Malformed => "malformed answer",
             Self::TimedOut => "timed out waiting for a complete answer",
         })
--- a/standins/src/caller/caller_connection.rs
+++ b/standins/src/caller/caller_connection.rs
@@ -63,7 +63,10 @@
     /// Sends raw bytes.
     pub async fn send_bytes(&mut self, bytes: &[u8]) -> Result<(), CallerError> {
         let stream = self.reader.get_mut();
-        stream.write_all(bytes).await.map_err(|_| CallerError::Cut)
+        stream
+            .write_all(bytes)
+            .await
+            .map_err(|_| CallerError::Closed)
     }
 
     /// Reads until the peer closes the connection.
@@ -102,7 +105,7 @@
             match count {
                 Ok(1..) if head.len() < MAX_LINE_BYTES => {}
                 Ok(1..) => return Err(CallerError::Malformed),
-                _ => return Err(CallerError::Cut),
+                _ => return Err(CallerError::Closed),
             }
         }
         parse_head(&head, sent)
@@ -114,7 +117,7 @@
         let mut line = Vec::new();
         let count = self.reader.read_until(b'\n', &mut line).await;
         if count.unwrap_or(0) == 0 || !line.ends_with(b"\r\n") {
-            return Err(CallerError::Cut);
+            return Err(CallerError::Closed);
         }
         let text = String::from_utf8_lossy(&line);
         let size = usize::from_str_radix(text.trim(), 16).map_err(|_| CallerError::Malformed)?;
@@ -122,7 +125,7 @@
         self.reader
             .read_exact(&mut chunk)
             .await
-            .map_err(|_| CallerError::Cut)?;
+            .map_err(|_| CallerError::Closed)?;
         chunk.truncate(size);
         Ok((size > 0).then_some(chunk))
     }
--- a/standins/src/command_line.rs
+++ b/standins/src/command_line.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 xflags::xflags! {
-    /// Test doubles for the systems around cardamomgw. Servers print `listening ADDR` first.
+    /// Stand-ins for the systems around cardamomgw. Servers print `listening ADDR` first.
     cmd standins {
         /// The configuration platform, which serves documents with long-poll watches.
         cmd platform {
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,4 +1,5 @@
-//! Test doubles for the systems around cardamomgw: platform, engine, service and network link.
+//! Stand-ins (test doubles) for the systems around cardamomgw: platform, engine, service and
+//! network link.
 //!
 //! Each is bound to an address and runs until its handle is dropped. Tests use the handle to
 //! inject faults and to read recorded executions.
--- a/standins/src/link/link_server.rs
+++ b/standins/src/link/link_server.rs
@@ -178,7 +178,7 @@
         self.address
     }
 
-    /// Does the same with every connection, standing ones and new ones.
+    /// Sets the mode of all existing and new connections.
     pub fn set_mode(&self, mode: LinkMode) {
         self.shared.set_mode_selector(Arc::new(move |_| mode));
     }
--- a/standins/src/load/load_caller.rs
+++ b/standins/src/load/load_caller.rs
@@ -1,4 +1,4 @@
-//! A client of a load run, which resends requests as the gateway's answers instruct.
+//! A caller of a load run, which resends requests as the gateway's answers instruct.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Runs the load against the gateways, or first directly against a target with `--direct`, and
-/// prints the reports.
+/// Runs the load directly against the target of `--direct`, if given, and then against the
+/// gateways, if any, and prints a report of each run.
 async fn run_load(load: command_line::Load) -> io::Result<()> {
     let json = load.json;
     let direct = load.direct;
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -178,11 +178,11 @@
     engine.restart().await.unwrap();
     let lost = call(engine.address(), &resume_request(0)).await.unwrap();
 
-    assert_eq!(crashed, Err(CallerError::Cut));
+    assert_eq!(crashed, Err(CallerError::Closed));
     // The listener closes shortly after the connections.
     assert!(matches!(
         refused,
-        Err(CallerError::Refused | CallerError::Cut)
+        Err(CallerError::Refused | CallerError::Closed)
     ));
     assert_eq!(lost.status, 404);
     assert_eq!(engine.executions().len(), 2);
--- a/standins/tests/link.rs
+++ b/standins/tests/link.rs
@@ -44,7 +44,7 @@
 
     link.set_mode(LinkMode::Cut);
 
-    assert_eq!(existing.call(&request()).await, Err(CallerError::Cut));
+    assert_eq!(existing.call(&request()).await, Err(CallerError::Closed));
     assert!(call(link.address(), &request()).await.is_err());
     link.set_mode(LinkMode::Open);
     assert!(call(link.address(), &request()).await.is_ok());
@@ -91,7 +91,7 @@
         _ => LinkMode::Cut,
     });
 
-    assert_eq!(existing.call(&request()).await, Err(CallerError::Cut));
+    assert_eq!(existing.call(&request()).await, Err(CallerError::Closed));
 }
 
 #[async_std::test]
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -92,8 +92,8 @@
 
     platform.set_mode(PlatformMode::Down);
 
-    assert_eq!(watching.await, Err(CallerError::Cut));
-    assert_eq!(call(address, &read()).await, Err(CallerError::Cut));
+    assert_eq!(watching.await, Err(CallerError::Closed));
+    assert_eq!(call(address, &read()).await, Err(CallerError::Closed));
     platform.set_mode(PlatformMode::Ok);
     assert_eq!(call(address, &read()).await.unwrap().status, 200);
 }
--- a/standins/tests/service.rs
+++ b/standins/tests/service.rs
@@ -114,7 +114,7 @@
     service.restart().await.unwrap();
     let answer = call(service.address(), &booking()).await.unwrap();
 
-    assert_eq!(crashed, Err(CallerError::Cut));
+    assert_eq!(crashed, Err(CallerError::Closed));
     assert_eq!(answer.status, 200);
     assert_eq!(service.executions().len(), 2);
 }
