--- a/benches/config_cost.rs
+++ b/benches/config_cost.rs
@@ -18,7 +18,7 @@
 const ITERATIONS: u32 = 1_000_000;
 
 fn main() {
-    let metrics = RequestMetrics::open().expect("the metrics open");
+    let metrics = RequestMetrics::open().expect("metrics can be opened");
     let series = metrics.series(0, "weather-check", "dispatch-north");
     print_mean_time("record of a bound histogram", ITERATIONS, || {
         series.record_token_gap(black_box(Duration::from_millis(41)));
@@ -62,8 +62,8 @@
     print_mean_time("  account by token", 10_000, || {
         black_box(view.account_by_token(black_box("crews-token")));
     });
-    let class = view.class("weather-check").expect("the class is there");
-    let account = view.account("account-3").expect("the account is there");
+    let class = view.class("weather-check").expect("the class exists");
+    let account = view.account("account-3").expect("the account exists");
     print_mean_time("  allowed targets", ITERATIONS, || {
         black_box(view.allowed_targets(class, account));
     });
@@ -88,7 +88,7 @@
     // The service classes of the sample then match no target, which is only a warning.
     let compiled = FleetView::compile(parsed).is_ok();
     println!(
-        "{targets} targets: {} bytes, parse {parse_time:?}, compile {:?}, sound {compiled}",
+        "{targets} targets: {} bytes, parse {parse_time:?}, compile {:?}, valid {compiled}",
         text.len(),
         start.elapsed()
     );
@@ -110,7 +110,7 @@
 
 fn print_series(accounts: usize) {
     let before = resident_bytes();
-    let metrics = RequestMetrics::open().expect("the metrics open");
+    let metrics = RequestMetrics::open().expect("metrics can be opened");
     for index in 0..accounts {
         let series = metrics.series(0, "weather-check", &format!("account-{index}"));
         series.record_queue_time(Duration::from_millis(1));
--- a/benches/guard_cost/failures.rs
+++ b/benches/guard_cost/failures.rs
@@ -1,5 +1,5 @@
 //! Time until callers learn the outcome of their requests when hosts are partitioned, killed or
-//! suspended.
+//! paused.
 
 use std::time::Duration;
 use std::time::Instant;
