--- a/examples/claim_cost.rs
+++ b/examples/claim_cost.rs
@@ -19,15 +19,15 @@
 use cardamomgw::roster::RosterPlan;
 use cardamomgw::roster::SeatIncarnation;
 
-const FOUNDED_MS: UnixMillis = 1_700_000_000_000;
-/// Offset of the first id from the founding of the roster; exceeds the clock skew.
+const BOOTSTRAP_MS: UnixMillis = 1_700_000_000_000;
+/// Offset of the first id from the bootstrap of the roster; exceeds the clock skew.
 const SETTLED_MS: UnixMillis = 10_000;
 /// Time range of the ids; none of them expires during the run.
-const SPREAD_MS: UnixMillis = 500_000;
+const ID_RANGE_MS: UnixMillis = 500_000;
 const DEFAULT_SIZE: u64 = 50_000;
 const CALLS: u64 = 20_000;
 /// Number of new ids per millisecond.
-const FRESH_PER_MS: u64 = 4;
+const NEW_IDS_PER_MS: u64 = 4;
 const PAGE_BYTES: u64 = 4_096;
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -43,7 +43,7 @@
 
 fn measure(size: u64) -> Result<(), Box<dyn Error>> {
     let mut seat = open_single_seat()?;
-    let step = |index: u64| FOUNDED_MS + SETTLED_MS + index * SPREAD_MS / size;
+    let step = |index: u64| BOOTSTRAP_MS + SETTLED_MS + index * ID_RANGE_MS / size;
     let ids: Vec<RequestId> = (0..size)
         .map(|index| RequestId::generate(step(index)))
         .collect();
@@ -54,7 +54,7 @@
     }
     let held = resident_bytes()?.saturating_sub(before);
     let fresh: Vec<RequestId> = (0..CALLS)
-        .map(|index| RequestId::generate(now + index / FRESH_PER_MS))
+        .map(|index| RequestId::generate(now + index / NEW_IDS_PER_MS))
         .collect();
     let older: Vec<RequestId> = (0..CALLS)
         .filter_map(|index| {
@@ -110,13 +110,13 @@
 
 fn open_single_seat() -> Result<SeatRegister, Box<dyn Error>> {
     let incarnation = SeatIncarnation {
-        started: FOUNDED_MS,
+        started: BOOTSTRAP_MS,
         id: 7,
     };
     let settings = RegisterSettings::default();
     let mut seat = SeatRegister::open("entry-host-00".into(), incarnation, settings);
     let plan = RosterPlan::new(&roster(1)?, None, false);
-    seat.roster_mut().offer(plan, FOUNDED_MS)?;
+    seat.roster_mut().offer(plan, BOOTSTRAP_MS)?;
     Ok(seat)
 }
 
@@ -135,17 +135,17 @@
 fn print_message_sizes(seats: u64) -> Result<(), Box<dyn Error>> {
     let config = bincode::config::standard();
     let mut seat = open_single_seat()?;
-    let id = RequestId::generate(FOUNDED_MS + SETTLED_MS);
+    let id = RequestId::generate(BOOTSTRAP_MS + SETTLED_MS);
     let call = call(&seat, id, ClaimOperation::Claim)?;
     let call_bytes = bincode::serde::encode_to_vec(&call, config)?.len();
-    let reply = seat.handle(call, FOUNDED_MS + SETTLED_MS);
+    let reply = seat.handle(call, BOOTSTRAP_MS + SETTLED_MS);
     let reply_bytes = bincode::serde::encode_to_vec(&reply, config)?.len();
     let mut digest: RosterDigest = seat.roster().digest();
     digest.bootstrap = None;
     digest.plan = None;
     for seat in roster(seats)?.seats {
         let incarnation = SeatIncarnation {
-            started: FOUNDED_MS,
+            started: BOOTSTRAP_MS,
             id: u64::MAX / 3,
         };
         digest.incarnations.insert(seat.host, incarnation);
--- a/examples/demo/demo_fleet.rs
+++ b/examples/demo/demo_fleet.rs
@@ -153,7 +153,7 @@
             .await
     }
 
-    /// Begins a call through a host.
+    /// Starts a call through a host.
     pub(crate) fn spawn_call(
         &self,
         host: usize,
@@ -178,7 +178,7 @@
         })
     }
 
-    /// Begins a call and returns once a target runs it.
+    /// Starts a call and returns once a target runs it.
     pub(crate) async fn spawn_running_call(
         &self,
         host: usize,
@@ -192,12 +192,12 @@
 
     /// Makes calls at the same time.
     pub(crate) async fn call_all(&self, calls: &[(usize, DemoCall)]) -> Vec<CallRecord> {
-        let begun: Vec<JoinHandle<CallRecord>> = calls
+        let started: Vec<JoinHandle<CallRecord>> = calls
             .iter()
             .map(|(host, call)| self.spawn_call(*host, *call, &new_request_id()))
             .collect();
         let mut records = Vec::new();
-        for call in begun {
+        for call in started {
             records.push(call.await);
         }
         records
@@ -223,7 +223,7 @@
         records
     }
 
-    /// Returns how often a request ran.
+    /// Returns how many times a request ran.
     pub(crate) fn execution_count(&self, id: &str) -> usize {
         let records = self.executions();
         records.iter().filter(|record| record.id == id).count()
@@ -243,11 +243,11 @@
 }
 
 /// Polls until a condition is true.
-async fn wait_for(what: &str, condition: impl Fn() -> bool) -> Result<(), Box<dyn Error>> {
+async fn wait_for(label: &str, condition: impl Fn() -> bool) -> Result<(), Box<dyn Error>> {
     let began = Instant::now();
     while !condition() {
         if began.elapsed() > WAIT_LIMIT {
-            return Err(format!("timed out waiting for {what}").into());
+            return Err(format!("timed out waiting for {label}").into());
         }
         task::sleep(Duration::from_millis(5)).await;
     }
--- a/examples/demo/demo_output.rs
+++ b/examples/demo/demo_output.rs
@@ -72,11 +72,11 @@
     )
 }
 
-/// Returns the outcome that an answer reports, or `cut` if it is incomplete.
+/// Returns the outcome that an answer reports, or `truncated` if it is incomplete.
 pub(crate) fn outcome_text(answer: &CallerAnswer) -> String {
     match answer.is_complete {
         true => answer.outcome().to_owned(),
-        false => "cut".to_owned(),
+        false => "truncated".to_owned(),
     }
 }
 
--- a/examples/demo/main.rs
+++ b/examples/demo/main.rs
@@ -17,7 +17,7 @@
 
 #[async_std::main]
 async fn main() -> ExitCode {
-    match play().await {
+    match run_demo().await {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("demo: {error}");
@@ -26,7 +26,7 @@
     }
 }
 
-async fn play() -> SceneResult {
+async fn run_demo() -> SceneResult {
     println!("cardamomgw: three entry hosts in front of two engines and a service,");
     println!("all in this process, on the loopback interface. The targets are stand-ins.");
     let mut fleet = DemoFleet::start().await?;
--- a/examples/peer_cost.rs
+++ b/examples/peer_cost.rs
@@ -67,8 +67,8 @@
                     replies.finish(PeerReply::Digest(digest)).await.ok();
                 }
                 PeerCall::DigestDelta(delta) => {
-                    let taken = self.inbox().apply_delta(&from, &delta);
-                    let receipt = match taken {
+                    let applied = self.inbox().apply_delta(&from, &delta);
+                    let receipt = match applied {
                         Some(_) => DigestReceipt::SameDocument,
                         None => DigestReceipt::UnknownBase,
                     };
@@ -158,7 +158,7 @@
     for targets in [0, 15, 150] {
         let (before, cpu) = (wire_bytes(mesh), cpu_micros());
         for sequence in 1..=DIGESTS {
-            let call = PeerCall::Digest(Box::new(cell_digest(targets, sequence, true)));
+            let call = PeerCall::Digest(Box::new(sample_digest(targets, sequence, true)));
             let reply = mesh.call(host, call, TIMEOUT).await;
             assert!(matches!(reply, Ok(PeerReply::Digest(_))), "{reply:?}");
         }
@@ -176,7 +176,7 @@
     let (before, cpu) = (wire_bytes(mesh), cpu_micros());
     let peer = host.to_owned();
     for sequence in 1..=DIGESTS {
-        let own = Arc::new(cell_digest(targets, sequence, busy));
+        let own = Arc::new(sample_digest(targets, sequence, busy));
         let call = outbox.call_for(&peer, &own);
         let is_full = matches!(call, PeerCall::Digest(_));
         let reply = mesh.call(host, call, TIMEOUT).await;
@@ -203,7 +203,7 @@
 }
 
 /// Returns a host's digest; if `busy`, the load and speed of each target depend on `sequence`.
-fn cell_digest(targets: usize, sequence: u64, busy: bool) -> PeerDigest {
+fn sample_digest(targets: usize, sequence: u64, busy: bool) -> PeerDigest {
     let change = if busy { sequence as u32 } else { 0 };
     let incarnation = SeatIncarnation {
         started: 1_764_000_000_000,
