--- a/tests/replay_patterns.rs
+++ b/tests/replay_patterns.rs
@@ -140,8 +140,8 @@
     }
 }
 
-/// Requests with the same prefix go to the same engines, so at most half as many prompt
-/// tokens are prefilled in vain as with the better baseline on the same trace.
+/// Requests with the same prefix go to the same engines, so the prefill of at most half as
+/// many prompt tokens is wasted as with the better baseline on the same trace.
 #[test]
 fn steady_load_wastes_at_most_half_of_the_best_baseline() {
     for deployment in DEPLOYMENTS {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -38,7 +38,7 @@
 
 use soak_run::SoakReport;
 use soak_run::SoakSize;
-use soak_run::run_limit;
+use soak_run::run_limit_soak;
 use soak_run::run_soak;
 
 /// Duration of fault injection by default, and in the short run.
@@ -107,7 +107,7 @@
         targets: 4,
         callers: 16,
     };
-    assert!(report_result(13, &run_limit(13, size, DEFAULT_LENGTH)));
+    assert!(report_result(13, &run_limit_soak(13, size, DEFAULT_LENGTH)));
 }
 
 /// Runs many seeds, several at a time.
--- a/tests/soak/soak_history.rs
+++ b/tests/soak/soak_history.rs
@@ -10,10 +10,10 @@
 const SETTLING_TIME: Duration = Duration::from_secs(4);
 /// How long a key may be accepted after its removal.
 const KEY_REVOCATION_LIMIT: Duration = Duration::from_secs(5);
-/// Window, permitted excess and slack of account limits, as in the settings.
-const ACCOUNT_WINDOW: Duration = Duration::from_secs(8);
-const ACCOUNT_OVERAGE: f64 = 0.25;
-const ACCOUNT_SLACK: f64 = 60.0;
+/// Window, permitted excess and slack of account quotas, as in the settings.
+const QUOTA_WINDOW: Duration = Duration::from_secs(8);
+const QUOTA_OVERAGE: f64 = 0.25;
+const QUOTA_SLACK: f64 = 60.0;
 /// Window, ratio and slack of the retry budget, as in the settings.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 const RETRY_RATIO: f64 = 0.2;
@@ -28,7 +28,7 @@
 const MAX_ATTEMPTS: usize = 2;
 
 /// Number of requests after which a route must have been served at least once. Two in five requests
-/// come from accounts that may be refused; all twelve do once in 60,000 cases.
+/// come from accounts that may be refused; the probability that all twelve do is 1 in 60,000.
 const MIN_ROUTE_REQUESTS: usize = 12;
 
 /// A request as received by a target.
@@ -177,7 +177,7 @@
             violations.extend(self.check_key_removal(request, &runs, key));
         }
         violations.extend(check_unknown_requests(&arrivals, &requests));
-        violations.extend(check_account_limit(&arrivals));
+        violations.extend(check_account_quota(&arrivals));
         violations.extend(self.check_target_limits(&arrivals));
         violations.extend(check_retry_budget(&arrivals, &requests));
         violations.extend(check_recovery(&requests, hosts, recovered_by));
@@ -310,18 +310,18 @@
         .collect()
 }
 
-/// Checks that all hosts together enforce an account's limit.
-fn check_account_limit(arrivals: &[RequestArrival]) -> Option<String> {
+/// Checks that all hosts together enforce an account's quota.
+fn check_account_quota(arrivals: &[RequestArrival]) -> Option<String> {
     let rate = SoakRoute::LIMITED_RATE;
-    let allowed = (rate * ACCOUNT_WINDOW.as_secs_f64() + 2.0 * rate) * (1.0 + ACCOUNT_OVERAGE);
+    let allowed = (rate * QUOTA_WINDOW.as_secs_f64() + 2.0 * rate) * (1.0 + QUOTA_OVERAGE);
     let spent = arrivals
         .iter()
         .filter(|arrival| arrival.ran && arrival.account == SoakRoute::LIMITED_ACCOUNT);
     let mut times: Vec<Instant> = spent.map(|arrival| arrival.at).collect();
     times.sort_unstable();
-    let most = max_within(&times, ACCOUNT_WINDOW);
-    (most as f64 > allowed + ACCOUNT_SLACK)
-        .then(|| format!("{most} requests of a limited account within {ACCOUNT_WINDOW:?}"))
+    let most = max_within(&times, QUOTA_WINDOW);
+    (most as f64 > allowed + QUOTA_SLACK)
+        .then(|| format!("{most} requests of an account with a quota within {QUOTA_WINDOW:?}"))
 }
 
 /// Checks that all hosts together stay within the retry budget.
@@ -353,7 +353,7 @@
 }
 
 /// Checks that every host serves again after recovery, and every route for which it received
-/// enough requests: a few requests may all exceed the account limit.
+/// enough requests: a few requests may all exceed the account's quota.
 fn check_recovery(requests: &[SentRequest], hosts: usize, recovered_by: Instant) -> Vec<String> {
     let mut violations = Vec::new();
     for host in 0..hosts {
@@ -368,11 +368,11 @@
         }
         for route in SoakRoute::ALL {
             let of_route = late.iter().filter(|request| request.route == route);
-            let (asked, served) = (
+            let (received, served) = (
                 of_route.clone().count(),
                 of_route.filter(|request| request.complete).count(),
             );
-            if asked >= MIN_ROUTE_REQUESTS && served == 0 {
+            if received >= MIN_ROUTE_REQUESTS && served == 0 {
                 violations.push(format!(
                     "host {host} did not serve {route:?} after recovery"
                 ));
--- a/tests/soak/soak_host.rs
+++ b/tests/soak/soak_host.rs
@@ -48,7 +48,7 @@
     exit_requested: bool,
     paused: bool,
     started: Option<Instant>,
-    /// When the process could first receive the exit signal; a suspended process cannot.
+    /// When the process could first receive the exit signal; a paused process cannot.
     signalled: Option<Instant>,
 }
 
@@ -125,7 +125,7 @@
             return;
         }
         self.exit_requested |= signal == Signal::TERM || signal == Signal::KILL;
-        // A suspended process handles its signals when it is resumed.
+        // A paused process handles its signals when it is resumed.
         if signal == Signal::STOP {
             self.paused = true;
             self.signalled = None;
@@ -236,7 +236,7 @@
 impl Drop for SoakHost {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // SIGKILL also ends a suspended process.
+            // SIGKILL also ends a paused process.
             child.kill().ok();
             child.wait().ok();
         }
--- a/tests/soak/soak_plan.rs
+++ b/tests/soak/soak_plan.rs
@@ -18,11 +18,11 @@
 const BURST_PAUSE_MS: std::ops::Range<u64> = 300..3500;
 /// Duration of a fault, in milliseconds.
 const FAULT_MS: std::ops::Range<u64> = 100..3000;
-/// Duration of faults such as a suspended host or a removed key, in milliseconds. It can exceed
+/// Duration of faults such as a paused host or a removed key, in milliseconds. It can exceed
 /// the five seconds for which a removed key may still be accepted.
 const LONG_FAULT_MS: std::ops::Range<u64> = 100..8000;
 
-/// How long a host is suspended across the removal of a key, in milliseconds: longer than a
+/// How long a host is paused across the removal of a key, in milliseconds: longer than a
 /// removed key may be accepted. The key is restored after the host resumes.
 const LONG_PAUSE_MS: std::ops::Range<u64> = 5500..7500;
 const KEY_REMOVED_TIME: Duration = Duration::from_millis(9000);
--- a/tests/soak/soak_routes.rs
+++ b/tests/soak/soak_routes.rs
@@ -18,9 +18,9 @@
     pub(crate) const ALL: [Self; 4] = [Self::Book, Self::Look, Self::Talk, Self::Tell];
     /// The pools.
     pub(crate) const POOLS: [&'static str; 2] = ["desk", "engine"];
-    /// Name of the account with a request limit.
+    /// Name of the account with a quota.
     pub(crate) const LIMITED_ACCOUNT: &'static str = "spender";
-    /// Limit of [`SoakRoute::LIMITED_ACCOUNT`], in requests per second.
+    /// Quota of [`SoakRoute::LIMITED_ACCOUNT`], in requests per second.
     pub(crate) const LIMITED_RATE: f64 = 10.0;
 
     /// Returns the path of the route's requests.
@@ -34,7 +34,7 @@
     }
 
     /// Returns the route of a path.
-    pub(crate) fn of_path(path: &str) -> Option<Self> {
+    pub(crate) fn from_path(path: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|route| route.path() == path)
     }
 
--- a/tests/soak/soak_run.rs
+++ b/tests/soak/soak_run.rs
@@ -77,7 +77,7 @@
 }
 
 /// Runs a soak in which one target announces a limit and nothing else disturbs the fleet.
-pub(crate) fn run_limit(seed: u64, size: SoakSize, length: Duration) -> SoakReport {
+pub(crate) fn run_limit_soak(seed: u64, size: SoakSize, length: Duration) -> SoakReport {
     let limit = |at: Duration, limit: Option<u32>| TimedStep {
         at,
         step: SoakStep::SetTargetLimit(0, limit),
--- a/tests/soak/soak_target.rs
+++ b/tests/soak/soak_target.rs
@@ -204,7 +204,7 @@
                 let answer = plain_answer(&identity.name, request, 500, body.as_bytes(), &limit);
                 link.write(&answer).is_ok()
             }
-            _ if SoakRoute::of_path(head.word(1)).is_some_and(SoakRoute::is_stream) => {
+            _ if SoakRoute::from_path(head.word(1)).is_some_and(SoakRoute::is_stream) => {
                 let pause = EVENT_PAUSE * slowdown;
                 self.serve_stream(link, head, &identity.name, mode, pause, &limit)
             }
@@ -217,23 +217,23 @@
 
     /// Records violations in the head of a request from a host.
     fn check_request(&self, head: &RawHead, identity: &TargetIdentity) {
-        let note = |what: &str| {
-            let violation = format!("{what}: {head:?} at {identity:?}");
+        let report = |problem: &str| {
+            let violation = format!("{problem}: {head:?} at {identity:?}");
             self.history.record_violation(violation);
         };
         if head.header("authorization").is_some() {
-            note("the caller's key was forwarded");
+            report("the caller's key was forwarded");
         }
         if head.header(headers::DEADLINE_MS).is_none() {
-            note("missing deadline");
+            report("missing deadline");
         }
         if head.header(headers::TARGET).is_none() {
-            note("missing target name");
+            report("missing target name");
         }
-        let named = head.header(headers::TARGET) == Some(identity.name.as_str());
-        let route = SoakRoute::of_path(head.word(1));
-        if named && route.is_none_or(|route| route.pool() != identity.pool) {
-            note("request for another pool");
+        let is_addressed = head.header(headers::TARGET) == Some(identity.name.as_str());
+        let route = SoakRoute::from_path(head.word(1));
+        if is_addressed && route.is_none_or(|route| route.pool() != identity.pool) {
+            report("request for another pool");
         }
     }
 
--- a/tests/support/host_process.rs
+++ b/tests/support/host_process.rs
@@ -64,12 +64,12 @@
         self.child.wait().unwrap();
     }
 
-    /// Suspends the process with SIGSTOP.
+    /// Pauses the process with SIGSTOP.
     pub(crate) fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Resumes a suspended process.
+    /// Resumes a paused process.
     pub(crate) fn resume(&self) {
         self.signal(Signal::CONT);
     }
@@ -154,7 +154,7 @@
 
 impl Drop for HostProcess {
     fn drop(&mut self) {
-        // SIGKILL also ends a suspended process.
+        // SIGKILL also ends a paused process.
         self.child.kill().ok();
         self.child.wait().ok();
     }
--- a/tests/support/test_fleet.rs
+++ b/tests/support/test_fleet.rs
@@ -198,8 +198,8 @@
         self.publish();
     }
 
-    /// Waits until the newest roster is active on every host, as operators do before they stop a
-    /// host that has left it.
+    /// Waits until the newest roster is active on every host. Operators do the same before they
+    /// stop a host that is no longer in the roster.
     pub(crate) async fn wait_for_active_roster(&self) {
         let number = Some(self.document.roster.number);
         for host in &self.hosts {
--- a/tests/wire_requests/connections.rs
+++ b/tests/wire_requests/connections.rs
@@ -76,7 +76,7 @@
     assert_eq!(String::from_utf8(rest).unwrap(), "");
 }
 
-/// Guards against a hanging request: a client that sends `Expect: 100-continue` (as curl
+/// Guards against a hanging request: a caller that sends `Expect: 100-continue` (as curl
 /// does with large bodies) waits for the interim answer before it sends the body.
 #[async_std::test]
 async fn expect_continue_gets_an_interim_answer() {
--- a/tests/wire_requests/refusals.rs
+++ b/tests/wire_requests/refusals.rs
@@ -87,7 +87,7 @@
             "malformed-message",
         ),
         truncated_case(
-            "cut inside a chunk",
+            "truncated inside a chunk",
             chunked("9\r\n{}"),
             400,
             "malformed-message",
@@ -99,7 +99,7 @@
             "malformed-message",
         ),
         truncated_case(
-            "cut inside the head",
+            "truncated inside the head",
             "POST /v1/bookings HTTP/1.1\r\nHost".into(),
             400,
             "malformed-message",
