--- a/examples/demo/demo_fleet.rs
+++ b/examples/demo/demo_fleet.rs
@@ -190,7 +190,7 @@
         Ok(running)
     }
 
-    /// Makes calls at the same time.
+    /// Makes calls concurrently and waits for all of them.
     pub(crate) async fn call_all(&self, calls: &[(usize, DemoCall)]) -> Vec<CallRecord> {
         let started: Vec<JoinHandle<CallRecord>> = calls
             .iter()
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Returns every execution that began on any target.
+    /// Returns all executions that started on any target.
     pub(crate) fn executions(&self) -> Vec<ExecutionRecord> {
         let mut records = self.service.executions();
         for engine in &self.engines {
--- a/tests/wire_answers.rs
+++ b/tests/wire_answers.rs
@@ -119,21 +119,21 @@
             "target-fault",
         ),
         (
-            "a length beside chunks",
+            "a length together with chunks",
             with(&format!("{length}{chunked}"), "2\r\n{}\r\n0\r\n\r\n"),
             "target-fault",
         ),
         (
-            "a length that is no number",
+            "a length that is not a number",
             with("Content-Length: two\r\n", "{}"),
             "target-fault",
         ),
         (
-            "another coding",
+            "a coding other than chunked",
             with("Transfer-Encoding: gzip\r\n", "{}"),
             "target-fault",
         ),
-        ("no HTTP", "{}\r\n\r\n".to_owned(), "target-fault"),
+        ("not HTTP", "{}\r\n\r\n".to_owned(), "target-fault"),
         (
             "HTTP/1.0",
             with(length, "{}").replace("1.1", "1.0"),
@@ -145,7 +145,7 @@
             "target-fault",
         ),
         (
-            "a head without an end",
+            "a head that never ends",
             format!("{OK}X: {}", "x".repeat(100_000)),
             "target-fault",
         ),
@@ -179,12 +179,12 @@
             "target-lost",
         ),
         (
-            "cut inside a chunk",
+            "truncated inside a chunk",
             format!("{chunked}9\r\n{{}}"),
             "target-lost",
         ),
         (
-            "an interim answer only",
+            "only an interim answer",
             "HTTP/1.1 103 Early Hints\r\n\r\n".to_owned(),
             "target-lost",
         ),
@@ -200,7 +200,7 @@
     let token = "data: {\"offset\":0,\"text\":\"t\"}\n\n";
     let chunk = format!("{:x}\r\n{token}\r\n", token.len());
     let streams = [
-        ("no end of tokens", format!("{STREAM}{chunk}0\r\n\r\n")),
+        ("no final event", format!("{STREAM}{chunk}0\r\n\r\n")),
         ("no last chunk", format!("{STREAM}{chunk}")),
         (
             "a token twice",
--- a/tests/wire_requests/refusals.rs
+++ b/tests/wire_requests/refusals.rs
@@ -32,13 +32,13 @@
             "malformed-message",
         ),
         case(
-            "length beside chunks",
+            "a length together with chunks",
             framed("Content-Length: 2\r\nTransfer-Encoding: chunked\r\n"),
             400,
             "malformed-message",
         ),
         case(
-            "another coding",
+            "a coding other than chunked",
             framed("Transfer-Encoding: gzip, chunked\r\n"),
             400,
             "malformed-message",
@@ -120,7 +120,7 @@
     let chunked = booking_head(&id, "Transfer-Encoding: chunked\r\n") + &chunk;
     assert_refused(vec![
         case(
-            "a line without an end",
+            "a line that never ends",
             "GET /".to_owned() + &"a".repeat(100_000),
             431,
             "head-too-large",
@@ -177,7 +177,7 @@
         case("HTTP/1.0", old, 400, "malformed-message"),
         case("no host", hostless, 400, "malformed-message"),
         case(
-            "a host with a blank",
+            "a host with a space",
             with_id(&id).replace("Host: h", "Host: a b"),
             400,
             "malformed-message",
@@ -259,7 +259,7 @@
             400,
             "bad-request-id",
         ),
-        case("no UUID", with_id("booking-17"), 400, "bad-request-id"),
+        case("not a UUID", with_id("booking-17"), 400, "bad-request-id"),
         case("an empty id", with_id(""), 400, "bad-request-id"),
         case(
             "version 4",
@@ -286,7 +286,7 @@
             "request-id-out-of-window",
         ),
         case(
-            "the end of time",
+            "the maximum timestamp",
             with_id(&id_at(0xffff_ffff_ffff)),
             400,
             "request-id-out-of-window",
