--- a/src/edge/connection_pool.rs
+++ b/src/edge/connection_pool.rs
@@ -12,9 +12,9 @@
 use crate::clock::boot_now;
 use crate::ids::TargetName;
 use crate::sorted::SortedMap;
-use crate::wire::AnswerMessage;
 use crate::wire::InputBuffer;
 use crate::wire::KeepaliveSettings;
+use crate::wire::ResponseMessage;
 use crate::wire::configure_keepalive;
 
 /// Connect timeout. Connecting takes a few milliseconds within a region. A target with a
@@ -99,7 +99,7 @@
         &self,
         target: &TargetName,
         connection: TargetConnection,
-        response: &AnswerMessage,
+        response: &ResponseMessage,
     ) {
         if !connection.input.is_empty() {
             return;
@@ -159,7 +159,7 @@
 }
 
 /// Returns the keep-alive timeout that the target announced.
-fn keep_alive(response: &AnswerMessage) -> Option<Duration> {
+fn keep_alive(response: &ResponseMessage) -> Option<Duration> {
     let text = response.headers.text("keep-alive")?;
     let timeout = text
         .split(',')
--- a/src/edge/request_execution.rs
+++ b/src/edge/request_execution.rs
@@ -24,7 +24,7 @@
 use crate::errors::ErrorKind;
 use crate::errors::RequestOutcome;
 use crate::ids::TargetName;
-use crate::wire::AnswerMessage;
+use crate::wire::ResponseMessage;
 
 /// Number of unreachable targets after which a request fails.
 const MAX_UNREACHABLE: usize = 4;
@@ -76,7 +76,7 @@
     /// Whether a target may have run the request.
     may_have_run: bool,
     /// The last error response of a target, forwarded if no other target does better.
-    failure: Option<(AnswerMessage, Vec<u8>)>,
+    failure: Option<(ResponseMessage, Vec<u8>)>,
 }
 
 impl<'a> RequestExecution<'a> {
@@ -261,7 +261,7 @@
 
     pub(super) async fn write_response(
         &mut self,
-        head: &AnswerMessage,
+        head: &ResponseMessage,
         body: &[u8],
     ) -> SendOutcome {
         // A complete response is still delivered after the deadline.
--- a/src/edge/response_relay.rs
+++ b/src/edge/response_relay.rs
@@ -21,8 +21,8 @@
 use crate::clock::boot_now;
 use crate::dispatch::SlotGuard;
 use crate::metrics::RequestSeries;
-use crate::wire::AnswerMessage;
 use crate::wire::RequestMessage;
+use crate::wire::ResponseMessage;
 
 /// Limit on the body size of a response that is buffered before it is forwarded, in
 /// bytes. A larger one would take the memory of all other requests.
@@ -204,7 +204,7 @@
     fn frame(
         &mut self,
         request: &RequestMessage,
-        head: &AnswerMessage,
+        head: &ResponseMessage,
         reusable: bool,
         events: &[u8],
         is_complete: bool,
@@ -251,7 +251,7 @@
 /// Writes a buffered response to the caller; returns whether it was written completely.
 pub(crate) async fn write_buffered(
     caller: &CallerConnection,
-    head: &AnswerMessage,
+    head: &ResponseMessage,
     body: &[u8],
     limit: Duration,
 ) -> bool {
--- a/src/edge/response_writer.rs
+++ b/src/edge/response_writer.rs
@@ -7,9 +7,9 @@
 use futures_lite::AsyncWriteExt;
 
 use super::edge_refusal::EdgeRefusal;
-use crate::wire::AnswerMessage;
 use crate::wire::MessageHeaders;
 use crate::wire::RequestMessage;
+use crate::wire::ResponseMessage;
 
 /// Framing of the response body sent to the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -24,7 +24,7 @@
 
 /// Returns the head of a target's response as it is forwarded to the caller.
 pub(crate) fn forwarded_head(
-    head: &AnswerMessage,
+    head: &ResponseMessage,
     framing: ResponseFraming,
     close: bool,
 ) -> Vec<u8> {
--- a/src/edge/send_outcome.rs
+++ b/src/edge/send_outcome.rs
@@ -4,7 +4,7 @@
 
 use super::target_call::CallError;
 use crate::dispatch::AttemptOutcome;
-use crate::wire::AnswerMessage;
+use crate::wire::ResponseMessage;
 
 /// Why an attempt got no complete response although the target may have run the request.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
@@ -42,7 +42,10 @@
     /// No complete response was received; the target may have run the request.
     Lost(LossCause),
     /// A complete error response of the target; another target may succeed.
-    TargetFailure { head: AnswerMessage, body: Vec<u8> },
+    TargetFailure {
+        head: ResponseMessage,
+        body: Vec<u8>,
+    },
 }
 
 impl SendOutcome {
--- a/src/edge/target_call.rs
+++ b/src/edge/target_call.rs
@@ -9,9 +9,9 @@
 use derive_more::Error;
 
 use super::connection_pool::TargetConnection;
-use crate::wire::AnswerMessage;
 use crate::wire::BodyDecoder;
 use crate::wire::BodyFraming;
+use crate::wire::ResponseMessage;
 use crate::wire::WireError;
 use crate::wire::can_reuse_connection;
 
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) struct TargetCall {
     connection: TargetConnection,
-    pub(crate) head: AnswerMessage,
+    pub(crate) head: ResponseMessage,
     decoder: BodyDecoder,
     /// Whether the connection may be reused after the response is complete.
     keep_alive: bool,
@@ -68,7 +68,7 @@
             pending().await
         };
         let head = or(write, read_matching_head(&mut connection, identity)).await?;
-        let framing = BodyFraming::for_answer(&head.headers, head.status, identity.method)
+        let framing = BodyFraming::for_response(&head.headers, head.status, identity.method)
             .map_err(|_| CallError::InvalidResponse)?;
         let keep_alive = written && can_reuse_connection(&head, framing);
         Ok(Self {
@@ -105,7 +105,7 @@
     }
 
     /// Returns the connection and the head if the connection may be reused.
-    pub(crate) fn into_reusable(self) -> Option<(TargetConnection, AnswerMessage)> {
+    pub(crate) fn into_reusable(self) -> Option<(TargetConnection, ResponseMessage)> {
         let is_reusable = self.keep_alive && self.decoder.is_complete();
         is_reusable.then_some((self.connection, self.head))
     }
@@ -124,7 +124,7 @@
 async fn read_matching_head(
     connection: &mut TargetConnection,
     identity: CallIdentity<'_>,
-) -> Result<AnswerMessage, CallError> {
+) -> Result<ResponseMessage, CallError> {
     loop {
         let head = read_head(connection).await?;
         match head.headers.text(identity.header) {
@@ -136,9 +136,9 @@
     }
 }
 
-async fn read_head(connection: &mut TargetConnection) -> Result<AnswerMessage, CallError> {
+async fn read_head(connection: &mut TargetConnection) -> Result<ResponseMessage, CallError> {
     loop {
-        match AnswerMessage::take(&mut connection.input) {
+        match ResponseMessage::take(&mut connection.input) {
             Ok(Some(head)) => return Ok(head),
             Ok(None) => {}
             Err(_) => return Err(CallError::InvalidResponse),
@@ -152,10 +152,10 @@
 
 async fn skip_body(
     connection: &mut TargetConnection,
-    head: &AnswerMessage,
+    head: &ResponseMessage,
     method: &str,
 ) -> Result<(), CallError> {
-    let framing = BodyFraming::for_answer(&head.headers, head.status, method)
+    let framing = BodyFraming::for_response(&head.headers, head.status, method)
         .map_err(|_| CallError::InvalidResponse)?;
     let mut decoder = BodyDecoder::new(framing);
     let mut discarded = Vec::new();
--- a/src/edge/target_send.rs
+++ b/src/edge/target_send.rs
@@ -24,7 +24,7 @@
 use crate::dispatch::AttemptOutcome;
 use crate::dispatch::SlotGuard;
 use crate::logs::DecisionLine;
-use crate::wire::AnswerMessage;
+use crate::wire::ResponseMessage;
 
 /// Longest pause of a stream that another target can resume. Engines send an event
 /// every 25 to 100 ms; callers give up on a stream after two seconds.
@@ -128,7 +128,7 @@
     /// Records the request limit that a response declares. Only a successful response
     /// without one shows that there is no limit: an error may come from an intermediary
     /// in front of the target.
-    fn record_limit(&self, head: &AnswerMessage, slot: &SlotGuard) {
+    fn record_limit(&self, head: &ResponseMessage, slot: &SlotGuard) {
         let header = head.headers.text(&self.state.header_names.request_limit);
         let per_second = header.and_then(|text| text.trim().parse().ok());
         let per_second = per_second.filter(|limit: &f64| limit.is_finite() && *limit >= 0.0);
@@ -206,7 +206,7 @@
 
     /// Forwards a buffered response, or keeps an error response because another target
     /// may succeed.
-    async fn deliver_buffered(&mut self, head: &AnswerMessage, body: Vec<u8>) -> SendOutcome {
+    async fn deliver_buffered(&mut self, head: &ResponseMessage, body: Vec<u8>) -> SendOutcome {
         // Statuses 429, 503, 408 and 421 tell the caller that nothing ran. Without the
         // target's confirmation it may have run the request.
         if matches!(head.status, 408 | 421 | 429 | 503) {
@@ -226,7 +226,7 @@
     }
 
     /// Returns whether the target confirms that it did not run the request.
-    fn is_not_run(&self, head: &AnswerMessage) -> bool {
+    fn is_not_run(&self, head: &ResponseMessage) -> bool {
         head.status == 421 || head.headers.contains(&self.state.header_names.not_run)
     }
 
--- a/src/wire/body_framing.rs
+++ b/src/wire/body_framing.rs
@@ -10,7 +10,7 @@
     Length(u64),
     /// `Transfer-Encoding: chunked`.
     Chunked,
-    /// The body ends with the connection; allowed for answers only.
+    /// The body ends with the connection; allowed for responses only.
     UntilClose,
 }
 
@@ -25,12 +25,12 @@
         Ok(declared_framing(headers)?.unwrap_or(Self::Length(0)))
     }
 
-    /// Returns the framing of an answer with `status` to a request with `method`.
+    /// Returns the framing of a response with `status` to a request with `method`.
     ///
     /// # Errors
     ///
     /// Same as [`BodyFraming::for_request`].
-    pub(crate) fn for_answer(
+    pub(crate) fn for_response(
         headers: &MessageHeaders,
         status: u16,
         method: &str,
--- a/src/wire/complete_answer.rs
+++ b/src/wire/complete_response.rs
@@ -1,29 +1,29 @@
-//! Reads one answer to its verified end.
+//! Reads one response to its verified end.
 
 use std::time::Duration;
 
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 
-use super::AnswerMessage;
 use super::BodyDecoder;
 use super::BodyFraming;
 use super::InputBuffer;
+use super::ResponseMessage;
 use super::WireError;
 
-/// An answer that was read to its verified end.
+/// A response that was read to its verified end.
 #[derive(Debug)]
-pub(crate) struct CompleteAnswer {
-    pub(crate) head: AnswerMessage,
+pub(crate) struct CompleteResponse {
+    pub(crate) head: ResponseMessage,
     pub(crate) body: Vec<u8>,
     /// Whether another request may be sent on the connection.
     pub(crate) can_reuse_connection: bool,
 }
 
-/// Limits for reading an answer. The total time depends on the size of the answer and on the
+/// Limits for reading a response. The total time depends on the size of the response and on the
 /// link, so only the time between reads is limited.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AnswerLimits {
+pub(crate) struct ResponseLimits {
     /// Maximum size of the body, in bytes.
     pub(crate) max_body_bytes: usize,
     /// Maximum time until the first byte.
@@ -32,21 +32,21 @@
     pub(crate) idle_timeout: Duration,
 }
 
-/// Reads the answer to a request with `method`.
+/// Reads the response to a request with `method`.
 ///
 /// # Errors
 ///
 /// `Truncated` when the connection was closed or failed first, `TimedOut` when a limit of
 /// `limits` passed without a byte, `Malformed`, or `BodyTooLarge`.
-pub(crate) async fn read_complete_answer(
+pub(crate) async fn read_complete_response(
     stream: &TcpStream,
     input: &mut InputBuffer,
     method: &str,
-    limits: AnswerLimits,
-) -> Result<CompleteAnswer, WireError> {
+    limits: ResponseLimits,
+) -> Result<CompleteResponse, WireError> {
     let mut time_limit = limits.first_byte_timeout;
     let head = loop {
-        if let Some(head) = AnswerMessage::take(input)? {
+        if let Some(head) = ResponseMessage::take(input)? {
             break head;
         }
         if fill_with_timeout(stream, input, time_limit).await? == 0 {
@@ -54,7 +54,7 @@
         }
         time_limit = limits.idle_timeout;
     };
-    let framing = BodyFraming::for_answer(&head.headers, head.status, method)?;
+    let framing = BodyFraming::for_response(&head.headers, head.status, method)?;
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
     loop {
@@ -69,7 +69,7 @@
             decoder.finish_at_eof()?;
         }
     }
-    Ok(CompleteAnswer {
+    Ok(CompleteResponse {
         can_reuse_connection: can_reuse_connection(&head, framing),
         head,
         body,
@@ -87,8 +87,8 @@
     filled.map_err(|_| WireError::Truncated)
 }
 
-/// Returns whether the sender keeps the connection open after this answer.
-pub(crate) fn can_reuse_connection(head: &AnswerMessage, framing: BodyFraming) -> bool {
+/// Returns whether the sender keeps the connection open after this response.
+pub(crate) fn can_reuse_connection(head: &ResponseMessage, framing: BodyFraming) -> bool {
     framing != BodyFraming::UntilClose
         && !head.is_http10
         && !head.headers.has_token("connection", "close")
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -6,28 +6,28 @@
 //! reused. This module counts each byte of a body, and the bytes of the next message
 //! stay in the [`InputBuffer`].
 
-mod answer_message;
 mod body_decoder;
 mod body_framing;
-mod complete_answer;
+mod complete_response;
 mod input_buffer;
 mod message_headers;
 mod request_message;
+mod response_message;
 mod socket_options;
 #[cfg(test)]
 mod tests;
 mod wire_error;
 
-pub(crate) use answer_message::AnswerMessage;
 pub(crate) use body_decoder::BodyDecoder;
 pub(crate) use body_framing::BodyFraming;
-pub(crate) use complete_answer::AnswerLimits;
-pub(crate) use complete_answer::CompleteAnswer;
-pub(crate) use complete_answer::can_reuse_connection;
-pub(crate) use complete_answer::read_complete_answer;
+pub(crate) use complete_response::CompleteResponse;
+pub(crate) use complete_response::ResponseLimits;
+pub(crate) use complete_response::can_reuse_connection;
+pub(crate) use complete_response::read_complete_response;
 pub(crate) use input_buffer::InputBuffer;
 pub(crate) use message_headers::MessageHeaders;
 pub(crate) use request_message::RequestMessage;
+pub(crate) use response_message::ResponseMessage;
 pub(crate) use socket_options::KeepaliveSettings;
 pub(crate) use socket_options::configure_keepalive;
 pub(crate) use wire_error::WireError;
--- a/src/wire/answer_message.rs
+++ b/src/wire/response_message.rs
@@ -1,31 +1,31 @@
-//! Parses the head of an answer.
+//! Parses the head of a response.
 
 use super::InputBuffer;
 use super::MessageHeaders;
 use super::WireError;
 use super::request_message::MAX_HEADER_LINES;
 
-/// Maximum size of an answer's head, in bytes.
+/// Maximum size of a response's head, in bytes.
 const MAX_ANSWER_HEAD_BYTES: usize = 64 << 10;
 
-/// The status line and header lines of an answer.
+/// The status line and header lines of a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct AnswerMessage {
+pub(crate) struct ResponseMessage {
     pub(crate) status: u16,
-    /// Whether the answer is HTTP/1.0, whose connections are not reused.
+    /// Whether the response is HTTP/1.0, whose connections are not reused.
     pub(crate) is_http10: bool,
     pub(crate) headers: MessageHeaders,
 }
 
-impl AnswerMessage {
+impl ResponseMessage {
     /// Removes the next final head from the buffer; `None` while it is incomplete.
     ///
-    /// Interim answers (RFC 9110 section 15.2) are skipped. If one were taken for the
-    /// final answer, a call that ran would be reported as failed.
+    /// Interim responses (RFC 9110 section 15.2) are skipped. If one were taken for the
+    /// final response, a call that ran would be reported as failed.
     ///
     /// # Errors
     ///
-    /// `Malformed` for bytes that are not an HTTP answer, or a head above the maximum size.
+    /// `Malformed` for bytes that are not an HTTP response, or a head above the maximum size.
     pub(crate) fn take(input: &mut InputBuffer) -> Result<Option<Self>, WireError> {
         while let Some(message) = Self::take_interim_or_final(input)? {
             if !matches!(message.status, 100 | 102..=199) {
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,11 +1,11 @@
 //! Parsing of heads, framing and bodies from raw bytes.
 
-use super::AnswerMessage;
 use super::BodyDecoder;
 use super::BodyFraming;
 use super::InputBuffer;
 use super::MessageHeaders;
 use super::RequestMessage;
+use super::ResponseMessage;
 use super::WireError;
 
 fn buffer_of(bytes: &[u8]) -> InputBuffer {
@@ -113,7 +113,7 @@
 fn interim_answers_are_skipped() {
     let mut input = buffer_of(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nA: b\r\n\r\n");
 
-    let answer = AnswerMessage::take(&mut input).unwrap().unwrap();
+    let answer = ResponseMessage::take(&mut input).unwrap().unwrap();
 
     assert_eq!(answer.status, 200);
 }
