--- a/src/edge/gossip_controller.rs
+++ b/src/edge/gossip_controller.rs
@@ -337,7 +337,7 @@
         if let Some(age) = peer_view.evidence_age_ms {
             view.confirm_catalog(peer_view.catalog, confirmed_at(age), boot_now());
         }
-        view.record_catalog_revision(peer_view.catalog, peer_view.catalog_revision);
+        view.update_catalog_revision(peer_view.catalog, peer_view.catalog_revision);
         if let Some(age) = peer_view.view_age_ms {
             view.confirm_view(peer_view.revision, confirmed_at(age));
         }
--- a/src/view/platform_view.rs
+++ b/src/view/platform_view.rs
@@ -65,7 +65,7 @@
 
     /// Records that the catalog of this version was the newest at `revision`. It is ignored
     /// unless that catalog or a newer one is held.
-    pub fn record_catalog_revision(&mut self, version: CatalogVersion, revision: StoreRevision) {
+    pub fn update_catalog_revision(&mut self, version: CatalogVersion, revision: StoreRevision) {
         if self.catalog_version() >= version {
             self.catalog_revision = self.catalog_revision.max(revision);
         }
--- a/src/view/shared_view.rs
+++ b/src/view/shared_view.rs
@@ -55,7 +55,7 @@
         let is_full = revision > 0;
         let change = self.apply(&mut state, update, now);
         let version = state.view.catalog_version();
-        state.view.record_catalog_revision(version, revision);
+        state.view.update_catalog_revision(version, revision);
         drop(state);
         raise(&self.evidence_ms, called_at);
         if is_full {
@@ -100,8 +100,8 @@
 
     /// Records a peer's statement that the catalog of this version was the newest at `revision`.
     /// It is ignored unless this host holds that catalog or a newer one.
-    pub fn record_catalog_revision(&self, version: CatalogVersion, revision: StoreRevision) {
-        self.lock().view.record_catalog_revision(version, revision);
+    pub fn update_catalog_revision(&self, version: CatalogVersion, revision: StoreRevision) {
+        self.lock().view.update_catalog_revision(version, revision);
     }
 
     /// Records a peer's confirmation that its view, whose last change is `revision`, matched
--- a/tests/platform_view.rs
+++ b/tests/platform_view.rs
@@ -295,10 +295,10 @@
     view.apply_store_response(first, now, now);
 
     view.apply_peer_view(removal("a", 9), now);
-    view.record_catalog_revision(8, 9);
+    view.update_catalog_revision(8, 9);
     let behind = view.complete_revision();
     view.apply_peer_view(with_catalog(8), now);
-    view.record_catalog_revision(8, 9);
+    view.update_catalog_revision(8, 9);
 
     assert_eq!(behind, 5);
     assert_eq!(view.complete_revision(), 9);
