--- a/src/controllers/work_controller.rs
+++ b/src/controllers/work_controller.rs
@@ -114,7 +114,7 @@
         let item = describe(work);
         self.decide(|policy| match source {
             WorkSource::Caller => policy.arrive(boot_now(), item),
-            WorkSource::Peer => policy.take_over(boot_now(), item),
+            WorkSource::Peer => policy.accept_forwarded(boot_now(), item),
         });
         WorkTicket {
             controller: self.clone(),
--- a/src/policy/dispatch_policy.rs
+++ b/src/policy/dispatch_policy.rs
@@ -129,7 +129,7 @@
     }
 
     /// Decides about work that a peer forwarded. It is not forwarded again.
-    pub fn take_over(&mut self, now: Duration, item: WorkItem) -> Vec<PolicyAction> {
+    pub fn accept_forwarded(&mut self, now: Duration, item: WorkItem) -> Vec<PolicyAction> {
         self.admit(now, item, false)
     }
 
--- a/src/replay/replay_policy.rs
+++ b/src/replay/replay_policy.rs
@@ -91,9 +91,9 @@
         }
     }
 
-    pub(super) fn take_over(&mut self, now: Duration, item: WorkItem) -> Vec<PolicyAction> {
+    pub(super) fn accept_forwarded(&mut self, now: Duration, item: WorkItem) -> Vec<PolicyAction> {
         match self {
-            Self::Current(policy) => policy.take_over(now, item),
+            Self::Current(policy) => policy.accept_forwarded(now, item),
             Self::First(_) | Self::Baseline(_) => self.arrive(now, item),
         }
     }
--- a/src/replay/replay_run.rs
+++ b/src/replay/replay_run.rs
@@ -226,7 +226,7 @@
             return;
         }
         let item = self.work_item(work as usize);
-        let actions = self.policies[host].take_over(self.now, item);
+        let actions = self.policies[host].accept_forwarded(self.now, item);
         self.apply_actions(host, actions);
     }
 
--- a/tests/policy_shares.rs
+++ b/tests/policy_shares.rs
@@ -105,7 +105,7 @@
             first_token_goal: None,
             allowed: Arc::new(vec![ENGINE.to_string()]),
         };
-        let actions = self.policies[host].take_over(self.now, item);
+        let actions = self.policies[host].accept_forwarded(self.now, item);
         self.record(host, actions);
     }
 
