--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_body_is_decoded_whatever_the_read_sizes() {
+fn a_body_is_decoded_regardless_of_read_sizes() {
     arbtest::arbtest(|source| {
         let message = b"3\r\nabc\r\nA;note=1\r\n0123456789\r\n0\r\n\r\n";
         let mut decoder = BodyDecoder::new(BodyFraming::Chunked);
--- a/tests/replay_patterns.rs
+++ b/tests/replay_patterns.rs
@@ -109,7 +109,7 @@
 /// served: the other half takes over their slot shares once the platform's list no longer
 /// contains the failed hosts.
 #[test]
-fn losing_half_the_hosts_loses_only_what_they_held() {
+fn losing_half_the_hosts_loses_only_their_requests() {
     for deployment in DEPLOYMENTS {
         let trace = trace(deployment, LoadPattern::HalfLost);
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -101,7 +101,7 @@
 
 /// Guards against each host using the entire limit that a target announces.
 #[test]
-fn all_hosts_keep_a_limit_that_a_target_names() {
+fn all_hosts_respect_a_limit_that_a_target_announces() {
     let size = SoakSize {
         hosts: 5,
         targets: 4,
