--- a/tests/soak/raw_link.rs
+++ b/tests/soak/raw_link.rs
@@ -31,14 +31,14 @@
 
 impl RawHead {
     /// Returns the space-separated part of the first line at `index`.
-    pub(crate) fn word(&self, index: usize) -> &str {
+    pub(crate) fn first_line_part(&self, index: usize) -> &str {
         let first = self.text.lines().next().unwrap_or_default();
         first.split(' ').nth(index).unwrap_or_default()
     }
 
     /// Returns the status of an answer, or 0 if there is none.
     pub(crate) fn status(&self) -> u16 {
-        self.word(1).parse().unwrap_or(0)
+        self.first_line_part(1).parse().unwrap_or(0)
     }
 
     /// Returns the value of a header.
--- a/tests/soak/soak_target.rs
+++ b/tests/soak/soak_target.rs
@@ -204,7 +204,9 @@
                 let answer = plain_answer(&identity.name, request, 500, body.as_bytes(), &limit);
                 link.write(&answer).is_ok()
             }
-            _ if SoakRoute::from_path(head.word(1)).is_some_and(SoakRoute::is_stream) => {
+            _ if SoakRoute::from_path(head.first_line_part(1))
+                .is_some_and(SoakRoute::is_stream) =>
+            {
                 let pause = EVENT_PAUSE * slowdown;
                 self.serve_stream(link, head, &identity.name, mode, pause, &limit)
             }
@@ -231,7 +233,7 @@
             report("missing target name");
         }
         let is_addressed = head.header(headers::TARGET) == Some(identity.name.as_str());
-        let route = SoakRoute::from_path(head.word(1));
+        let route = SoakRoute::from_path(head.first_line_part(1));
         if is_addressed && route.is_none_or(|route| route.pool() != identity.pool) {
             report("request for another pool");
         }
