--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,7 +22,7 @@
 //!
 //! For tests, benchmarks and tools of this project, and rarely needed elsewhere:
 //!
-//! - [`controllers`]: tasks that keep the ledger, the rosters and the lists up to date.
+//! - [`controllers`]: tasks that keep the configuration, the rosters and the lists up to date.
 //! - [`documents`]: client for the read-and-watch service of fleet documents.
 //! - [`limits`], [`metrics`], [`logs`]: account rates, metrics and log lines.
 //! - [`replay`]: replay of recorded traces against the policy in virtual time.
